--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -192,9 +192,9 @@
 // for which a report is fresh. At the peak every upstream answers more often.
 func (c *calc) ridingReports() load {
 	answers := c.Requests / c.Upstreams
-	silent := math.Exp(-answers * slots.Freshness.Seconds() / 2)
+	silent := math.Exp(-answers * slots.ReportExpiry.Seconds() / 2)
 	polled := c.owned() * silent
-	slower := 2 / slots.Freshness.Seconds() / pollsPerSecond
+	slower := 2 / slots.ReportExpiry.Seconds() / pollsPerSecond
 	return load{
 		messages: polled * slower * pollsPerSecond,
 		core:     nanosecond * c.growth(PollTime, polled) * slower,
@@ -221,7 +221,7 @@
 // It needs a list that the platform filters by data centre.
 func (c *calc) centreList() load {
 	readers := math.Min(c.Routers, c.DataCentres*centreWatchers)
-	reads := c.growth(PlatformVMs, readers) * slots.Freshness.Seconds() / slots.DepartureMemory.Seconds()
+	reads := c.growth(PlatformVMs, readers) * slots.ReportExpiry.Seconds() / slots.DepartureExpiry.Seconds()
 	perRouter := reads / c.Routers
 	vms := (c.Routers + c.Upstreams) / c.DataCentres
 	return load{
--- a/coordination/admission/floods_test.go
+++ b/coordination/admission/floods_test.go
@@ -10,69 +10,69 @@
 	"github.com/figstile/figstile/state"
 )
 
-// judged is the time over which workspaces are compared.
-const judged = 6 * time.Second
+// comparisonWindow is the time over which workspaces are compared.
+const comparisonWindow = 6 * time.Second
 
-// leastPart returns the least part that a workspace got, over any six seconds
+// minServedRatio returns the least part that a workspace got, over any six seconds
 // between two times, of what it asked or another got, whichever is less.
-func leastPart(results []outcome, from, to time.Duration, of, than state.Workspace) float64 {
-	least := 1.0
-	for ; from+judged <= to; from += time.Second {
-		asked, got := make(map[state.Workspace]int), make(map[state.Workspace]int)
+func minServedRatio(results []outcome, from, to time.Duration, of, than state.Workspace) float64 {
+	minRatio := 1.0
+	for ; from+comparisonWindow <= to; from += time.Second {
+		requested, served := make(map[state.Workspace]int), make(map[state.Workspace]int)
 		for _, o := range results {
-			if o.at < from || o.at >= from+judged {
+			if o.at < from || o.at >= from+comparisonWindow {
 				continue
 			}
-			asked[o.workspace] += o.own
-			if o.verdict.Admit() {
-				got[o.workspace] += o.own
+			requested[o.workspace] += o.ownTokens
+			if o.verdict.IsAdmitted() {
+				served[o.workspace] += o.ownTokens
 			}
 		}
-		least = min(least, float64(got[of])/float64(max(min(asked[of], got[than]), 1)))
+		minRatio = min(minRatio, float64(served[of])/float64(max(min(requested[of], served[than]), 1)))
 	}
-	return least
+	return minRatio
 }
 
-// usedPart is the part of the engines' reading rate that was used over a time.
-func usedPart(results []outcome, from, to time.Duration) float64 {
+// usedPrefillFraction is the part of the engines' reading rate that was used over a time.
+func usedPrefillFraction(results []outcome, from, to time.Duration) float64 {
 	served := 0
 	for _, o := range results {
-		if o.verdict.Admit() && o.at >= from && o.at < to {
-			served += o.own
+		if o.verdict.IsAdmitted() && o.at >= from && o.at < to {
+			served += o.ownTokens
 		}
 	}
-	return float64(served) / (readRate * replayEngines * (to - from).Seconds())
+	return float64(served) / (prefillRate * replayEngines * (to - from).Seconds())
 }
 
-// mixed are guides and twice as many notes.
-func mixed(draw *rand.Rand, from, to time.Duration, perSecond float64, workspace func() state.Workspace) []arrival {
-	return merge(guides(draw, from, to, perSecond, workspace), notes(draw, from, to, 2*perSecond, workspace))
+// mixedLoad are guides and twice as many notes.
+func mixedLoad(rng *rand.Rand, from, to time.Duration, perSecond float64, workspace func() state.Workspace) []arrival {
+	return mergeLoads(longRequests(rng, from, to, perSecond, workspace), shortRequests(rng, from, to, 2*perSecond, workspace))
 }
 
-// on gives a load subjects of its own.
-func on(load []arrival, first uint64) []arrival {
+// withPrefixOffset gives a load subjects of its own.
+func withPrefixOffset(load []arrival, offset uint64) []arrival {
 	for i := range load {
-		load[i].subject += first
+		load[i].prefixID += offset
 	}
 	return load
 }
 
-// floods returns a load of one workspace that asks times as often as another, beside
+// floodLoad returns a load of one workspace that asks times as often as another, beside
 // ten that ask for more than half of what the fleet states.
-func floods(times float64, routers, smallerRouters int) []arrival {
+func floodLoad(times float64, routers, smallerRouters int) []arrival {
 	const (
-		larger  = 1 << 20
-		smaller = 2 << 20
-		usual   = 80
+		larger    = 1 << 20
+		smaller   = 2 << 20
+		usualRate = 80
 	)
-	draw := rand.New(rand.NewPCG(11, 1))
-	load := merge(
-		mixed(draw, 0, replayTime, usual, even(draw)),
-		on(mixed(draw, 0, replayTime, usual*times, only("larger")), larger),
-		on(mixed(draw, 0, replayTime, usual, only("smaller")), smaller),
+	rng := rand.New(rand.NewPCG(11, 1))
+	load := mergeLoads(
+		mixedLoad(rng, 0, replayTime, usualRate, uniformWorkspace(rng)),
+		withPrefixOffset(mixedLoad(rng, 0, replayTime, usualRate*times, singleWorkspace("larger")), larger),
+		withPrefixOffset(mixedLoad(rng, 0, replayTime, usualRate, singleWorkspace("smaller")), smaller),
 	)
 	for i := range load {
-		load[i].router = draw.IntN(routers)
+		load[i].router = rng.IntN(routers)
 		if load[i].workspace == "smaller" {
 			load[i].router %= smallerRouters
 		}
@@ -80,22 +80,22 @@
 	return load
 }
 
-// requireEqualParts replays floods and requires that the smaller gets half of what
+// requireComparableService replays floods and requires that the smaller gets half of what
 // the larger does, and that engines are used beyond the stated rate.
-func requireEqualParts(t *testing.T, s *simulation, load []arrival) {
+func requireComparableService(t *testing.T, s *simulation, load []arrival) {
 	t.Helper()
-	const statedPart = 0.3
-	s.throughput = statedPart * readRate * replayEngines
+	const statedFraction = 0.3
+	s.throughput = statedFraction * prefillRate * replayEngines
 	results := s.run(load)
-	part := leastPart(results, 4*time.Second, replayTime, "smaller", "larger")
-	used := usedPart(results, 4*time.Second, replayTime)
-	t.Logf("least part %.2f, %.2f of the reading rate used", part, used)
-	require.Greater(t, part, 0.5)
+	ratio := minServedRatio(results, 4*time.Second, replayTime, "smaller", "larger")
+	used := usedPrefillFraction(results, 4*time.Second, replayTime)
+	t.Logf("least part %.2f, %.2f of the reading rate used", ratio, used)
+	require.Greater(t, ratio, 0.5)
 	require.Greater(t, used, 0.5, "what is beyond the stated rate is used")
 }
 
 // Guards against engines' idle time going to the workspace that asks most often.
-func TestFloodsGetEqualPartsOfIdleEngines(t *testing.T) {
+func TestFloodsShareIdleEnginesEqually(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		times          float64
@@ -107,14 +107,14 @@
 		{"eight times as many, the smaller at one router", 8, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			requireEqualParts(t, newSimulation(replayRouters, replayEngines, 11), floods(c.times, replayRouters, c.smallerRouters))
+			requireComparableService(t, newSimulation(replayRouters, replayEngines, 11), floodLoad(c.times, replayRouters, c.smallerRouters))
 		})
 	}
 }
 
 // Guards against many routers that all admit a flood until they hear that the
 // others did, and then all refuse it.
-func TestFloodsGetEqualPartsOnOldNews(t *testing.T) {
+func TestFloodsShareEnginesEquallyWithStaleUsage(t *testing.T) {
 	const routers = 24
 	for _, c := range []struct {
 		name           string
@@ -128,8 +128,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSimulation(routers, replayEngines, 11)
-			s.spendingDelay = 500 * time.Millisecond
-			requireEqualParts(t, s, floods(c.times, routers, c.smallerRouters))
+			s.usageDelay = 500 * time.Millisecond
+			requireComparableService(t, s, floodLoad(c.times, routers, c.smallerRouters))
 		})
 	}
 }
--- a/coordination/admission/hopeless_test.go
+++ b/coordination/admission/hopeless_test.go
@@ -13,16 +13,16 @@
 
 // A request that was read late reached an engine just before its caller left.
 func TestRequestThatCannotEndInTimeIsRefused(t *testing.T) {
-	idle := placement.Estimate{Own: 200 * time.Millisecond, Stream: 2 * time.Second, Free: true}
-	request := Request{Work: placement.Work{Prompt: []prefix.Part{{ID: 1, Tokens: 600}}, Target: time.Second}}
+	idle := placement.Estimate{ProcessingTime: 200 * time.Millisecond, StreamTime: 2 * time.Second, UnderHalfFull: true}
+	request := Request{Work: placement.Work{Prompt: []prefix.Part{{ID: 1, Tokens: 600}}, TargetLatency: time.Second}}
 	for _, c := range []struct {
 		timeout  time.Duration
 		admitted bool
 	}{{4 * time.Second, true}, {1300 * time.Millisecond, true}, {time.Second, false}, {100 * time.Millisecond, false}} {
 		request.Timeout = c.timeout
 		verdict := Decide(request, idle, true, shares.Standing{}, 0)
-		require.Equal(t, c.admitted, verdict.Admit(), c.timeout)
+		require.Equal(t, c.admitted, verdict.IsAdmitted(), c.timeout)
 	}
-	request.Begun = true
-	require.True(t, Decide(request, idle, true, shares.Standing{}, 0).Admit(), "it may have run already")
+	request.MayHaveRun = true
+	require.True(t, Decide(request, idle, true, shares.Standing{}, 0).IsAdmitted(), "it may have run already")
 }
--- a/coordination/budget/budget.go
+++ b/coordination/budget/budget.go
@@ -17,15 +17,15 @@
 	Window time.Duration
 }
 
-// reserve is the part of the allowance that is used: peers count alone, a
+// usableFraction is the part of the allowance that is used: peers count alone, a
 // router that has just gone has spent, and windows of different routers don't
 // end together.
-const reserve = 0.7
+const usableFraction = 0.7
 
-// buckets cover the window and one bucket more. With a bucket less, what was
+// bucketCount cover the window and one bucket more. With a bucket less, what was
 // spent at the end of one would be forgotten before the window has passed, and
 // twice the allowance could fall into one window.
-const buckets = 21
+const bucketCount = 21
 
 type bucket struct {
 	slot     int64
@@ -36,41 +36,41 @@
 // Budget counts one service's requests and repeats at this router. The zero
 // value is empty. It is not safe for concurrent use.
 type Budget struct {
-	buckets [buckets]bucket
+	buckets [bucketCount]bucket
 }
 
-func (b *Budget) at(now time.Time, window time.Duration) *bucket {
-	slot := now.UnixNano() / int64(window/(buckets-1))
-	c := &b.buckets[slot%buckets]
+func (b *Budget) bucketAt(now time.Time, window time.Duration) *bucket {
+	slot := now.UnixNano() / int64(window/(bucketCount-1))
+	c := &b.buckets[slot%bucketCount]
 	if c.slot != slot {
 		*c = bucket{slot: slot}
 	}
 	return c
 }
 
-// Request counts a request that arrived.
-func (b *Budget) Request(now time.Time, limits Limits) {
+// RecordRequest counts a request that arrived.
+func (b *Budget) RecordRequest(now time.Time, limits Limits) {
 	if limits.Window <= 0 {
 		return
 	}
-	b.at(now, limits.Window).requests++
+	b.bucketAt(now, limits.Window).requests++
 }
 
-// Repeat spends one repeat if the budget has it. Routers is the number of live
+// TryRepeat spends one repeat if the budget has it. Routers is the number of live
 // routers, this one included.
-func (b *Budget) Repeat(now time.Time, limits Limits, routers int) bool {
+func (b *Budget) TryRepeat(now time.Time, limits Limits, routers int) bool {
 	if limits.Window <= 0 {
 		return true
 	}
-	current := b.at(now, limits.Window)
+	current := b.bucketAt(now, limits.Window)
 	var requests, repeats int
 	for _, c := range b.buckets {
-		if c.slot > current.slot-buckets && c.slot <= current.slot {
+		if c.slot > current.slot-bucketCount && c.slot <= current.slot {
 			requests += c.requests
 			repeats += c.repeats
 		}
 	}
-	allowed := reserve * (limits.Ratio*float64(requests) + limits.Slack/float64(max(routers, 1)))
+	allowed := usableFraction * (limits.Ratio*float64(requests) + limits.Slack/float64(max(routers, 1)))
 	if float64(repeats+1) > allowed {
 		return false
 	}
--- a/coordination/budget/budget_test.go
+++ b/coordination/budget/budget_test.go
@@ -26,9 +26,9 @@
 		for range 250 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
 			b := &budgets[rapid.IntRange(0, routers-1).Draw(t, "router")]
-			b.Request(now, limits)
+			b.RecordRequest(now, limits)
 			requests = append(requests, now)
-			for b.Repeat(now, limits, routers) {
+			for b.TryRepeat(now, limits, routers) {
 				repeats = append(repeats, now)
 			}
 		}
@@ -41,8 +41,8 @@
 			return n
 		}
 		for _, end := range repeats {
-			most := max(within(requests, end), within(requests, end.Add(-limits.Window/2)), within(requests, end.Add(-limits.Window)))
-			allowed := limits.Ratio*float64(most) + limits.Slack
+			maxRequests := max(within(requests, end), within(requests, end.Add(-limits.Window/2)), within(requests, end.Add(-limits.Window)))
+			allowed := limits.Ratio*float64(maxRequests) + limits.Slack
 			if n := within(repeats, end); float64(n) > allowed {
 				t.Fatalf("%d repeats, %.1f allowed", n, allowed)
 			}
@@ -50,16 +50,16 @@
 	})
 }
 
-func TestBudgetComesBack(t *testing.T) {
+func TestBudgetRecoversAfterWindow(t *testing.T) {
 	var b Budget
-	for b.Repeat(start, limits, 1) {
+	for b.TryRepeat(start, limits, 1) {
 	}
-	require.False(t, b.Repeat(start.Add(time.Second), limits, 1))
-	require.True(t, b.Repeat(start.Add(limits.Window+time.Second), limits, 1))
+	require.False(t, b.TryRepeat(start.Add(time.Second), limits, 1))
+	require.True(t, b.TryRepeat(start.Add(limits.Window+time.Second), limits, 1))
 }
 
-func TestNoLimitsNoBudget(t *testing.T) {
+func TestZeroWindowAllowsAllRepeats(t *testing.T) {
 	var b Budget
-	b.Request(start, Limits{})
-	require.True(t, b.Repeat(start, Limits{}, 1))
+	b.RecordRequest(start, Limits{})
+	require.True(t, b.TryRepeat(start, Limits{}, 1))
 }
--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -23,150 +23,150 @@
 type Entry struct {
 	Router  state.Router
 	Waiting int
-	// Head is when the oldest request arrived.
-	Head time.Time
-	// Cost is the estimated cost of the oldest request.
-	Cost state.Cost
+	// OldestArrival is when the oldest request arrived.
+	OldestArrival time.Time
+	// OldestCost is the estimated cost of the oldest request.
+	OldestCost state.Cost
 }
 
-type line struct {
-	routers map[state.Router]Entry
-	order   *btree.BTreeG[Entry]
+type keyDemand struct {
+	byRouter map[state.Router]Entry
+	byAge    *btree.BTreeG[Entry]
 }
 
-// Book holds the demand of one service.
-type Book struct {
-	lines map[Key]*line
-	// keys lists what each router has waiting, to drop a lost router without
+// Table holds the demand of one service.
+type Table struct {
+	byKey map[Key]*keyDemand
+	// keysByRouter lists what each router has waiting, to drop a lost router without
 	// a walk over all workspaces.
-	keys map[state.Router]map[Key]struct{}
+	keysByRouter map[state.Router]map[Key]struct{}
 }
 
 // New returns an empty book.
-func New() *Book {
-	return &Book{lines: make(map[Key]*line), keys: make(map[state.Router]map[Key]struct{})}
+func New() *Table {
+	return &Table{byKey: make(map[Key]*keyDemand), keysByRouter: make(map[state.Router]map[Key]struct{})}
 }
 
-func older(a, b Entry) bool {
-	if !a.Head.Equal(b.Head) {
-		return a.Head.Before(b.Head)
+func isOlder(a, b Entry) bool {
+	if !a.OldestArrival.Equal(b.OldestArrival) {
+		return a.OldestArrival.Before(b.OldestArrival)
 	}
 	return a.Router < b.Router
 }
 
 // Set replaces what a router has waiting of a key and reports whether any
 // router still has some.
-func (b *Book) Set(k Key, e Entry) (backlogged bool) {
-	b.remove(k, e.Router)
+func (t *Table) Set(k Key, e Entry) (backlogged bool) {
+	t.remove(k, e.Router)
 	if e.Waiting > 0 {
-		b.insert(k, e)
+		t.insert(k, e)
 	}
-	return b.lines[k] != nil
+	return t.byKey[k] != nil
 }
 
-func (b *Book) insert(k Key, e Entry) {
-	l := b.lines[k]
-	if l == nil {
-		l = &line{routers: make(map[state.Router]Entry), order: btree.NewG(8, older)}
-		b.lines[k] = l
+func (t *Table) insert(k Key, e Entry) {
+	d := t.byKey[k]
+	if d == nil {
+		d = &keyDemand{byRouter: make(map[state.Router]Entry), byAge: btree.NewG(8, isOlder)}
+		t.byKey[k] = d
 	}
-	l.routers[e.Router] = e
-	l.order.ReplaceOrInsert(e)
-	if b.keys[e.Router] == nil {
-		b.keys[e.Router] = make(map[Key]struct{})
+	d.byRouter[e.Router] = e
+	d.byAge.ReplaceOrInsert(e)
+	if t.keysByRouter[e.Router] == nil {
+		t.keysByRouter[e.Router] = make(map[Key]struct{})
 	}
-	b.keys[e.Router][k] = struct{}{}
+	t.keysByRouter[e.Router][k] = struct{}{}
 }
 
-func (b *Book) remove(k Key, r state.Router) {
-	l := b.lines[k]
-	if l == nil {
+func (t *Table) remove(k Key, r state.Router) {
+	d := t.byKey[k]
+	if d == nil {
 		return
 	}
-	old, ok := l.routers[r]
+	old, ok := d.byRouter[r]
 	if !ok {
 		return
 	}
-	l.order.Delete(old)
-	delete(l.routers, r)
-	if len(l.routers) == 0 {
-		delete(b.lines, k)
+	d.byAge.Delete(old)
+	delete(d.byRouter, r)
+	if len(d.byRouter) == 0 {
+		delete(t.byKey, k)
 	}
-	delete(b.keys[r], k)
-	if len(b.keys[r]) == 0 {
-		delete(b.keys, r)
+	delete(t.keysByRouter[r], k)
+	if len(t.keysByRouter[r]) == 0 {
+		delete(t.keysByRouter, r)
 	}
 }
 
 // Keys lists what a router has waiting, in order.
-func (b *Book) Keys(r state.Router) []Key {
-	keys := make([]Key, 0, len(b.keys[r]))
-	for k := range b.keys[r] {
+func (t *Table) Keys(r state.Router) []Key {
+	keys := make([]Key, 0, len(t.keysByRouter[r]))
+	for k := range t.keysByRouter[r] {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, compare)
+	slices.SortFunc(keys, compareKeys)
 	return keys
 }
 
-func compare(a, b Key) int {
+func compareKeys(a, b Key) int {
 	return cmp.Or(cmp.Compare(a.Workspace, b.Workspace), cmp.Compare(a.Model, b.Model))
 }
 
 // Oldest returns the entry of the router that holds the oldest request.
-func (b *Book) Oldest(k Key) (Entry, bool) {
-	l := b.lines[k]
-	if l == nil {
+func (t *Table) Oldest(k Key) (Entry, bool) {
+	d := t.byKey[k]
+	if d == nil {
 		return Entry{}, false
 	}
-	return l.order.Min()
+	return d.byAge.Min()
 }
 
-// nearPart is how long the owner's own request must have waited, as a part of
+// localPreferenceFactor is how long the owner's own request must have waited, as a part of
 // the oldest one's wait, to be preferred. Made for saturation: a slot for a
 // request of the owner's own router needs no message, one for a peer's needs a
 // grant, a report of the end and fresh demand. A half bounds the harm without
 // a constant of time: no request waits more than twice as long as it would in
 // order of age, be it milliseconds or minutes. Which workspace is next is not
 // touched.
-const nearPart = 2
+const localPreferenceFactor = 2
 
 // Choose returns the entry that a slot goes to: that of the near router if its
 // oldest request has waited for long enough, otherwise the oldest of all.
-func (b *Book) Choose(now time.Time, k Key, near state.Router) (Entry, bool) {
-	oldest, ok := b.Oldest(k)
-	if !ok || oldest.Router == near {
+func (t *Table) Choose(now time.Time, k Key, local state.Router) (Entry, bool) {
+	oldest, ok := t.Oldest(k)
+	if !ok || oldest.Router == local {
 		return oldest, ok
 	}
-	own, ok := b.lines[k].routers[near]
-	if ok && now.Sub(own.Head)*nearPart >= now.Sub(oldest.Head) {
+	own, ok := t.byKey[k].byRouter[local]
+	if ok && now.Sub(own.OldestArrival)*localPreferenceFactor >= now.Sub(oldest.OldestArrival) {
 		return own, true
 	}
 	return oldest, true
 }
 
 // Waiting counts a router's remembered requests of a key.
-func (b *Book) Waiting(k Key, r state.Router) int {
-	l := b.lines[k]
-	if l == nil {
+func (t *Table) Waiting(k Key, r state.Router) int {
+	d := t.byKey[k]
+	if d == nil {
 		return 0
 	}
-	return l.routers[r].Waiting
+	return d.byRouter[r].Waiting
 }
 
-// Take counts one request less at a router, because it was granted a slot.
+// RecordGrant counts one request less at a router, because it was granted a slot.
 // The age of its next request is not known before the router says so; until
 // then it is taken to lie evenly between the oldest and now, so that one
 // router with a single old request does not draw all grants.
-func (b *Book) Take(now time.Time, k Key, r state.Router) (backlogged bool) {
-	l := b.lines[k]
-	if l == nil {
+func (t *Table) RecordGrant(now time.Time, k Key, r state.Router) (backlogged bool) {
+	d := t.byKey[k]
+	if d == nil {
 		return false
 	}
-	e, ok := l.routers[r]
+	e, ok := d.byRouter[r]
 	if !ok {
 		return true
 	}
-	e.Head = e.Head.Add(now.Sub(e.Head) / time.Duration(e.Waiting))
+	e.OldestArrival = e.OldestArrival.Add(now.Sub(e.OldestArrival) / time.Duration(e.Waiting))
 	e.Waiting--
-	return b.Set(k, e)
+	return t.Set(k, e)
 }
--- a/coordination/estimate/estimate.go
+++ b/coordination/estimate/estimate.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// smoothing is the weight of the newest cost, once as many as its inverse
+	// newestWeight is the weight of the newest cost, once as many as its inverse
 	// are known; until then all known ones weigh alike. Reservations carry
 	// the estimate's noise into the choice of workspace, and with it into the
 	// fairness gap. A hundredth follows a workspace that changes its kind of
 	// work within a minute or two of heavy use.
-	smoothing = 0.01
+	newestWeight = 0.01
 	// DefaultCapacity bounds the learned keys. Some hundred workspaces over a
 	// few services fit many times over; names invented by a faulty caller
 	// cannot grow the memory.
@@ -27,39 +27,39 @@
 	Workspace state.Workspace
 }
 
-// average is a mean over all costs at first, an exponentially weighted one
+// costMean is a mean over all costs at first, an exponentially weighted one
 // later.
-type average struct {
+type costMean struct {
 	mean  float64
 	count float64
 }
 
-func (a *average) add(cost state.Cost) {
+func (a *costMean) add(cost state.Cost) {
 	a.count++
-	a.mean += max(smoothing, 1/a.count) * (float64(cost) - a.mean)
+	a.mean += max(newestWeight, 1/a.count) * (float64(cost) - a.mean)
 }
 
 type entry struct {
 	key Key
-	average
+	costMean
 }
 
 // Estimator holds mean costs; the least recently updated key makes room for a
 // new one.
 type Estimator struct {
-	capacity int
-	entries  map[Key]*list.Element
-	recent   *list.List
-	services map[state.Service]*average
+	capacity     int
+	entries      map[Key]*list.Element
+	byRecency    *list.List
+	serviceMeans map[state.Service]*costMean
 }
 
 // New returns an estimator that remembers at most capacity keys.
 func New(capacity int) *Estimator {
 	return &Estimator{
-		capacity: capacity,
-		entries:  make(map[Key]*list.Element),
-		recent:   list.New(),
-		services: make(map[state.Service]*average),
+		capacity:     capacity,
+		entries:      make(map[Key]*list.Element),
+		byRecency:    list.New(),
+		serviceMeans: make(map[state.Service]*costMean),
 	}
 }
 
@@ -68,19 +68,19 @@
 	if cost <= 0 {
 		return
 	}
-	e.service(k.Service).add(cost)
+	e.serviceMean(k.Service).add(cost)
 	if el, ok := e.entries[k]; ok {
 		known := el.Value.(*entry)
 		known.add(cost)
-		e.recent.MoveToFront(el)
+		e.byRecency.MoveToFront(el)
 		return
 	}
-	if e.recent.Len() >= e.capacity {
-		oldest := e.recent.Back()
+	if e.byRecency.Len() >= e.capacity {
+		oldest := e.byRecency.Back()
 		delete(e.entries, oldest.Value.(*entry).key)
-		e.recent.Remove(oldest)
+		e.byRecency.Remove(oldest)
 	}
-	e.entries[k] = e.recent.PushFront(&entry{key: k, average: average{mean: float64(cost), count: 1}})
+	e.entries[k] = e.byRecency.PushFront(&entry{key: k, costMean: costMean{mean: float64(cost), count: 1}})
 }
 
 // Estimate returns the expected cost, at least one thousandth of a unit. A
@@ -93,26 +93,26 @@
 	if hint > 0 {
 		return hint
 	}
-	if known := e.services[k.Service]; known != nil {
+	if known := e.serviceMeans[k.Service]; known != nil {
 		return max(state.Cost(known.mean), 1)
 	}
 	return state.CostUnit
 }
 
-// Retain forgets the services that are not listed.
-func (e *Estimator) Retain(keep func(state.Service) bool) {
-	for name := range e.services {
+// RetainServices forgets the services that are not listed.
+func (e *Estimator) RetainServices(keep func(state.Service) bool) {
+	for name := range e.serviceMeans {
 		if !keep(name) {
-			delete(e.services, name)
+			delete(e.serviceMeans, name)
 		}
 	}
 }
 
-func (e *Estimator) service(name state.Service) *average {
-	known := e.services[name]
+func (e *Estimator) serviceMean(name state.Service) *costMean {
+	known := e.serviceMeans[name]
 	if known == nil {
-		known = &average{}
-		e.services[name] = known
+		known = &costMean{}
+		e.serviceMeans[name] = known
 	}
 	return known
 }
--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -5,46 +5,46 @@
 import "time"
 
 const (
-	// threshold is how many dispatches in a row must fail. Fewer would act on
+	// failureThreshold is how many dispatches in a row must fail. Fewer would act on
 	// a single broken connection of several requests.
-	threshold = 3
-	// firstCoolDown doubles with each relapse up to maxCoolDown: short, since
+	failureThreshold = 3
+	// initialCoolDown doubles with each relapse up to maxCoolDown: short, since
 	// a restarting worker is back within a second; capped, since nothing but
 	// the next dispatch finds out that it is back.
-	firstCoolDown = time.Second
-	maxCoolDown   = 30 * time.Second
+	initialCoolDown = time.Second
+	maxCoolDown     = 30 * time.Second
 )
 
 // Detector watches the outcomes on one upstream.
 type Detector struct {
-	failures int
-	coolDown time.Duration
-	until    time.Time
+	failures     int
+	coolDown     time.Duration
+	coolingUntil time.Time
 }
 
-// Served notes a dispatch that reached the upstream.
-func (d *Detector) Served() {
+// RecordSuccess notes a dispatch that reached the upstream.
+func (d *Detector) RecordSuccess() {
 	*d = Detector{}
 }
 
-// Failed notes a dispatch that could not be sent or lost its connection. It
+// RecordFailure notes a dispatch that could not be sent or lost its connection. It
 // reports whether the upstream should cool down; the caller may overrule that
 // by not calling CoolDown.
-func (d *Detector) Failed() bool {
+func (d *Detector) RecordFailure() bool {
 	d.failures++
-	return d.failures >= threshold
+	return d.failures >= failureThreshold
 }
 
-// CoolDown takes the upstream out of use and returns for how long. The first
+// StartCoolDown takes the upstream out of use and returns for how long. The first
 // failure afterwards counts as a relapse.
-func (d *Detector) CoolDown(now time.Time) time.Duration {
-	d.coolDown = min(max(2*d.coolDown, firstCoolDown), maxCoolDown)
-	d.until = now.Add(d.coolDown)
-	d.failures = threshold - 1
+func (d *Detector) StartCoolDown(now time.Time) time.Duration {
+	d.coolDown = min(max(2*d.coolDown, initialCoolDown), maxCoolDown)
+	d.coolingUntil = now.Add(d.coolDown)
+	d.failures = failureThreshold - 1
 	return d.coolDown
 }
 
-// Cooling reports whether the upstream is out of use.
-func (d *Detector) Cooling(now time.Time) bool {
-	return now.Before(d.until)
+// InCoolDown reports whether the upstream is out of use.
+func (d *Detector) InCoolDown(now time.Time) bool {
+	return now.Before(d.coolingUntil)
 }
--- a/coordination/placement/bench_test.go
+++ b/coordination/placement/bench_test.go
@@ -20,15 +20,15 @@
 	for i := range 60 {
 		id := state.Upstream(fmt.Sprintf("e%d", i))
 		p.SetUpstream(directory.Upstream{ID: id, Service: "llm", DataCentre: "dc", Slots: 64})
-		loads[id] = Load{Running: 1, Unread: 100}
+		loads[id] = Load{Running: 1, PendingPrefill: 100}
 	}
 	for i := range 70 {
-		p.Heard(at(0), state.Router(fmt.Sprintf("r%d", i)), loads, true)
+		p.ReceiveLoads(at(0), state.Router(fmt.Sprintf("r%d", i)), loads, true)
 	}
 	for i := range 2000 {
 		w := Work{Service: "llm", Prompt: []prefix.Part{{ID: uint64(i % 3), Tokens: 500}, {ID: uint64(100 + i%300), Tokens: 4900}, {ID: uint64(10000 + i), Tokens: 6000}}}
 		best, _ := p.Choose(at(i), w)
-		p.End(at(i), p.Place(at(i), w, best), Answered)
+		p.RecordEnd(at(i), p.Place(at(i), w, best), Answered)
 	}
 	w := Work{Service: "llm", Prompt: []prefix.Part{{ID: 1, Tokens: 500}, {ID: 101, Tokens: 4900}, {ID: 5, Tokens: 6000}}}
 	b.ReportAllocs()
@@ -45,7 +45,7 @@
 	for i := range 200 {
 		id := state.Upstream(fmt.Sprintf("w%d", i))
 		p.SetUpstream(directory.Upstream{ID: id, Service: "web", DataCentre: "dc", Slots: 6})
-		p.Heard(at(0), "r", map[state.Upstream]Load{id: {Running: 2}}, false)
+		p.ReceiveLoads(at(0), "r", map[state.Upstream]Load{id: {Running: 2}}, false)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/coordination/placement/observe.go
+++ b/coordination/placement/observe.go
@@ -15,30 +15,30 @@
 	upstream state.Upstream
 	born     int64
 	service  state.Service
-	placed   time.Time
-	// unread is the number of prompt tokens that the upstream lacks, total
+	placedAt time.Time
+	// uncachedTokens is the number of prompt tokens that the upstream lacks, total
 	// that of all.
-	unread int
-	total  int
-	// work is the reading of the former, in tokens at the rate of short
+	uncachedTokens int
+	promptTokens   int
+	// prefillWork is the reading of the former, in tokens at the rate of short
 	// prompts.
-	work int
-	// output is the expected number of generated tokens.
-	output int
-	// alone says that the upstream had nothing to read at placing.
-	alone   bool
-	pending bool
-	ended   bool
-	// began is when the answer's first event came.
-	began  time.Time
-	host   *host
-	engine bool
+	prefillWork int
+	// expectedOutputTokens is the expected number of generated tokens.
+	expectedOutputTokens int
+	// foundIdle says that the upstream had nothing to read at placing.
+	foundIdle           bool
+	awaitingFirstOutput bool
+	ended               bool
+	// firstOutputAt is when the answer's first event came.
+	firstOutputAt time.Time
+	host          *host
+	onEngine      bool
 	// sequence numbers the requests of this router at one upstream.
 	sequence uint64
-	// heard is when the upstream last sent something of the answer, parts how
+	// lastOutputAt is when the upstream last sent something of the answer, parts how
 	// often it did.
-	heard time.Time
-	parts int
+	lastOutputAt time.Time
+	outputs      int
 	// repeatable requests can be given up here and sent elsewhere.
 	repeatable bool
 	givenUp    bool
@@ -52,99 +52,99 @@
 // Upstream returns where the request runs.
 func (t *Ticket) Upstream() state.Upstream { return t.upstream }
 
-// Parts returns in how many parts the answer came so far.
-func (t *Ticket) Parts() int { return t.parts }
+// Outputs returns in how many parts the answer came so far.
+func (t *Ticket) Outputs() int { return t.outputs }
 
-// Engine says whether it runs at an engine.
-func (t *Ticket) Engine() bool { return t.engine }
+// OnEngine says whether it runs at an engine.
+func (t *Ticket) OnEngine() bool { return t.onEngine }
 
 // Answering says whether an engine's answer has begun.
-func (t *Ticket) Answering() bool { return t.engine && !t.pending }
+func (t *Ticket) Answering() bool { return t.onEngine && !t.awaitingFirstOutput }
 
 // Place notes that a request is sent to an estimate's upstream.
-func (p *Picture) Place(now time.Time, w Work, e Estimate) *Ticket {
+func (v *View) Place(now time.Time, w Work, e Estimate) *Ticket {
 	t := &Ticket{
-		upstream: e.Upstream, born: e.Born, service: w.Service, placed: now, heard: now,
-		unread: e.Unread, total: tokens(w.Prompt), work: e.work, output: w.Output,
-		pending: true, repeatable: w.Repeatable, resumed: w.Resumed, excluded: w.Excluded,
+		upstream: e.Upstream, born: e.Born, service: w.Service, placedAt: now, lastOutputAt: now,
+		uncachedTokens: e.UncachedTokens, promptTokens: countTokens(w.Prompt), prefillWork: e.prefillWork, expectedOutputTokens: w.ExpectedOutputTokens,
+		awaitingFirstOutput: true, repeatable: w.Repeatable, resumed: w.Resumed, excluded: w.Excluded,
 	}
-	h := p.hosts[e.Upstream]
+	h := v.hosts[e.Upstream]
 	if h == nil {
-		t.pending = false
+		t.awaitingFirstOutput = false
 		return t
 	}
-	_, t.engine = p.engines[w.Service]
+	_, t.onEngine = v.engines[w.Service]
 	t.host = h
-	_, unread := h.load()
-	t.alone = unread == 0
-	h.begin(t)
+	_, pendingPrefill := h.totalLoad()
+	t.foundIdle = pendingPrefill == 0
+	h.addTicket(t)
 	if e.Interferes {
-		h.interfere(now)
+		h.recordInterference(now)
 	}
 	h.cache.Touch(w.Prompt)
 	if len(w.Prompt) > 0 {
-		p.placed = append(p.placed, Placed{Upstream: e.Upstream, Prompt: w.Prompt, Interferes: e.Interferes})
+		v.placedPrompts = append(v.placedPrompts, PlacedPrompt{Upstream: e.Upstream, Prompt: w.Prompt, Interferes: e.Interferes})
 	}
 	return t
 }
 
-// FirstOutput notes the first event of an engine's answer, which ends the
+// RecordFirstOutput notes the first event of an engine's answer, which ends the
 // reading of its prompt and teaches the engine's rate.
-func (p *Picture) FirstOutput(now time.Time, t *Ticket) {
-	p.Output(now, t)
-	if !t.pending {
+func (v *View) RecordFirstOutput(now time.Time, t *Ticket) {
+	v.RecordOutput(now, t)
+	if !t.awaitingFirstOutput {
 		return
 	}
-	t.pending = false
-	t.host.unread -= t.work
-	t.began = now
-	if t.sequence > t.host.latest {
-		t.host.latest, t.host.latestAt = t.sequence, now
+	t.awaitingFirstOutput = false
+	t.host.pendingPrefill -= t.prefillWork
+	t.firstOutputAt = now
+	if t.sequence > t.host.newestStarted {
+		t.host.newestStarted, t.host.newestStartedAt = t.sequence, now
 	}
-	p.learnReading(now, t)
+	v.learnPrefillRate(now, t)
 }
 
-// Output notes that an upstream sent a part of an answer.
-func (p *Picture) Output(now time.Time, t *Ticket) {
+// RecordOutput notes that an upstream sent a part of an answer.
+func (v *View) RecordOutput(now time.Time, t *Ticket) {
 	if t.Answering() && !t.ended {
-		p.learnPause(now, t)
+		v.learnEventGap(now, t)
 	}
-	t.heard = now
-	t.parts++
+	t.lastOutputAt = now
+	t.outputs++
 	if t.host == nil {
 		return
 	}
-	t.host.heard = now
+	t.host.lastReceivedAt = now
 	t.host.unreachable = false
 }
 
-// learnReading learns how fast an engine reads from a prompt that found it idle.
+// learnPrefillRate learns how fast an engine reads from a prompt that found it idle.
 // With others ahead of it, how much of those was read already is not known:
 // learned from all, the rate came out a fifth above what engines do.
-func (p *Picture) learnReading(now time.Time, t *Ticket) {
-	took := now.Sub(t.placed) - startup
-	if !t.alone || t.unread < minLesson || took <= 0 {
+func (v *View) learnPrefillRate(now time.Time, t *Ticket) {
+	took := now.Sub(t.placedAt) - firstTokenOverhead
+	if !t.foundIdle || t.uncachedTokens < minLearningTokens || took <= 0 {
 		return
 	}
-	r, h := p.readings[t.service], t.host
-	if t.unread >= straightLesson {
-		r.learnCurvature(t.unread, t.total, h.speed, took)
+	m, h := v.prefillModels[t.service], t.host
+	if t.uncachedTokens >= longPromptTokens {
+		m.learnCurvature(t.uncachedTokens, t.promptTokens, h.relativeSpeed, took)
 		return
 	}
-	ratio := r.learnRate(r.work(t.unread, t.total), took)
-	h.speed = min(max(towards(h.speed, ratio), minSpeed), maxSpeed)
+	ratio := m.learnRate(m.prefillWork(t.uncachedTokens, t.promptTokens), took)
+	h.relativeSpeed = min(max(adjustEstimate(h.relativeSpeed, ratio), minSpeed), maxSpeed)
 }
 
-// learnPause learns from the time between two events of a stream.
-func (p *Picture) learnPause(now time.Time, t *Ticket) {
-	r, h := p.readings[t.service], t.host
-	if _, unread := h.load(); unread == 0 {
-		r.learnPause(now.Sub(t.heard), 0, h.speed)
+// learnEventGap learns from the time between two events of a stream.
+func (v *View) learnEventGap(now time.Time, t *Ticket) {
+	m, h := v.prefillModels[t.service], t.host
+	if _, pendingPrefill := h.totalLoad(); pendingPrefill == 0 {
+		m.learnEventGap(now.Sub(t.lastOutputAt), 0, h.relativeSpeed)
 		return
 	}
-	for _, o := range h.active {
-		if o.pending && !o.placed.After(t.heard) && now.Sub(o.placed) < maxCover && o.total < straightLesson {
-			r.learnPause(now.Sub(t.heard), o.total, h.speed)
+	for _, other := range h.active {
+		if other.awaitingFirstOutput && !other.placedAt.After(t.lastOutputAt) && now.Sub(other.placedAt) < maxPrefillAge && other.promptTokens < longPromptTokens {
+			m.learnEventGap(now.Sub(t.lastOutputAt), other.promptTokens, h.relativeSpeed)
 			return
 		}
 	}
@@ -185,93 +185,93 @@
 	return names[o]
 }
 
-// End notes the end of a request at its upstream. It may be called once more
+// RecordEnd notes the end of a request at its upstream. It may be called once more
 // without effect.
-func (p *Picture) End(now time.Time, t *Ticket, outcome Outcome) {
+func (v *View) RecordEnd(now time.Time, t *Ticket, outcome Outcome) {
 	if t.ended || t.host == nil {
 		return
 	}
 	t.ended = true
 	h := t.host
-	h.end(t)
+	h.removeTicket(t)
 	switch outcome {
 	case Answered:
-		p.Output(now, t)
-		h.succeed()
-		p.learnWork(now.Sub(t.placed), t)
-		p.learnStream(now, t)
+		v.RecordOutput(now, t)
+		h.recordSuccess()
+		v.learnWorkTime(now.Sub(t.placedAt), t)
+		v.learnTokenTime(now, t)
 	case Failed:
-		p.Output(now, t)
-		h.failures += failureWeight * (1 - h.failures)
+		v.RecordOutput(now, t)
+		h.failureRate += failureWeight * (1 - h.failureRate)
 	case Broken:
-		h.failures += failureWeight * (1 - h.failures)
+		h.failureRate += failureWeight * (1 - h.failureRate)
 	case Unconnected:
 		h.unreachable = true
 	case Rejected:
-		p.Output(now, t)
-		h.rejectsUntil = now.Add(rejection)
+		v.RecordOutput(now, t)
+		h.avoidUntil = now.Add(rejectionAvoidTime)
 	case Withdrawn:
 	}
 }
 
-// rejection is how long an upstream that rejected a request is passed over
+// rejectionAvoidTime is how long an upstream that rejected a request is passed over
 // while others are free: some requests' time at a plain worker.
-const rejection = 100 * time.Millisecond
+const rejectionAvoidTime = 100 * time.Millisecond
 
-func (h *host) succeed() { h.failures -= failureWeight * h.failures }
+func (h *host) recordSuccess() { h.failureRate -= failureWeight * h.failureRate }
 
-func (h *host) begin(t *Ticket) {
+func (h *host) addTicket(t *Ticket) {
 	h.running++
-	h.unread += t.work
+	h.pendingPrefill += t.prefillWork
 	h.sequence++
 	t.sequence = h.sequence
 	h.active = append(h.active, t)
 }
 
-func (h *host) end(t *Ticket) {
+func (h *host) removeTicket(t *Ticket) {
 	h.running--
-	if t.pending {
-		t.pending = false
-		h.unread -= t.work
+	if t.awaitingFirstOutput {
+		t.awaitingFirstOutput = false
+		h.pendingPrefill -= t.prefillWork
 	}
 	h.active = slices.DeleteFunc(h.active, func(o *Ticket) bool { return o == t })
 }
 
-// holdLearning averages some fifty requests' times.
-const holdLearning = 0.02
+// meanWeight averages some fifty requests' times.
+const meanWeight = 0.02
 
-func (p *Picture) learnWork(took time.Duration, t *Ticket) {
-	usual := float64(p.workTime(t.service))
-	p.work[t.service] = usual + holdLearning*(float64(took)-usual)
-	if t.host.hold == 0 {
-		t.host.hold = float64(took)
+func (v *View) learnWorkTime(took time.Duration, t *Ticket) {
+	mean := float64(v.meanWorkTime(t.service))
+	v.workTimes[t.service] = mean + meanWeight*(float64(took)-mean)
+	if t.host.slotTime == 0 {
+		t.host.slotTime = float64(took)
 	}
-	t.host.hold += holdLearning * (float64(took) - t.host.hold)
+	t.host.slotTime += meanWeight * (float64(took) - t.host.slotTime)
 }
 
 // initialTokenTime is how long a stream takes for a token until some have ended.
 const initialTokenTime = 8 * time.Millisecond
 
-// learnStream learns how long streams take for a token.
-func (p *Picture) learnStream(now time.Time, t *Ticket) {
-	if t.began.IsZero() || t.output <= 0 {
+// learnTokenTime learns how long streams take for a token.
+func (v *View) learnTokenTime(now time.Time, t *Ticket) {
+	if t.firstOutputAt.IsZero() || t.expectedOutputTokens <= 0 {
 		return
 	}
-	usual := p.tokenTime(t.service)
-	seen := float64(now.Sub(t.began)) / float64(t.output)
-	p.tokenTimes[t.service] = usual + holdLearning*(seen-usual)
+	mean := v.tokenTime(t.service)
+	observed := float64(now.Sub(t.firstOutputAt)) / float64(t.expectedOutputTokens)
+	v.tokenTimes[t.service] = mean + meanWeight*(observed-mean)
 }
 
-func (p *Picture) tokenTime(service state.Service) float64 {
-	if usual, ok := p.tokenTimes[service]; ok {
-		return usual
+func (v *View) tokenTime(service state.Service) float64 {
+	if mean, ok := v.tokenTimes[service]; ok {
+		return mean
 	}
 	return float64(initialTokenTime)
 }
 
 // streamTime is the expected time from a request's first event to its last.
-func (p *Picture) streamTime(w Work) time.Duration {
-	return time.Duration(p.tokenTime(w.Service) * float64(w.Output))
+func (v *View) streamTime(w Work) time.Duration {
+	return time.Duration(v.tokenTime(w.Service) * float64(w.ExpectedOutputTokens))
 }
 
 // Run names the run of the upstream that the request was sent to.
--- a/coordination/quarantine/losses_test.go
+++ b/coordination/quarantine/losses_test.go
@@ -11,16 +11,16 @@
 // A caller sends a crashing request again within milliseconds. Load reports
 // confirm a crash a quarter of a second later, and by then a third engine has
 // fallen: losses must count before they are confirmed.
-func TestLossesCountUntilSettled(t *testing.T) {
+func TestLossesCountUntilConfirmedOrExpired(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := NewLosses()
 	l.Add(now, 7)
 	l.Add(now.Add(time.Second), 7)
 	require.Equal(t, 2, l.Count(now.Add(time.Second), 7))
-	l.Settle(7)
+	l.ConfirmOldest(7)
 	require.Equal(t, 1, l.Count(now.Add(time.Second), 7), "a confirmed one counts in the list")
-	require.Zero(t, l.Count(now.Add(time.Second+SettleWithin+1), 7), "a broken connection is forgotten")
-	require.Empty(t, l.recent)
+	require.Zero(t, l.Count(now.Add(time.Second+LossExpiry+1), 7), "a broken connection is forgotten")
+	require.Empty(t, l.byFingerprint)
 }
 
 // Many callers lose connections at once, as after a network fault. The record
@@ -28,11 +28,11 @@
 func TestLossesAreBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := NewLosses()
-	for f := range state.Fingerprint(10 * maxLosses) {
+	for f := range state.Fingerprint(10 * maxLossFingerprints) {
 		l.Add(now, f+1)
 	}
-	require.Len(t, l.recent, maxLosses)
-	later := now.Add(SettleWithin + 1)
+	require.Len(t, l.byFingerprint, maxLossFingerprints)
+	later := now.Add(LossExpiry + 1)
 	l.Add(later, 1_000_000)
 	require.Equal(t, 1, l.Count(later, 1_000_000))
 }
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// Threshold is how many runs of upstreams a request must take down. One
+	// BlockThreshold is how many runs of upstreams a request must take down. One
 	// would punish whatever ran on an engine that fell for another reason.
-	Threshold = 2
+	BlockThreshold = 2
 	// DefaultCapacity bounds the remembered fingerprints; the oldest go
 	// first.
 	DefaultCapacity = 4096
-	// Memory is how long a fingerprint is remembered after its last crash:
+	// RecordExpiry is how long a fingerprint is remembered after its last crash:
 	// long enough to outlast a caller that tries again by hand, short enough
 	// that a mended engine version serves the request the next day.
-	Memory = time.Hour
-	// ConfirmWithin is how long after a lost connection the fall of the
+	RecordExpiry = time.Hour
+	// ConfirmationWindow is how long after a lost connection the fall of the
 	// upstream counts as its consequence. It covers a restart of the process
 	// and several periods of load reports.
-	ConfirmWithin = 10 * time.Second
+	ConfirmationWindow = 10 * time.Second
 	// maxSuspicions bounds those awaiting confirmation.
 	maxSuspicions = 1024
 )
@@ -40,52 +40,52 @@
 type record struct {
 	fingerprint state.Fingerprint
 	runs        map[Run]struct{}
-	last        time.Time
+	lastCrash   time.Time
 }
 
 // List remembers which fingerprints took down which runs.
 type List struct {
-	capacity int
-	records  map[state.Fingerprint]*list.Element
-	order    *list.List
+	capacity  int
+	records   map[state.Fingerprint]*list.Element
+	byRecency *list.List
 }
 
 // New returns an empty list of at most capacity fingerprints.
 func New(capacity int) *List {
-	return &List{capacity: capacity, records: make(map[state.Fingerprint]*list.Element), order: list.New()}
+	return &List{capacity: capacity, records: make(map[state.Fingerprint]*list.Element), byRecency: list.New()}
 }
 
-// Record notes that a request took down a run of an upstream and reports
+// RecordCrash notes that a request took down a run of an upstream and reports
 // whether that was news.
-func (l *List) Record(now time.Time, f state.Fingerprint, run Run) bool {
+func (l *List) RecordCrash(now time.Time, f state.Fingerprint, run Run) bool {
 	if f == 0 || run.Boot == "" {
 		return false
 	}
-	r := l.record(f)
-	r.last = now
-	if _, known := r.runs[run]; known || len(r.runs) >= Threshold {
+	r := l.recordFor(f)
+	r.lastCrash = now
+	if _, known := r.runs[run]; known || len(r.runs) >= BlockThreshold {
 		return false
 	}
 	r.runs[run] = struct{}{}
 	return true
 }
 
-func (l *List) record(f state.Fingerprint) *record {
+func (l *List) recordFor(f state.Fingerprint) *record {
 	if el, ok := l.records[f]; ok {
-		l.order.MoveToFront(el)
+		l.byRecency.MoveToFront(el)
 		return el.Value.(*record)
 	}
-	if l.order.Len() >= l.capacity {
-		l.remove(l.order.Back())
+	if l.byRecency.Len() >= l.capacity {
+		l.remove(l.byRecency.Back())
 	}
-	r := &record{fingerprint: f, runs: make(map[Run]struct{}, Threshold)}
-	l.records[f] = l.order.PushFront(r)
+	r := &record{fingerprint: f, runs: make(map[Run]struct{}, BlockThreshold)}
+	l.records[f] = l.byRecency.PushFront(r)
 	return r
 }
 
 func (l *List) remove(el *list.Element) {
 	delete(l.records, el.Value.(*record).fingerprint)
-	l.order.Remove(el)
+	l.byRecency.Remove(el)
 }
 
 // Blocked reports whether a fingerprint must not run again.
@@ -95,15 +95,15 @@
 		return false
 	}
 	r := el.Value.(*record)
-	if now.Sub(r.last) > Memory {
+	if now.Sub(r.lastCrash) > RecordExpiry {
 		l.remove(el)
 		return false
 	}
-	return len(r.runs) >= Threshold
+	return len(r.runs) >= BlockThreshold
 }
 
-// Fallen counts the runs that a fingerprint is known to have taken down.
-func (l *List) Fallen(f state.Fingerprint) int {
+// CrashCount counts the runs that a fingerprint is known to have taken down.
+func (l *List) CrashCount(f state.Fingerprint) int {
 	el, ok := l.records[f]
 	if !ok {
 		return 0
@@ -111,11 +111,11 @@
 	return len(el.Value.(*record).runs)
 }
 
-// Absolve forgets a fingerprint that was served whole before it reached the
+// ForgetUnblocked forgets a fingerprint that was served whole before it reached the
 // threshold: it happened to run beside the one that took the upstream down.
-func (l *List) Absolve(f state.Fingerprint) {
+func (l *List) ForgetUnblocked(f state.Fingerprint) {
 	el, ok := l.records[f]
-	if ok && len(el.Value.(*record).runs) < Threshold {
+	if ok && len(el.Value.(*record).runs) < BlockThreshold {
 		l.remove(el)
 	}
 }
@@ -123,7 +123,7 @@
 type suspicion struct {
 	fingerprint state.Fingerprint
 	upstream    state.Upstream
-	at          time.Time
+	lostAt      time.Time
 }
 
 // Suspicions are requests whose connection to an upstream was lost, as heard
@@ -140,7 +140,7 @@
 	if len(s.pending) >= maxSuspicions {
 		s.pending = s.pending[1:]
 	}
-	s.pending = append(s.pending, suspicion{fingerprint: f, upstream: u, at: now})
+	s.pending = append(s.pending, suspicion{fingerprint: f, upstream: u, lostAt: now})
 }
 
 // Confirm returns and forgets the fingerprints whose upstream has now been
@@ -150,7 +150,7 @@
 	kept := s.pending[:0]
 	for _, p := range s.pending {
 		switch {
-		case now.Sub(p.at) > ConfirmWithin:
+		case now.Sub(p.lostAt) > ConfirmationWindow:
 		case p.upstream == u:
 			confirmed = append(confirmed, p.fingerprint)
 		default:
--- a/coordination/quarantine/quarantine_test.go
+++ b/coordination/quarantine/quarantine_test.go
@@ -11,36 +11,36 @@
 
 var now = time.Unix(1000, 0)
 
-func TestTwoDistinctRunsBlock(t *testing.T) {
+func TestTwoCrashedRunsBlockFingerprint(t *testing.T) {
 	l := New(2)
-	require.True(t, l.Record(now, 1, Run{Upstream: "u", Boot: "1"}))
-	require.False(t, l.Record(now, 1, Run{Upstream: "u", Boot: "1"}))
+	require.True(t, l.RecordCrash(now, 1, Run{Upstream: "u", Boot: "1"}))
+	require.False(t, l.RecordCrash(now, 1, Run{Upstream: "u", Boot: "1"}))
 	require.False(t, l.Blocked(now, 1))
-	require.True(t, l.Record(now, 1, Run{Upstream: "u", Boot: "2"}))
+	require.True(t, l.RecordCrash(now, 1, Run{Upstream: "u", Boot: "2"}))
 	require.True(t, l.Blocked(now, 1))
-	l.Absolve(1)
+	l.ForgetUnblocked(1)
 	require.True(t, l.Blocked(now, 1), "an old answer does not lift it")
-	require.False(t, l.Record(now, 0, Run{Upstream: "u", Boot: "1"}), "no fingerprint")
+	require.False(t, l.RecordCrash(now, 0, Run{Upstream: "u", Boot: "1"}), "no fingerprint")
 	for f := state.Fingerprint(2); f < 5; f++ {
-		l.Record(now, f, Run{Upstream: "u", Boot: "1"})
+		l.RecordCrash(now, f, Run{Upstream: "u", Boot: "1"})
 	}
 	require.Len(t, l.records, 2)
 	require.False(t, l.Blocked(now, 1), "the oldest went first")
 }
 
-func TestMemoryEnds(t *testing.T) {
+func TestBlockExpires(t *testing.T) {
 	l := New(10)
-	l.Record(now, 1, Run{Upstream: "u", Boot: "1"})
-	l.Record(now, 1, Run{Upstream: "v", Boot: "1"})
-	require.True(t, l.Blocked(now.Add(Memory), 1))
-	require.False(t, l.Blocked(now.Add(Memory+1), 1))
+	l.RecordCrash(now, 1, Run{Upstream: "u", Boot: "1"})
+	l.RecordCrash(now, 1, Run{Upstream: "v", Boot: "1"})
+	require.True(t, l.Blocked(now.Add(RecordExpiry), 1))
+	require.False(t, l.Blocked(now.Add(RecordExpiry+1), 1))
 }
 
-func TestSuspicionNeedsAFallInTime(t *testing.T) {
+func TestSuspicionNeedsCrashWithinWindow(t *testing.T) {
 	var s Suspicions
 	s.Add(now, 1, "u")
 	s.Add(now, 2, "v")
-	require.Equal(t, []state.Fingerprint{1}, s.Confirm(now.Add(ConfirmWithin), "u"))
-	require.Empty(t, s.Confirm(now.Add(ConfirmWithin), "u"))
-	require.Empty(t, s.Confirm(now.Add(ConfirmWithin+1), "v"))
+	require.Equal(t, []state.Fingerprint{1}, s.Confirm(now.Add(ConfirmationWindow), "u"))
+	require.Empty(t, s.Confirm(now.Add(ConfirmationWindow), "u"))
+	require.Empty(t, s.Confirm(now.Add(ConfirmationWindow+1), "v"))
 }
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -14,14 +14,14 @@
 	// MaxDispatches is one try and one retry. A second retry would find the
 	// same fleet a moment later and would only add load to an outage.
 	MaxDispatches = 2
-	// perSecond and burst bound the retries of one workspace. While many
+	// retriesPerSecond and burst bound the retries of one workspace. While many
 	// upstreams fail, retries would double the load of those that are left;
 	// ten cover the requests that one lost upstream was running, and one a
 	// second covers single broken connections.
-	perSecond = 1
-	burst     = 10
-	// maxBudgets bounds the memory; see Budget.trim.
-	maxBudgets = 4096
+	retriesPerSecond = 1
+	retryBurst       = 10
+	// maxWorkspaces bounds the memory; see Budget.trim.
+	maxWorkspaces = 4096
 )
 
 // Budget holds a token bucket per workspace.
@@ -49,10 +49,10 @@
 	if l, ok := b.limiters[w]; ok {
 		return l
 	}
-	if len(b.limiters) >= maxBudgets {
+	if len(b.limiters) >= maxWorkspaces {
 		b.trim(now)
 	}
-	l := rate.NewLimiter(perSecond, burst)
+	l := rate.NewLimiter(retriesPerSecond, retryBurst)
 	b.limiters[w] = l
 	return l
 }
@@ -61,11 +61,11 @@
 // full, all are dropped: memory comes before the exactness of a budget.
 func (b *Budget) trim(now time.Time) {
 	for w, l := range b.limiters {
-		if l.TokensAt(now) >= burst {
+		if l.TokensAt(now) >= retryBurst {
 			delete(b.limiters, w)
 		}
 	}
-	if len(b.limiters) >= maxBudgets {
+	if len(b.limiters) >= maxWorkspaces {
 		clear(b.limiters)
 	}
 }
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -15,14 +15,14 @@
 	b := NewBudget()
 	require.False(t, b.Allow(now, "w", false, 1), "not repeatable")
 	require.False(t, b.Allow(now, "w", true, MaxDispatches))
-	for range burst {
+	for range retryBurst {
 		require.True(t, b.Allow(now, "w", true, 1))
 	}
 	require.False(t, b.Allow(now, "w", true, 1))
 	require.True(t, b.Allow(now, "v", true, 1), "each workspace has its own")
 	require.True(t, b.Allow(now.Add(time.Second), "w", true, 1))
-	for i := range 2 * maxBudgets {
+	for i := range 2 * maxWorkspaces {
 		b.Allow(now, state.Workspace(fmt.Sprint(i)), true, 1)
 	}
-	require.LessOrEqual(t, len(b.limiters), maxBudgets)
+	require.LessOrEqual(t, len(b.limiters), maxWorkspaces)
 }
--- a/coordination/scheduler/demand.go
+++ b/coordination/scheduler/demand.go
@@ -21,8 +21,8 @@
 func (s *Scheduler) syncOwn(svc *service, k demand.Key) {
 	e := demand.Entry{Router: s.self.Router, Waiting: s.queues.Len(svc.queueKey(k))}
 	if head := s.queues.Head(svc.queueKey(k)); head != nil {
-		e.Head = head.Arrived
-		e.Cost = s.estimates.Estimate(estimate.Key{Service: svc.name, Workspace: k.Workspace}, head.Hint)
+		e.OldestArrival = head.Arrived
+		e.OldestCost = s.estimates.Estimate(estimate.Key{Service: svc.name, Workspace: k.Workspace}, head.Hint)
 	}
 	s.setDemand(svc, k, e)
 	svc.changed[k] = struct{}{}
@@ -204,10 +204,10 @@
 func (s *Scheduler) hearEntry(svc *service, from state.Router, e DemandEntry) {
 	k := demand.Key{Workspace: e.Workspace, Model: e.Model}
 	s.setDemand(svc, k, demand.Entry{
-		Router:  from,
-		Waiting: e.Waiting,
-		Head:    s.now.Add(-e.HeadAge),
-		Cost:    e.HeadCost,
+		Router:        from,
+		Waiting:       e.Waiting,
+		OldestArrival: s.now.Add(-e.HeadAge),
+		OldestCost:    e.HeadCost,
 	})
 }
 
--- a/coordination/scheduler/grant.go
+++ b/coordination/scheduler/grant.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		k, e := s.oldest(svc, w, models)
-		if u.tracker.Free(s.now) == 0 && s.now.Sub(e.Head) < lookAheadWait {
+		if u.tracker.FreeSlots(s.now) == 0 && s.now.Sub(e.OldestArrival) < lookAheadWait {
 			continue
 		}
 		if s.give(svc, u, k, e) {
@@ -48,7 +48,7 @@
 func (s *Scheduler) byLoad(svc *service) []*upstream {
 	var free []*upstream
 	for _, u := range svc.owned {
-		if s.accepts(u) && u.tracker.FreeAhead(s.now) > 0 {
+		if s.accepts(u) && u.tracker.FreeSlotsWithLookAhead(s.now) > 0 {
 			free = append(free, u)
 		}
 	}
@@ -59,7 +59,7 @@
 }
 
 func (s *Scheduler) freePart(u *upstream) float64 {
-	return float64(u.tracker.Free(s.now)) / float64(u.tracker.Slots())
+	return float64(u.tracker.FreeSlots(s.now)) / float64(u.tracker.Slots())
 }
 
 // heldModels lists what work an upstream may take; nil means all. A request
@@ -69,7 +69,7 @@
 // none: it has just started, and work sent there would come back as an error
 // that the caller takes for the final answer.
 func (s *Scheduler) heldModels(u *upstream) []state.Model {
-	r, _ := u.tracker.Last(s.now)
+	r, _ := u.tracker.LastReport(s.now)
 	if len(r.Models) > 0 {
 		return append([]state.Model{""}, r.Models...)
 	}
@@ -90,7 +90,7 @@
 		}
 		k := demand.Key{Workspace: w, Model: m}
 		e, ok := svc.demand.Choose(s.now, k, s.self.Router)
-		if ok && (best.Waiting == 0 || e.Head.Before(best.Head)) {
+		if ok && (best.Waiting == 0 || e.OldestArrival.Before(best.OldestArrival)) {
 			key, best = k, e
 		}
 	}
@@ -112,7 +112,7 @@
 		return s.giveOwn(svc, u, k, e)
 	}
 	g := s.reserve(svc, u, k, e)
-	backlogged := svc.demand.Take(s.now, k, e.Router)
+	backlogged := svc.demand.RecordGrant(s.now, k, e.Router)
 	svc.ledger.SetBacklog(s.now, k.Workspace, k.Model, backlogged)
 	s.do(SendGrant{To: e.Router, Grant: Grant{
 		Owner:     s.self.Router,
@@ -143,7 +143,7 @@
 // when served, one burst of a workspace that was behind would win every slot
 // before the first of them showed.
 func (s *Scheduler) reserve(svc *service, u *upstream, k demand.Key, e demand.Entry) *grants.Given {
-	cost := e.Cost
+	cost := e.OldestCost
 	if cost <= 0 {
 		cost = s.estimates.Estimate(estimate.Key{Service: svc.name, Workspace: k.Workspace}, 0)
 	}
@@ -151,7 +151,7 @@
 		To: e.Router, Upstream: u.name, Service: svc.name, Workspace: k.Workspace, Reserved: cost,
 	})
 	svc.ledger.Reserve(k.Workspace, cost)
-	u.tracker.Granted()
+	u.tracker.AddGrant()
 	return g
 }
 
@@ -240,7 +240,7 @@
 func (s *Scheduler) withdraw(g *grants.Given) {
 	s.chargeService(g.Service, g.Workspace, 0, -g.Remaining())
 	if u := s.upstreams[g.Upstream]; u != nil {
-		u.tracker.Released(s.now)
+		u.tracker.ReleaseGrant(s.now)
 	}
 	s.touch(g.Service)
 }
@@ -283,7 +283,7 @@
 		s.estimates.Learn(estimate.Key{Service: g.Service, Workspace: g.Workspace}, g.Charged)
 	}
 	if u := s.upstreams[g.Upstream]; u != nil {
-		u.tracker.Finished(s.now, s.now.Sub(g.Given))
+		u.tracker.FinishGrant(s.now, s.now.Sub(g.Given))
 	}
 	s.chargeService(g.Service, g.Workspace, 0, -g.Remaining())
 	s.touch(g.Service)
--- a/coordination/scheduler/peers.go
+++ b/coordination/scheduler/peers.go
@@ -54,9 +54,9 @@
 			continue
 		}
 		if g.Started {
-			u.tracker.Disowned()
+			u.tracker.DisownGrant()
 		} else {
-			u.tracker.Released(s.now)
+			u.tracker.ReleaseGrant(s.now)
 		}
 		s.touch(g.Service)
 	}
@@ -135,7 +135,7 @@
 		return
 	}
 	u.owner = owner
-	u.tracker.Distrust()
+	u.tracker.DistrustReport()
 }
 
 // sendOwned tells the host whose load reports to fetch.
--- a/coordination/scheduler/request.go
+++ b/coordination/scheduler/request.go
@@ -103,7 +103,7 @@
 // quarantine allows, some of it still unconfirmed.
 func (s *Scheduler) onHold(f state.Fingerprint) bool {
 	unsettled := s.losses.Count(s.now, f)
-	return unsettled > 0 && unsettled+s.quarantine.Fallen(f) >= quarantine.Threshold
+	return unsettled > 0 && unsettled+s.quarantine.CrashCount(f) >= quarantine.BlockThreshold
 }
 
 // refuse gives a request its final answer, with the time to come back where
@@ -163,7 +163,7 @@
 	if u == nil {
 		return false
 	}
-	r, fresh := u.tracker.Last(s.now)
+	r, fresh := u.tracker.LastReport(s.now)
 	return !fresh || r.Running+r.Waiting >= u.tracker.Outstanding()
 }
 
@@ -276,7 +276,7 @@
 	s.suspect(r, e.Outcome)
 	switch e.Outcome {
 	case OutcomeServed:
-		s.quarantine.Absolve(it.Fingerprint)
+		s.quarantine.ForgetUnblocked(it.Fingerprint)
 		s.losses.Forget(it.Fingerprint)
 	case OutcomeNotSent:
 		s.retry(it, result.UpstreamUnreachable)
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -184,7 +184,7 @@
 	s.timers.lastTick = s.now
 	s.voidUntil = s.now.Add(wakeGrace)
 	for _, u := range s.upstreams {
-		u.tracker.Distrust()
+		u.tracker.DistrustReport()
 	}
 }
 
--- a/coordination/scheduler/settings.go
+++ b/coordination/scheduler/settings.go
@@ -29,7 +29,7 @@
 	elsewhere int
 	departed  map[*upstream]struct{}
 	ledger    *fairness.Ledger
-	demand    *demand.Book
+	demand    *demand.Table
 	// shares are the routers' parts of the service's slots.
 	shares map[state.Router]float64
 	// sharesStale says that owners, peers or slots changed since shares were
@@ -102,7 +102,7 @@
 			s.removeService(svc)
 		}
 	}
-	s.estimates.Retain(func(name state.Service) bool { return listed[name] })
+	s.estimates.RetainServices(func(name state.Service) bool { return listed[name] })
 	known := s.upstreams
 	s.upstreams = make(map[state.Upstream]*upstream)
 	for _, cs := range settings.Services {
@@ -128,7 +128,7 @@
 		}
 		u.service = svc
 		u.settings = cu
-		u.tracker.SetLimit(cu.Slots)
+		u.tracker.SetSlotLimit(cu.Slots)
 		svc.upstreams = append(svc.upstreams, u)
 		s.upstreams[cu.Name] = u
 	}
@@ -194,7 +194,7 @@
 
 // noteDeparture follows what is announced of an upstream.
 func (s *Scheduler) noteDeparture(svc *service, u *upstream) {
-	if s.countsElsewhere(u) && u.tracker.LeftLately(s.now) {
+	if s.countsElsewhere(u) && u.tracker.DepartedRecently(s.now) {
 		svc.departed[u] = struct{}{}
 		return
 	}
@@ -209,7 +209,7 @@
 		return true
 	}
 	for u := range svc.departed {
-		if !u.tracker.LeftLately(s.now) {
+		if !u.tracker.DepartedRecently(s.now) {
 			delete(svc.departed, u)
 		}
 	}
--- a/coordination/scheduler/status.go
+++ b/coordination/scheduler/status.go
@@ -99,7 +99,7 @@
 }
 
 func (u *upstream) status(now time.Time) UpstreamStatus {
-	r, fresh := u.tracker.Last(now)
+	r, fresh := u.tracker.LastReport(now)
 	return UpstreamStatus{
 		Name:        u.name,
 		Service:     u.service.name,
@@ -108,6 +108,6 @@
 		Reported:    r.Running + r.Waiting,
 		Fresh:       fresh,
 		Leaving:     u.tracker.Leaving(),
-		Cooling:     u.outlier.Cooling(now),
+		Cooling:     u.outlier.InCoolDown(now),
 	}
 }
--- a/coordination/scheduler/upstream.go
+++ b/coordination/scheduler/upstream.go
@@ -16,7 +16,7 @@
 	boot := u.tracker.Boot()
 	slots := u.tracker.Slots()
 	leaving := u.tracker.Leaving()
-	if u.tracker.Report(s.now, r) {
+	if u.tracker.RecordReport(s.now, r) {
 		s.fallen(u, boot)
 	}
 	if u.tracker.Leaving() && !leaving && u.owner == s.self.Router {
@@ -35,7 +35,7 @@
 	if u == nil {
 		return
 	}
-	u.tracker.Distrust()
+	u.tracker.DistrustReport()
 	s.fallen(u, u.tracker.Boot())
 	s.noteUsable(u.service)
 }
@@ -45,7 +45,7 @@
 	if u == nil {
 		return
 	}
-	u.tracker.Leave(s.now, e.Boot)
+	u.tracker.AnnounceDeparture(s.now, e.Boot)
 	s.noteDeparture(u.service, u)
 	s.noteUsable(u.service)
 }
@@ -55,7 +55,7 @@
 func (s *Scheduler) repeatLeaving() {
 	for _, name := range s.owned {
 		u := s.upstreams[name]
-		if _, fresh := u.tracker.Last(s.now); fresh && u.tracker.Leaving() {
+		if _, fresh := u.tracker.LastReport(s.now); fresh && u.tracker.Leaving() {
 			s.do(SendLeaving{Upstream: u.name, Boot: u.tracker.Boot()})
 		}
 	}
@@ -63,7 +63,7 @@
 
 // accepts reports whether an owned upstream may get new work.
 func (s *Scheduler) accepts(u *upstream) bool {
-	return !u.settings.Draining && u.tracker.Usable(s.now) && !u.outlier.Cooling(s.now)
+	return !u.settings.Draining && u.tracker.Usable(s.now) && !u.outlier.InCoolDown(s.now)
 }
 
 // noteUsable keeps track of since when a service has no usable upstream.
@@ -90,10 +90,10 @@
 	}
 	switch outcome {
 	case OutcomeServed, OutcomeFailed:
-		u.outlier.Served()
+		u.outlier.RecordSuccess()
 	case OutcomeNotSent, OutcomeLost:
-		if u.outlier.Failed() && s.canSpare(u) {
-			u.outlier.CoolDown(s.now)
+		if u.outlier.RecordFailure() && s.canSpare(u) {
+			u.outlier.StartCoolDown(s.now)
 		}
 	}
 }
@@ -128,8 +128,8 @@
 
 func (s *Scheduler) hearCrash(e CrashHeard) {
 	if e.Boot != "" {
-		s.quarantine.Record(s.now, e.Fingerprint, quarantine.Run{Upstream: e.Upstream, Boot: e.Boot})
-		s.losses.Settle(e.Fingerprint)
+		s.quarantine.RecordCrash(s.now, e.Fingerprint, quarantine.Run{Upstream: e.Upstream, Boot: e.Boot})
+		s.losses.ConfirmOldest(e.Fingerprint)
 		return
 	}
 	s.losses.Add(s.now, e.Fingerprint)
@@ -164,8 +164,8 @@
 }
 
 func (s *Scheduler) confirm(f state.Fingerprint, u *upstream) {
-	s.losses.Settle(f)
-	if s.quarantine.Record(s.now, f, quarantine.Run{Upstream: u.name, Boot: u.fellBoot}) {
+	s.losses.ConfirmOldest(f)
+	if s.quarantine.RecordCrash(s.now, f, quarantine.Run{Upstream: u.name, Boot: u.fellBoot}) {
 		s.do(SendCrash{Fingerprint: f, Upstream: u.name, Boot: u.fellBoot})
 	}
 }
--- a/coordination/scheduler/usable_test.go
+++ b/coordination/scheduler/usable_test.go
@@ -35,7 +35,7 @@
 	leave("u1")
 	pass(2 * DefaultNoUpstreamGrace)
 	require.True(t, refused(), "both are gone")
-	pass(slots.DepartureMemory)
+	pass(slots.DepartureExpiry)
 	require.False(t, refused(), "the announcements are too old to go by")
 	leave("u1")
 	pass(2 * DefaultNoUpstreamGrace)
--- a/coordination/shares/shares_test.go
+++ b/coordination/shares/shares_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1000, 0)
 
-func TestLevel(t *testing.T) {
+func TestMaxMinShare(t *testing.T) {
 	for _, c := range []struct {
 		asked    []float64
 		capacity float64
@@ -26,7 +26,7 @@
 		{[]float64{8, 8, 8}, 12, 4, true},
 		{[]float64{5}, 0, 0, true},
 	} {
-		level, limited := Level(c.asked, c.capacity)
+		level, limited := MaxMinShare(c.asked, c.capacity)
 		require.Equal(t, c.limited, limited, c)
 		require.InDelta(t, c.level, level, 1e-9, c)
 	}
@@ -34,7 +34,7 @@
 
 // At any demand the level hands out the capacity and not more, and nobody who
 // asks for less than it is cut.
-func TestLevelIsMaxMin(t *testing.T) {
+func TestMaxMinShareUsesWholeCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		asked := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 40).Draw(t, "asked")
 		capacity := rapid.Float64Range(1, 20000).Draw(t, "capacity")
@@ -42,7 +42,7 @@
 		for _, a := range asked {
 			sum += a
 		}
-		level, limited := Level(slices.Clone(asked), capacity)
+		level, limited := MaxMinShare(slices.Clone(asked), capacity)
 		if limited != (sum > capacity) && (sum-capacity > 1e-6 || capacity-sum > 1e-6) {
 			t.Fatalf("asked %v of %v, limited %v", sum, capacity, limited)
 		}
@@ -61,90 +61,90 @@
 
 // One workspace floods router a, another asks a little at router b. Both
 // routers see the flood beyond its share, neither the other one.
-func TestPeersCountsMakeOneShare(t *testing.T) {
+func TestPeerUsageCountsTowardsShare(t *testing.T) {
 	const throughput = 100
 	a, b := New(), New()
-	a.Asked(start, "flood", 10000)
-	a.Admitted(start, "flood", 900)
-	b.Asked(start, "small", 20)
-	b.Admitted(start, "small", 20)
-	a.Heard(start, "b", b.Told(start))
-	b.Heard(start, "a", a.Told(start))
+	a.RecordRequested(start, "flood", 10000)
+	a.RecordAdmitted(start, "flood", 900)
+	b.RecordRequested(start, "small", 20)
+	b.RecordAdmitted(start, "small", 20)
+	a.ReceiveUsage(start, "b", b.ReportedUsage(start))
+	b.ReceiveUsage(start, "a", a.ReportedUsage(start))
 	for _, l := range []*Ledger{a, b} {
-		require.True(t, l.Standing(start, "flood", throughput).Limited)
-		require.False(t, l.Standing(start, "small", throughput).Limited)
+		require.True(t, l.Standing(start, "flood", throughput).ShareExhausted)
+		require.False(t, l.Standing(start, "small", throughput).ShareExhausted)
 	}
 }
 
-func TestWindowForgets(t *testing.T) {
+func TestUsageExpiresAfterWindow(t *testing.T) {
 	l := New()
-	l.Asked(start, "w", 10000)
-	l.Admitted(start, "w", 10000)
-	require.True(t, l.Standing(start, "w", 1).Limited)
-	require.False(t, l.Standing(start.Add(Window+time.Second), "w", 1).Limited)
-	require.Empty(t, l.Own(start.Add(2*Window)))
+	l.RecordRequested(start, "w", 10000)
+	l.RecordAdmitted(start, "w", 10000)
+	require.True(t, l.Standing(start, "w", 1).ShareExhausted)
+	require.False(t, l.Standing(start.Add(Window+time.Second), "w", 1).ShareExhausted)
+	require.Empty(t, l.OwnUsage(start.Add(2*Window)))
 }
 
 // A peer that is cut off says nothing more; what it said holds for a window.
 func TestSilentPeerIsForgotten(t *testing.T) {
 	l := New()
-	l.Heard(start, "peer", map[state.Workspace]Usage{"w": {Asked: 1000, Admitted: 1000}})
-	require.True(t, l.Standing(start, "w", 1).Limited)
-	require.False(t, l.Standing(start.Add(PeerExpiry+time.Second), "w", 1).Limited)
+	l.ReceiveUsage(start, "peer", map[state.Workspace]Usage{"w": {Requested: 1000, Admitted: 1000}})
+	require.True(t, l.Standing(start, "w", 1).ShareExhausted)
+	require.False(t, l.Standing(start.Add(PeerExpiry+time.Second), "w", 1).ShareExhausted)
 }
 
-func TestUnknownThroughputLimitsNobody(t *testing.T) {
+func TestUnknownThroughputLimitsNoWorkspace(t *testing.T) {
 	l := New()
-	l.Asked(start, "w", 1e9)
-	l.Admitted(start, "w", 1e9)
+	l.RecordRequested(start, "w", 1e9)
+	l.RecordAdmitted(start, "w", 1e9)
 	require.Equal(t, Standing{}, l.Standing(start, "w", 0))
 }
 
-func TestPeersAreToldOfWhoMatters(t *testing.T) {
+func TestLargestWorkspacesAreReported(t *testing.T) {
 	l := New()
-	l.Asked(start, "big", 1000)
+	l.RecordRequested(start, "big", 1000)
 	for _, small := range []state.Workspace{"a", "b", "c"} {
-		l.Asked(start, small, 1)
+		l.RecordRequested(start, small, 1)
 	}
-	told := l.Told(start)
-	require.Len(t, told, 1)
-	require.Contains(t, told, state.Workspace("big"))
+	reported := l.ReportedUsage(start)
+	require.Len(t, reported, 1)
+	require.Contains(t, reported, state.Workspace("big"))
 }
 
 // Guards against a workspace that is refused for seconds after a burst and then floods again.
 func TestUsageFadesSteadily(t *testing.T) {
 	l := New()
-	l.Admitted(start, "w", 1600)
-	before := l.Own(start)["w"].Admitted
+	l.RecordAdmitted(start, "w", 1600)
+	before := l.OwnUsage(start)["w"].Admitted
 	require.InDelta(t, 2*1600, before, 110)
-	for at := step; at < Window; at += step {
-		now := l.Own(start.Add(at))["w"].Admitted
-		require.InDelta(t, 2*1600/float64(buckets), before-now, 1, "at %s", at)
+	for at := bucketWidth; at < Window; at += bucketWidth {
+		now := l.OwnUsage(start.Add(at))["w"].Admitted
+		require.InDelta(t, 2*1600/float64(bucketCount), before-now, 1, "at %s", at)
 		before = now
 	}
-	require.Empty(t, l.Own(start.Add(Window)))
+	require.Empty(t, l.OwnUsage(start.Add(Window)))
 }
 
 // Asked for evenly, the weighed window counts as much as an unweighed one.
-func TestSteadyUsageKeepsItsAmount(t *testing.T) {
+func TestSteadyUsageHasUnweightedAmount(t *testing.T) {
 	l := New()
 	for i := range 100 {
-		l.Asked(start.Add(time.Duration(i)*step), "w", 10)
+		l.RecordRequested(start.Add(time.Duration(i)*bucketWidth), "w", 10)
 	}
-	require.InDelta(t, 10*buckets, l.Own(start.Add(99 * step))["w"].Asked, 1e-6)
+	require.InDelta(t, 10*bucketCount, l.OwnUsage(start.Add(99 * bucketWidth))["w"].Requested, 1e-6)
 }
 
 // Guards against a router that admits far more than its part of a flood while its
 // peers' counts are on their way.
-func TestOwnPartOfAFloodIsKnownAtOnce(t *testing.T) {
-	throughput := 50 * weightOf(0)
+func TestLocalShareUseIsCurrent(t *testing.T) {
+	throughput := 50 * bucketWeight(0)
 	l := New()
-	l.Asked(start, "w", 400)
-	l.Heard(start, "peer", map[state.Workspace]Usage{"w": {Asked: 800 * weightOf(0)}})
-	require.Zero(t, l.Standing(start, "w", throughput).Here)
-	l.Admitted(start, "w", 200)
+	l.RecordRequested(start, "w", 400)
+	l.ReceiveUsage(start, "peer", map[state.Workspace]Usage{"w": {Requested: 800 * bucketWeight(0)}})
+	require.Zero(t, l.Standing(start, "w", throughput).LocalShareUse)
+	l.RecordAdmitted(start, "w", 200)
 	standing := l.Standing(start, "w", throughput)
-	require.InDelta(t, 3, standing.Here, 0.01, "a half of what was asked here, where a sixth is due")
-	require.InDelta(t, 1, standing.Use, 0.01)
-	require.InDelta(t, 0, l.Standing(start, "elsewhere", throughput).Here, 0)
+	require.InDelta(t, 3, standing.LocalShareUse, 0.01, "a half of what was asked here, where a sixth is due")
+	require.InDelta(t, 1, standing.ShareUse, 0.01)
+	require.InDelta(t, 0, l.Standing(start, "elsewhere", throughput).LocalShareUse, 0)
 }
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -28,29 +28,29 @@
 		_, err := fmt.Sscanf(lines.Text(), "%d %s %s -> %d %d", &at, &command, &argument, &free, &ahead)
 		require.NoError(t, err, lines.Text())
 		now := time.UnixMilli(int64(at))
-		perform(t, &tracker, now, command, argument)
-		require.Equal(t, []int{free, ahead}, []int{tracker.Free(now), tracker.FreeAhead(now)}, lines.Text())
+		runCommand(t, &tracker, now, command, argument)
+		require.Equal(t, []int{free, ahead}, []int{tracker.FreeSlots(now), tracker.FreeSlotsWithLookAhead(now)}, lines.Text())
 	}
 }
 
-func perform(t *testing.T, tracker *Tracker, now time.Time, command, argument string) {
+func runCommand(t *testing.T, tracker *Tracker, now time.Time, command, argument string) {
 	var n, slots, load int
 	_, _ = fmt.Sscanf(argument, "%d:%d:%d", &n, &slots, &load)
 	switch command {
 	case "report":
-		tracker.Report(now, state.LoadReport{Boot: fmt.Sprint(n), Slots: slots, Running: load})
+		tracker.RecordReport(now, state.LoadReport{Boot: fmt.Sprint(n), Slots: slots, Running: load})
 	case "granted":
-		tracker.Granted()
+		tracker.AddGrant()
 	case "finished":
-		tracker.Finished(now, time.Duration(n)*time.Millisecond)
+		tracker.FinishGrant(now, time.Duration(n)*time.Millisecond)
 	case "hold":
-		tracker.hold = (time.Duration(n) * time.Millisecond).Seconds()
+		tracker.meanSlotSeconds = (time.Duration(n) * time.Millisecond).Seconds()
 	case "disowned":
-		tracker.Disowned()
+		tracker.DisownGrant()
 	case "leave":
-		tracker.Leave(now, fmt.Sprint(n))
+		tracker.AnnounceDeparture(now, fmt.Sprint(n))
 	case "distrust":
-		tracker.Distrust()
+		tracker.DistrustReport()
 	case "wait":
 	default:
 		t.Fatalf("unknown command %q", command)
@@ -63,16 +63,16 @@
 	now := time.Unix(1000, 0)
 	load := 0
 	for range 100 {
-		now = now.Add(2 * ReportLag)
+		now = now.Add(2 * MaxReportLag)
 		load = owners[0].Outstanding() + owners[1].Outstanding()
 		for i := range owners {
 			o := &owners[i]
-			o.Report(now, state.LoadReport{Boot: "1", Slots: 8, Running: load})
+			o.RecordReport(now, state.LoadReport{Boot: "1", Slots: 8, Running: load})
 			if o.Outstanding() > 0 {
-				o.Released(now)
+				o.ReleaseGrant(now)
 			}
-			for o.Free(now) > 0 {
-				o.Granted()
+			for o.FreeSlots(now) > 0 {
+				o.AddGrant()
 			}
 		}
 	}
--- a/coordination/workload/budget.go
+++ b/coordination/workload/budget.go
@@ -6,145 +6,145 @@
 )
 
 const (
-	// budgetPart is the part of a VM's processor share that callers' requests may
+	// callerCPUFraction is the part of a VM's processor share that callers' requests may
 	// take. The rest is for news of peers, upstreams and the process itself.
-	budgetPart = 0.85
+	callerCPUFraction = 0.85
 	// budgetBurst is the time whose budget may be spent at once, so that callers
 	// who arrive together are taken on, and the longest time by which it may be
 	// overspent.
 	budgetBurst = 250 * time.Millisecond
-	// maxStream is the most of the burst that one stream is charged. A VM that had to
+	// maxStreamFraction is the most of the burst that one stream is charged. A VM that had to
 	// save up for longer would never take one on, and never learn that they became
 	// shorter.
-	maxStream = 0.25
-	// initialEvents is the number of events of a stream until some have ended,
+	maxStreamFraction = 0.25
+	// initialStreamEvents is the number of events of a stream until some have ended,
 	// eventLearning the weight of one that has.
-	initialEvents = 25.0
-	eventLearning = 0.02
+	initialStreamEvents = 25.0
+	streamEventsWeight  = 0.02
 )
 
-// Budget is the processor time that a router may spend on callers' requests. It
+// CPUBudget is the processor time that a router may spend on callers' requests. It
 // fills at the rate of the VM's share. A request is charged all that its answer
 // will take when it is taken on, since a stream costs little until its engine
 // begins to answer. Connections hold what a request may take from their
 // acceptance until it is read, so that those in between are bounded as well.
 //
 // Without a known share it never runs out. It is safe for concurrent use.
-type Budget struct {
+type CPUBudget struct {
 	// rate is in seconds of a whole core a second.
 	rate float64
 
 	mu sync.Mutex
-	// left is in seconds of a whole core, as of at.
-	left   float64
-	at     time.Time
-	events float64
+	// remaining is in seconds of a whole core, as of at.
+	remaining        float64
+	refilledAt       time.Time
+	meanStreamEvents float64
 }
 
-// NewBudget returns a full budget for a VM's processor share in cores; 0 if not
+// NewCPUBudget returns a full budget for a VM's processor share in cores; 0 if not
 // known.
-func NewBudget(processors float64) *Budget {
-	b := &Budget{rate: budgetPart * processors, events: initialEvents}
-	b.left = b.most()
+func NewCPUBudget(cores float64) *CPUBudget {
+	b := &CPUBudget{rate: callerCPUFraction * cores, meanStreamEvents: initialStreamEvents}
+	b.remaining = b.capacity()
 	return b
 }
 
-func (b *Budget) most() float64 { return b.rate * budgetBurst.Seconds() }
+func (b *CPUBudget) capacity() float64 { return b.rate * budgetBurst.Seconds() }
 
 // refill adds what has accrued since the last call. The caller holds the lock.
-func (b *Budget) refill(now time.Time) {
-	since := now.Sub(b.at)
-	if !b.at.IsZero() && since <= 0 {
+func (b *CPUBudget) refill(now time.Time) {
+	since := now.Sub(b.refilledAt)
+	if !b.refilledAt.IsZero() && since <= 0 {
 		return
 	}
-	if !b.at.IsZero() {
-		b.left = min(b.left+b.rate*since.Seconds(), b.most())
+	if !b.refilledAt.IsZero() {
+		b.remaining = min(b.remaining+b.rate*since.Seconds(), b.capacity())
 	}
-	b.at = now
+	b.refilledAt = now
 }
 
-func (b *Budget) spend(now time.Time, seconds float64) {
+func (b *CPUBudget) spend(now time.Time, seconds float64) {
 	if b.rate <= 0 {
 		return
 	}
 	b.refill(now)
-	b.left = min(max(b.left-seconds, -b.most()), b.most())
+	b.remaining = min(max(b.remaining-seconds, -b.capacity()), b.capacity())
 }
 
-// stream is what a stream takes, relayed to its end. The caller holds the lock.
-func (b *Budget) stream() float64 {
-	return min(requestTime.Seconds()+b.events*eventTime.Seconds(), maxStream*b.most())
+// streamCost is what a stream takes, relayed to its end. The caller holds the lock.
+func (b *CPUBudget) streamCost() float64 {
+	return min(requestCPUTime.Seconds()+b.meanStreamEvents*eventCPUTime.Seconds(), maxStreamFraction*b.capacity())
 }
 
-// Known says whether the budget is bounded.
-func (b *Budget) Known() bool { return b.rate > 0 }
+// Bounded says whether the budget is bounded.
+func (b *CPUBudget) Bounded() bool { return b.rate > 0 }
 
-// Accept takes on a connection if there is room for its request, and says whether.
-func (b *Budget) Accept(now time.Time) bool {
+// TryAccept takes on a connection if there is room for its request, and says whether.
+func (b *CPUBudget) TryAccept(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.rate <= 0 {
 		return true
 	}
 	b.refill(now)
-	if b.left < b.stream() {
+	if b.remaining < b.streamCost() {
 		return false
 	}
-	b.left -= b.stream()
+	b.remaining -= b.streamCost()
 	return true
 }
 
-// Shed charges a connection that is closed unread.
-func (b *Budget) Shed(now time.Time) { b.charge(now, shedTime) }
+// ChargeShed charges a connection that is closed unread.
+func (b *CPUBudget) ChargeShed(now time.Time) { b.charge(now, shedCPUTime) }
 
-// Request charges a request that is sent to an upstream and is no stream.
-func (b *Budget) Request(now time.Time) { b.charge(now, requestTime) }
+// ChargeRequest charges a request that is sent to an upstream and is no stream.
+func (b *CPUBudget) ChargeRequest(now time.Time) { b.charge(now, requestCPUTime) }
 
-// Refusal charges a request that is refused.
-func (b *Budget) Refusal(now time.Time) { b.charge(now, refusalTime) }
+// ChargeRefusal charges a request that is refused.
+func (b *CPUBudget) ChargeRefusal(now time.Time) { b.charge(now, refusalCPUTime) }
 
-func (b *Budget) charge(now time.Time, cost time.Duration) {
+func (b *CPUBudget) charge(now time.Time, cost time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spend(now, cost.Seconds())
 }
 
-// Stream charges a stream that is sent to an engine.
-func (b *Budget) Stream(now time.Time) {
+// ChargeStream charges a stream that is sent to an engine.
+func (b *CPUBudget) ChargeStream(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spend(now, b.stream())
+	b.spend(now, b.streamCost())
 }
 
-// Release gives back what a connection held for its first request.
-func (b *Budget) Release(now time.Time) {
+// ReleaseConnection gives back what a connection held for its first request.
+func (b *CPUBudget) ReleaseConnection(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spend(now, -b.stream())
+	b.spend(now, -b.streamCost())
 }
 
-// Unbegun gives back what a stream was charged for its events, none of which came.
-func (b *Budget) Unbegun(now time.Time) {
+// RefundStream gives back what a stream was charged for its events, none of which came.
+func (b *CPUBudget) RefundStream(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.spend(now, -max(b.stream()-requestTime.Seconds(), 0))
+	b.spend(now, -max(b.streamCost()-requestCPUTime.Seconds(), 0))
 }
 
-// Ended takes how many events a stream had that was answered whole.
-func (b *Budget) Ended(events int) {
+// LearnStreamEvents takes how many events a stream had that was answered whole.
+func (b *CPUBudget) LearnStreamEvents(events int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.events += eventLearning * (float64(events) - b.events)
+	b.meanStreamEvents += streamEventsWeight * (float64(events) - b.meanStreamEvents)
 }
 
-// Left returns the part of the burst that may still be spent, negative if more
+// RemainingFraction returns the part of the burst that may still be spent, negative if more
 // was; 1 if the share is not known.
-func (b *Budget) Left(now time.Time) float64 {
+func (b *CPUBudget) RemainingFraction(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.rate <= 0 {
 		return 1
 	}
 	b.refill(now)
-	return b.left / b.most()
+	return b.remaining / b.capacity()
 }
--- a/coordination/workload/read_lag.go
+++ b/coordination/workload/read_lag.go
@@ -7,8 +7,8 @@
 	// take their time to send a request; that all of so many do is the router's
 	// own doing.
 	lagSamples = 8
-	// lagMemory is how long a connection counts.
-	lagMemory = time.Second
+	// lagSampleExpiry is how long a connection counts.
+	lagSampleExpiry = time.Second
 )
 
 // ReadLag estimates how long requests wait unread in this process: the least
@@ -22,26 +22,26 @@
 
 // lagSample is one connection.
 type lagSample struct {
-	at     time.Time
-	waited time.Duration
+	readAt time.Time
+	wait   time.Duration
 }
 
-// Read takes that the first request of a connection was read.
-func (l *ReadLag) Read(now time.Time, waited time.Duration) {
-	l.samples[l.next] = lagSample{at: now, waited: waited}
+// Record takes that the first request of a connection was read.
+func (l *ReadLag) Record(now time.Time, wait time.Duration) {
+	l.samples[l.next] = lagSample{readAt: now, wait: wait}
 	l.next = (l.next + 1) % lagSamples
 }
 
 // Lag returns the estimate; zero while connections are few.
 func (l *ReadLag) Lag(now time.Time) time.Duration {
-	least := time.Duration(0)
+	minWait := time.Duration(0)
 	for i, s := range l.samples {
-		if s.at.IsZero() || now.Sub(s.at) > lagMemory {
+		if s.readAt.IsZero() || now.Sub(s.readAt) > lagSampleExpiry {
 			return 0
 		}
-		if i == 0 || s.waited < least {
-			least = s.waited
+		if i == 0 || s.wait < minWait {
+			minWait = s.wait
 		}
 	}
-	return least
+	return minWait
 }
--- a/coordination/workload/read_lag_test.go
+++ b/coordination/workload/read_lag_test.go
@@ -12,19 +12,19 @@
 	var l ReadLag
 	now := time.Unix(1000, 0)
 	for i := range 300 {
-		l.Read(now.Add(time.Duration(i)*time.Second/300), time.Duration(i)*time.Second/300*7/10)
+		l.Record(now.Add(time.Duration(i)*time.Second/300), time.Duration(i)*time.Second/300*7/10)
 	}
 	require.InDelta(t, 0.7, l.Lag(now.Add(time.Second)).Seconds(), 0.05)
 }
 
 // Callers that open connections early must not look like a router that reads late.
-func TestSlowCallersAreNoReadLag(t *testing.T) {
+func TestSlowCallersDoNotCountAsReadLag(t *testing.T) {
 	var l ReadLag
 	now := time.Unix(1000, 0)
 	for range 2 * lagSamples {
-		l.Read(now, 3*time.Second)
+		l.Record(now, 3*time.Second)
 	}
-	l.Read(now, time.Millisecond)
+	l.Record(now, time.Millisecond)
 	require.Equal(t, time.Millisecond, l.Lag(now))
 }
 
@@ -33,10 +33,10 @@
 	now := time.Unix(1000, 0)
 	require.Zero(t, l.Lag(now))
 	for range lagSamples - 1 {
-		l.Read(now, time.Second)
+		l.Record(now, time.Second)
 	}
 	require.Zero(t, l.Lag(now), "too few")
-	l.Read(now, time.Second)
+	l.Record(now, time.Second)
 	require.Equal(t, time.Second, l.Lag(now))
-	require.Zero(t, l.Lag(now.Add(lagMemory+1)))
+	require.Zero(t, l.Lag(now.Add(lagSampleExpiry+1)))
 }
--- a/coordination/workload/workload.go
+++ b/coordination/workload/workload.go
@@ -10,39 +10,39 @@
 	// one that is refused, and an event of a stream take of a processor. They are
 	// fixed, since the process's own clock is no measure where a VM's share is
 	// less than a core.
-	requestTime = 400 * time.Microsecond
-	refusalTime = 130 * time.Microsecond
-	eventTime   = 25 * time.Microsecond
-	// shedTime is what a connection takes that is closed unread: no goroutine,
+	requestCPUTime = 400 * time.Microsecond
+	refusalCPUTime = 130 * time.Microsecond
+	eventCPUTime   = 25 * time.Microsecond
+	// shedCPUTime is what a connection takes that is closed unread: no goroutine,
 	// no head and no log line.
-	shedTime = 13 * time.Microsecond
-	// learning is the weight of one round of a tenth of a second: rates follow
+	shedCPUTime = 13 * time.Microsecond
+	// rateWeight is the weight of one round of a tenth of a second: rates follow
 	// within half a second, in which a start of traffic fills a small VM.
-	learning = 0.2
-	// initialPace is how many events a second a stream is taken to have until
+	rateWeight = 0.2
+	// initialEventRate is how many events a second a stream is taken to have until
 	// some were seen; between those of full and of idle engines.
-	initialPace = 20.0
-	// minEmitting is the number of streams from which a pace is learned.
-	minEmitting = 5
+	initialEventRate = 20.0
+	// minEmittingStreams is the number of streams from which a pace is learned.
+	minEmittingStreams = 5
 )
 
-// Estimate counts a router's work. The counting methods and Expected are safe
+// Estimator counts a router's work. The counting methods and Expected are safe
 // for concurrent use; Observe is for one periodic task.
-type Estimate struct {
-	// processors is the VM's share in cores; 0 if not known.
-	processors float64
+type Estimator struct {
+	// cores is the VM's share in cores; 0 if not known.
+	cores float64
 
 	requests atomic.Int64
 	refusals atomic.Int64
 	shed     atomic.Int64
 	events   atomic.Int64
-	// active are the streams under way, emitting those of them whose answer
+	// activeStreams are the streams under way, emitting those of them whose answer
 	// has begun.
-	active   atomic.Int64
-	emitting atomic.Int64
+	activeStreams   atomic.Int64
+	emittingStreams atomic.Int64
 
-	rates  atomic.Pointer[rates]
-	before Totals
+	rates      atomic.Pointer[rates]
+	lastTotals Totals
 }
 
 // Totals count a router's work since its start.
@@ -59,88 +59,90 @@
 
 // rates are averages over some rounds.
 type rates struct {
-	// requests is the part of the share that requests take which are sent on,
+	// requestLoad is the part of the share that requests take which are sent on,
 	// turnedAway that of refusals and connections closed unread, events that of
 	// the events.
-	requests, turnedAway, events float64
-	// pace is the number of events a second of a stream that has begun.
-	pace float64
+	requestLoad, turnedAwayLoad, eventLoad float64
+	// eventRate is the number of events a second of a stream that has begun.
+	eventRate float64
 }
 
 // New returns an estimate for a VM's processor share in cores; 0 if not known.
-func New(processors float64) *Estimate {
-	e := &Estimate{processors: processors}
-	e.rates.Store(&rates{pace: initialPace})
+func New(cores float64) *Estimator {
+	e := &Estimator{cores: cores}
+	e.rates.Store(&rates{eventRate: initialEventRate})
 	return e
 }
 
-// Request counts a request that is sent to an upstream.
-func (e *Estimate) Request() { e.requests.Add(1) }
+// AddRequest counts a request that is sent to an upstream.
+func (e *Estimator) AddRequest() { e.requests.Add(1) }
 
-// Refusal counts a request that is refused.
-func (e *Estimate) Refusal() { e.refusals.Add(1) }
+// AddRefusal counts a request that is refused.
+func (e *Estimator) AddRefusal() { e.refusals.Add(1) }
 
-// Shed counts a connection that is closed unread.
-func (e *Estimate) Shed() { e.shed.Add(1) }
+// AddShed counts a connection that is closed unread.
+func (e *Estimator) AddShed() { e.shed.Add(1) }
 
 // Totals returns the counts.
-func (e *Estimate) Totals() Totals {
+func (e *Estimator) Totals() Totals {
 	return Totals{e.requests.Load(), e.refusals.Load(), e.shed.Load(), e.events.Load()}
 }
 
-// Streams returns how many streams are under way.
-func (e *Estimate) Streams() int64 { return e.active.Load() }
+// ActiveStreams returns how many streams are under way.
+func (e *Estimator) ActiveStreams() int64 { return e.activeStreams.Load() }
 
-// Event counts an event of a stream.
-func (e *Estimate) Event() { e.events.Add(1) }
+// AddEvent counts an event of a stream.
+func (e *Estimator) AddEvent() { e.events.Add(1) }
 
-// Began counts a stream that was sent to an engine.
-func (e *Estimate) Began() { e.active.Add(1) }
+// StreamSent counts a stream that was sent to an engine.
+func (e *Estimator) StreamSent() { e.activeStreams.Add(1) }
 
-// Emitting counts a stream whose answer has begun.
-func (e *Estimate) Emitting() { e.emitting.Add(1) }
+// StreamStarted counts a stream whose answer has begun.
+func (e *Estimator) StreamStarted() { e.emittingStreams.Add(1) }
 
-// Ended takes a stream out of the counts; emitting says whether its answer had
+// StreamEnded takes a stream out of the counts; emitting says whether its answer had
 // begun.
-func (e *Estimate) Ended(emitting bool) {
-	e.active.Add(-1)
-	if emitting {
-		e.emitting.Add(-1)
+func (e *Estimator) StreamEnded(started bool) {
+	e.activeStreams.Add(-1)
+	if started {
+		e.emittingStreams.Add(-1)
 	}
 }
 
 // Observe takes the length of the round since the last call.
-func (e *Estimate) Observe(round time.Duration) {
+func (e *Estimator) Observe(interval time.Duration) {
 	now := e.Totals()
-	done := now.Since(e.before)
-	e.before = now
-	if e.processors <= 0 || round <= 0 {
+	done := now.Since(e.lastTotals)
+	e.lastTotals = now
+	if e.cores <= 0 || interval <= 0 {
 		return
 	}
 	next := *e.rates.Load()
-	share := e.processors * float64(round)
-	turnedAway := float64(done.Refusals)*float64(refusalTime) + float64(done.Shed)*float64(shedTime)
-	next.requests += learning * (float64(done.Requests)*float64(requestTime)/share - next.requests)
-	next.turnedAway += learning * (turnedAway/share - next.turnedAway)
-	next.events += learning * (float64(done.Events)*float64(eventTime)/share - next.events)
-	if emitting := e.emitting.Load(); emitting >= minEmitting {
-		next.pace += learning * (float64(done.Events)/round.Seconds()/float64(emitting) - next.pace)
+	share := e.cores * float64(interval)
+	turnedAway := float64(done.Refusals)*float64(refusalCPUTime) + float64(done.Shed)*float64(shedCPUTime)
+	next.requestLoad += rateWeight * (float64(done.Requests)*float64(requestCPUTime)/share - next.requestLoad)
+	next.turnedAwayLoad += rateWeight * (turnedAway/share - next.turnedAwayLoad)
+	next.eventLoad += rateWeight * (float64(done.Events)*float64(eventCPUTime)/share - next.eventLoad)
+	if emitting := e.emittingStreams.Load(); emitting >= minEmittingStreams {
+		next.eventRate += rateWeight * (float64(done.Events)/interval.Seconds()/float64(emitting) - next.eventRate)
 	}
 	e.rates.Store(&next)
 }
 
-// Expected returns the part of the share that callers will take once all streams
+// ExpectedLoad returns the part of the share that callers will take once all streams
 // under way have begun, at least what they took lately; 0 if the share is not
 // known.
-func (e *Estimate) Expected() float64 { return e.Relaying() + e.rates.Load().turnedAway }
+func (e *Estimator) ExpectedLoad() float64 {
+	return e.ExpectedRelayLoad() + e.rates.Load().turnedAwayLoad
+}
 
-// Relaying is Expected without what turning callers away took. A router that
+// ExpectedRelayLoad is Expected without what turning callers away took. A router that
 // counted that as work would have no room for as long as it has none.
-func (e *Estimate) Relaying() float64 {
-	if e.processors <= 0 {
+func (e *Estimator) ExpectedRelayLoad() float64 {
+	if e.cores <= 0 {
 		return 0
 	}
 	r := e.rates.Load()
-	streams := float64(e.active.Load()) * r.pace * eventTime.Seconds() / e.processors
-	return r.requests + max(r.events, streams)
+	streams := float64(e.activeStreams.Load()) * r.eventRate * eventCPUTime.Seconds() / e.cores
+	return r.requestLoad + max(r.eventLoad, streams)
 }
--- a/coordination/workload/workload_test.go
+++ b/coordination/workload/workload_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-const round = 100 * time.Millisecond
+const interval = 100 * time.Millisecond
 
-// used is the part of the processor share that relaying took lately.
-func (e *Estimate) used() float64 {
+// recentLoad is the part of the processor share that relaying took lately.
+func (e *Estimator) recentLoad() float64 {
 	r := e.rates.Load()
-	return r.requests + r.turnedAway + r.events
+	return r.requestLoad + r.turnedAwayLoad + r.eventLoad
 }
 
 // A VM with a fifth of a core is sent two hundred streams within half a second.
@@ -22,85 +22,85 @@
 	e := New(0.2)
 	for range 5 {
 		for range 80 {
-			e.Request()
-			e.Began()
+			e.AddRequest()
+			e.StreamSent()
 		}
-		e.Observe(round)
+		e.Observe(interval)
 	}
-	require.Less(t, e.used(), 1.3)
-	require.Greater(t, e.Expected(), 1.5)
+	require.Less(t, e.recentLoad(), 1.3)
+	require.Greater(t, e.ExpectedLoad(), 1.5)
 	for range 400 {
-		e.Ended(false)
+		e.StreamEnded(false)
 	}
 	for range 30 {
-		e.Observe(round)
+		e.Observe(interval)
 	}
-	require.Less(t, e.Expected(), 0.01)
+	require.Less(t, e.ExpectedLoad(), 0.01)
 }
 
 // Engines that are full make a stream's events come slowly; the same number of
 // streams then takes less.
-func TestPaceIsLearned(t *testing.T) {
+func TestEventRateIsLearned(t *testing.T) {
 	expected := func(perStream int) float64 {
 		e := New(0.5)
 		for range 100 {
-			e.Began()
-			e.Emitting()
+			e.StreamSent()
+			e.StreamStarted()
 		}
 		for range 40 {
 			for range 100 * perStream {
-				e.Event()
+				e.AddEvent()
 			}
-			e.Observe(round)
+			e.Observe(interval)
 		}
-		require.InDelta(t, e.used(), e.Expected(), 0.01)
-		return e.Expected()
+		require.InDelta(t, e.recentLoad(), e.ExpectedLoad(), 0.01)
+		return e.ExpectedLoad()
 	}
 	require.InDelta(t, 0.05, expected(1), 0.01)
 	require.InDelta(t, 0.25, expected(5), 0.01)
 }
 
-func TestRefusalsAreWork(t *testing.T) {
+func TestRefusalsCountAsLoad(t *testing.T) {
 	e := New(0.2)
 	for range 40 {
 		for range 100 {
-			e.Refusal()
+			e.AddRefusal()
 		}
-		e.Observe(round)
+		e.Observe(interval)
 	}
-	require.InDelta(t, 0.65, e.used(), 0.02)
+	require.InDelta(t, 0.65, e.recentLoad(), 0.02)
 }
 
-func TestUnknownShareExpectsNothing(t *testing.T) {
+func TestUnknownShareHasNoExpectedLoad(t *testing.T) {
 	e := New(0)
-	e.Began()
-	e.Event()
-	e.Observe(round)
-	require.Zero(t, e.Expected())
-	require.Zero(t, e.used())
+	e.StreamSent()
+	e.AddEvent()
+	e.Observe(interval)
+	require.Zero(t, e.ExpectedLoad())
+	require.Zero(t, e.recentLoad())
 }
 
-func TestShedConnectionsAreWork(t *testing.T) {
+func TestShedConnectionsCountAsLoad(t *testing.T) {
 	e := New(0.2)
 	for range 40 {
 		for range 500 {
-			e.Shed()
+			e.AddShed()
 		}
-		e.Observe(round)
+		e.Observe(interval)
 	}
-	require.InDelta(t, 500*shedTime.Seconds()/(0.2*round.Seconds()), e.used(), 0.02)
+	require.InDelta(t, 500*shedCPUTime.Seconds()/(0.2*interval.Seconds()), e.recentLoad(), 0.02)
 }
 
 // Guards against a router that stays full by turning callers away.
-func TestTurningAwayLeavesRoom(t *testing.T) {
+func TestTurningCallersAwayLeavesCapacity(t *testing.T) {
 	e := New(0.2)
 	for range 40 {
 		for range 200 {
-			e.Refusal()
-			e.Shed()
+			e.AddRefusal()
+			e.AddShed()
 		}
-		e.Observe(round)
+		e.Observe(interval)
 	}
-	require.Greater(t, e.Expected(), 1.0)
-	require.Zero(t, e.Relaying())
+	require.Greater(t, e.ExpectedLoad(), 1.0)
+	require.Zero(t, e.ExpectedRelayLoad())
 }
--- a/transport/daemon/daemon.go
+++ b/transport/daemon/daemon.go
@@ -315,8 +315,8 @@
 	}
 	now := time.Now()
 	course := drain.Begin(now, d.options.DrainTimeout)
-	answers, cancelAnswers := context.WithTimeout(context.Background(), course.AnswersFor(now))
-	finish, cancelFinish := context.WithTimeout(answers, course.Remaining(now))
+	answers, cancelAnswers := context.WithTimeout(context.Background(), course.AnswerTimeLeft(now))
+	finish, cancelFinish := context.WithTimeout(answers, course.RunTimeLeft(now))
 	return finish, answers, func() {
 		cancelFinish()
 		cancelAnswers()
--- a/transport/edge/arrival.go
+++ b/transport/edge/arrival.go
@@ -77,7 +77,7 @@
 	defer a.mu.Unlock()
 	now := a.now()
 	waited := now.Sub(accepted)
-	a.lag.Read(now, waited)
+	a.lag.Record(now, waited)
 	return waited
 }
 
--- a/transport/edge/arrival_test.go
+++ b/transport/edge/arrival_test.go
@@ -71,9 +71,9 @@
 	request := admission.Request{Timeout: 4 * time.Second}
 	request.Service = "s"
 	verdict, ticket := f.dispatcher.Admit(request, false)
-	require.True(t, verdict.Admit())
+	require.True(t, verdict.IsAdmitted())
 	f.dispatcher.End(ticket, 0)
 	request.Timeout = 10 * time.Millisecond
 	verdict, _ = f.dispatcher.Admit(request, false)
-	require.False(t, verdict.Admit())
+	require.False(t, verdict.IsAdmitted())
 }
--- a/transport/edge/catalogue_test.go
+++ b/transport/edge/catalogue_test.go
@@ -30,7 +30,7 @@
 	require.Zero(t, f.usable())
 	require.False(t, f.catalogue.take(KindUpstream, upstreamObject("u", 1, false), sourceStore), "the store's answer was older than the peer's word")
 	require.True(t, f.catalogue.take(KindUpstream, removal("u", 2), sourceStore))
-	require.Empty(t, f.dispatcher.picture.Unreachable())
+	require.Empty(t, f.dispatcher.picture.UnreachableUpstreams())
 }
 
 // Another program writes an entry that names no upstream. The others hold.
--- a/transport/edge/dispatcher.go
+++ b/transport/edge/dispatcher.go
@@ -32,7 +32,7 @@
 
 	mu      sync.Mutex
 	table   *routing.Table
-	picture *placement.Picture
+	picture *placement.View
 	ledger  *shares.Ledger
 	budgets map[state.Service]*budget.Budget
 	blocked *quarantine.List
@@ -40,7 +40,7 @@
 	// upstreams that those were on.
 	suspicions quarantine.Suspicions
 	lostRuns   map[state.Upstream]quarantine.Run
-	returns    admission.Returns
+	returns    admission.RetryTracker
 	routers    int
 	heard      time.Time
 	// course is that of the stop, once the router was told to.
@@ -55,7 +55,7 @@
 
 func newDispatcher(settings Settings, now func() time.Time) *dispatcher {
 	picture := placement.New(settings.DataCentre)
-	picture.Seed(xxhash.Sum64String(string(settings.Router)))
+	picture.SeedScatter(xxhash.Sum64String(string(settings.Router)))
 	return &dispatcher{
 		settings: settings,
 		now:      now,
@@ -95,26 +95,26 @@
 	defer d.mu.Unlock()
 	now := d.now()
 	if !repeat {
-		d.budget(r.Service).Request(now, d.retryLimits())
-		d.ledger.Asked(now, r.Workspace, r.Cost)
+		d.budget(r.Service).RecordRequest(now, d.retryLimits())
+		d.ledger.RecordRequested(now, r.Workspace, r.Cost)
 	}
 	verdict := d.judge(now, r)
-	if !verdict.Admit() {
+	if !verdict.IsAdmitted() {
 		if len(r.Prompt) > 0 {
-			d.returns.Refused(now, r.Fingerprint, r.Elapsed)
+			d.returns.RecordRefusal(now, r.Fingerprint, r.Elapsed)
 		}
 		return verdict, nil
 	}
 	best := verdict.Estimate
-	if best.Unread >= longPrompt {
+	if best.UncachedTokens >= longPrompt {
 		d.wakeUp()
 	}
 	ticket := d.picture.Place(now, r.Work, best)
 	if r.Cost > 0 && !r.Resumed {
-		d.ledger.Admitted(now, r.Workspace, r.Cost)
+		d.ledger.RecordAdmitted(now, r.Workspace, r.Cost)
 		d.charges[ticket] = charge{at: now, workspace: r.Workspace, cost: r.Cost}
 	}
-	d.pressure.requested(ticket.Engine())
+	d.pressure.requested(ticket.OnEngine())
 	return verdict, ticket
 }
 
@@ -133,9 +133,9 @@
 		standing = d.ledger.Standing(now, r.Workspace, d.table.Limits().Throughput)
 	}
 	if d.course.Begun() {
-		r.Remaining = max(d.course.Remaining(now), time.Nanosecond)
+		r.RouterRemaining = max(d.course.RunTimeLeft(now), time.Nanosecond)
 	}
-	return admission.Judge(now, d.picture, r, standing, rand.Float64())
+	return admission.Admit(now, d.picture, r, standing, rand.Float64())
 }
 
 // Watch implements ingress.Dispatcher.
@@ -150,19 +150,19 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if first {
-		if t.Engine() {
-			d.pressure.work.Emitting()
+		if t.OnEngine() {
+			d.pressure.work.StreamStarted()
 		}
-		d.picture.FirstOutput(d.now(), t)
+		d.picture.RecordFirstOutput(d.now(), t)
 		return
 	}
-	d.picture.Output(d.now(), t)
+	d.picture.RecordOutput(d.now(), t)
 }
 
 // giveUpStalled ends the attempts whose answers will not come.
 func (d *dispatcher) giveUpStalled() int {
 	d.mu.Lock()
-	stalled := d.picture.Stalled(d.now(), d.repeat)
+	stalled := d.picture.TakeStalled(d.now(), d.repeat)
 	var giveUp []func()
 	for _, t := range stalled {
 		giveUp = append(giveUp, d.watched[t])
@@ -178,14 +178,14 @@
 func (d *dispatcher) End(t *placement.Ticket, outcome placement.Outcome) {
 	d.mu.Lock()
 	delete(d.watched, t)
-	if t.Engine() {
+	if t.OnEngine() {
 		d.pressure.streamEnded(t.Answering(), eventsOf(t, outcome))
 		if outcome == placement.Unconnected || outcome == placement.Rejected {
 			d.pressure.unsent()
 		}
 	}
 	d.settle(t, outcome)
-	d.picture.End(d.now(), t, outcome)
+	d.picture.RecordEnd(d.now(), t, outcome)
 	var news []lostRequest
 	if outcome == placement.Unconnected {
 		news = d.fell(t.Upstream())
@@ -208,7 +208,7 @@
 	c, ok := d.charges[t]
 	delete(d.charges, t)
 	if ok && outcome != placement.Answered && !t.Answering() {
-		d.ledger.Withdrawn(c.at, c.workspace, c.cost)
+		d.ledger.RevertAdmitted(c.at, c.workspace, c.cost)
 	}
 }
 
@@ -218,7 +218,7 @@
 	if outcome != placement.Answered {
 		return 0
 	}
-	return t.Parts()
+	return t.Outputs()
 }
 
 func (d *dispatcher) budget(service state.Service) *budget.Budget {
@@ -243,7 +243,7 @@
 
 // repeat is Repeat for callers that hold the lock.
 func (d *dispatcher) repeat(service state.Service) bool {
-	return d.budget(service).Repeat(d.now(), d.retryLimits(), d.routers)
+	return d.budget(service).TryRepeat(d.now(), d.retryLimits(), d.routers)
 }
 
 // Elapsed implements ingress.Dispatcher.
@@ -282,7 +282,7 @@
 	now := d.now()
 	var news []lostRequest
 	for _, f := range d.suspicions.Confirm(now, id) {
-		if d.blocked.Record(now, f, run) {
+		if d.blocked.RecordCrash(now, f, run) {
 			news = append(news, lostRequest{f, run})
 		}
 	}
@@ -306,14 +306,14 @@
 func (d *dispatcher) heardLost(f state.Fingerprint, run quarantine.Run) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.blocked.Record(d.now(), f, run)
+	d.blocked.RecordCrash(d.now(), f, run)
 }
 
 // Served implements ingress.Dispatcher.
 func (d *dispatcher) Served(f state.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.blocked.Absolve(f)
+	d.blocked.ForgetUnblocked(f)
 }
 
 // Drain implements ingress.Dispatcher.
@@ -338,7 +338,7 @@
 	if ws == "" || d.table == nil {
 		return false
 	}
-	return d.ledger.Standing(d.now(), ws, d.table.Limits().Throughput).Use >= 1
+	return d.ledger.Standing(d.now(), ws, d.table.Limits().Throughput).ShareUse >= 1
 }
 
 // beginDrain notes the order to stop and returns the course of the stop.
--- a/transport/edge/dispatcher_peers.go
+++ b/transport/edge/dispatcher_peers.go
@@ -10,14 +10,14 @@
 func (d *dispatcher) ownLoads() map[state.Upstream]placement.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.picture.Own()
+	return d.picture.OwnLoads()
 }
 
 func (d *dispatcher) takeChangedLoads() map[state.Upstream]placement.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picture.ForgetSilent(d.now())
-	return d.picture.TakeChanged()
+	d.picture.ExpirePeerLoads(d.now())
+	return d.picture.TakeChangedLoads()
 }
 
 // takeSums returns what all routers on this side of a link have, or what has
@@ -25,21 +25,21 @@
 func (d *dispatcher) takeSums(peer state.Router, all bool) map[state.Upstream]placement.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picture.ForgetSilent(d.now())
-	return d.picture.TakeSums(peer, all)
+	d.picture.ExpirePeerLoads(d.now())
+	return d.picture.TakeLinkSums(peer, all)
 }
 
-func (d *dispatcher) takePlaced() []placement.Placed {
+func (d *dispatcher) takePlaced() []placement.PlacedPrompt {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.picture.TakePlaced()
+	return d.picture.TakePlacedPrompts()
 }
 
-func (d *dispatcher) heardPlaced(placed []placement.Placed) {
+func (d *dispatcher) heardPlaced(placed []placement.PlacedPrompt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, prompt := range placed {
-		d.picture.HeardPlaced(d.now(), prompt)
+		d.picture.ReceivePlacedPrompt(d.now(), prompt)
 	}
 }
 
@@ -47,50 +47,50 @@
 func (d *dispatcher) takeRefused() []uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.returns.TakeRefused()
+	return d.returns.TakeUnannounced()
 }
 
 func (d *dispatcher) heardRefused(keys []uint32) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.returns.Heard(d.now(), keys)
+	d.returns.ReceiveRefusals(d.now(), keys)
 }
 
 func (d *dispatcher) unreachable() []directory.Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.picture.Unreachable()
+	return d.picture.UnreachableUpstreams()
 }
 
 func (d *dispatcher) reached(id state.Upstream) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picture.Reached(d.now(), id)
+	d.picture.MarkReachable(d.now(), id)
 }
 
 func (d *dispatcher) heardLoads(from state.Router, loads map[state.Upstream]placement.Load, full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picture.Heard(d.now(), from, loads, full)
+	d.picture.ReceiveLoads(d.now(), from, loads, full)
 }
 
 func (d *dispatcher) ownSpending() map[state.Workspace]shares.Usage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ledger.Told(d.now())
+	return d.ledger.ReportedUsage(d.now())
 }
 
 func (d *dispatcher) heardSpending(from state.Router, usage map[state.Workspace]shares.Usage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ledger.Heard(d.now(), from, usage)
+	d.ledger.ReceiveUsage(d.now(), from, usage)
 }
 
 // spendingBeyond returns the counts of all routers on this side of a link.
 func (d *dispatcher) spendingBeyond(peer state.Router) map[state.Workspace]shares.Usage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.ledger.ToldBeyond(d.now(), peer)
+	return d.ledger.ReportedUsageExcluding(d.now(), peer)
 }
 
 // setRouters takes the number of live routers and forgets the work of those that
@@ -108,6 +108,6 @@
 func (d *dispatcher) forget(peer state.Router) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picture.Gone(peer)
-	d.ledger.Gone(peer)
+	d.picture.RemovePeer(peer)
+	d.ledger.RemovePeer(peer)
 }
--- a/transport/edge/dispatcher_test.go
+++ b/transport/edge/dispatcher_test.go
@@ -76,19 +76,19 @@
 	f.dispatcher.setUpstream("u", directory.Upstream{ID: "u", Service: "s", Slots: 64}, true)
 	admit := func() *placement.Ticket {
 		verdict, ticket := f.dispatcher.Admit(admission.Request{Work: placement.Work{Service: "s"}}, false)
-		require.True(t, verdict.Admit())
+		require.True(t, verdict.IsAdmitted())
 		return ticket
 	}
-	idle := f.dispatcher.pressure.work.Expected()
+	idle := f.dispatcher.pressure.work.ExpectedLoad()
 	tickets := []*placement.Ticket{admit(), admit(), admit()}
-	require.Greater(t, f.dispatcher.pressure.work.Expected(), idle)
+	require.Greater(t, f.dispatcher.pressure.work.ExpectedLoad(), idle)
 	f.dispatcher.Output(tickets[0], true)
 	f.dispatcher.Output(tickets[0], false)
 	f.dispatcher.End(tickets[0], placement.Answered)
 	f.dispatcher.End(tickets[1], placement.Withdrawn)
 	f.dispatcher.Output(tickets[2], true)
 	f.dispatcher.End(tickets[2], placement.Broken)
-	require.InDelta(t, idle, f.dispatcher.pressure.work.Expected(), 1e-9)
+	require.InDelta(t, idle, f.dispatcher.pressure.work.ExpectedLoad(), 1e-9)
 }
 
 func TestReadinessAndClosing(t *testing.T) {
@@ -100,9 +100,9 @@
 	f.dispatcher.beginDrain()
 	require.False(t, f.dispatcher.ready())
 	require.True(t, f.dispatcher.Drain().Begun())
-	require.True(t, f.dispatcher.Drain().Taking(f.clock.now()), "callers on open connections are still served")
+	require.True(t, f.dispatcher.Drain().Accepting(f.clock.now()), "callers on open connections are still served")
 	f.clock.advance(4 * time.Second)
-	require.False(t, f.dispatcher.Drain().Taking(f.clock.now()))
+	require.False(t, f.dispatcher.Drain().Accepting(f.clock.now()))
 }
 
 // Guards against streams that a stopping router takes and then cuts off.
@@ -112,8 +112,8 @@
 	f.dispatcher.setTable(routing.NewTable(routing.Config{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 64, CacheTokens: 1000}}}}))
 	f.dispatcher.setUpstream("u", directory.Upstream{ID: "u", Service: "s", Slots: 64}, true)
 	admits := func(output int) bool {
-		verdict, _ := f.dispatcher.Admit(admission.Request{Work: placement.Work{Service: "s", Output: output}, Timeout: 15 * time.Second}, false)
-		return verdict.Admit()
+		verdict, _ := f.dispatcher.Admit(admission.Request{Work: placement.Work{Service: "s", ExpectedOutputTokens: output}, Timeout: 15 * time.Second}, false)
+		return verdict.IsAdmitted()
 	}
 	require.True(t, admits(600))
 	f.dispatcher.beginDrain()
@@ -145,7 +145,7 @@
 	f.dispatcher.giveUpStalled()
 	require.Equal(t, 1, *alone)
 
-	f.dispatcher.picture.Reached(f.clock.now(), "slow")
+	f.dispatcher.picture.MarkReachable(f.clock.now(), "slow")
 	f.dispatcher.setUpstream("other", directory.Upstream{ID: "other", Service: "s", Slots: 64, Leaving: true}, true)
 	unpaid := begin()
 	f.dispatcher.setUpstream("other", directory.Upstream{ID: "other", Service: "s", Slots: 64}, true)
@@ -173,9 +173,9 @@
 	f.dispatcher.pressure = newPressure(0, 0.2, frozen)
 	now := f.dispatcher.now()
 	for _, ws := range []state.Workspace{"served", "starved"} {
-		f.dispatcher.ledger.Asked(now, ws, 1000)
+		f.dispatcher.ledger.RecordRequested(now, ws, 1000)
 	}
-	f.dispatcher.ledger.Admitted(now, "served", 180)
+	f.dispatcher.ledger.RecordAdmitted(now, "served", 180)
 	require.False(t, f.dispatcher.FullFor("served"), "there is room")
 	load(f.dispatcher.pressure, 0.8)
 	require.True(t, f.dispatcher.FullFor("served"))
@@ -208,10 +208,10 @@
 				Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 64, CacheTokens: 1000}}},
 			}))
 			f.dispatcher.setUpstream("u", directory.Upstream{ID: "u", Service: "s", Slots: 64}, true)
-			f.dispatcher.ledger.Asked(f.clock.now(), "other", 1000)
-			use := func() float64 { return f.dispatcher.ledger.Standing(f.clock.now(), "w", 100).Use }
+			f.dispatcher.ledger.RecordRequested(f.clock.now(), "other", 1000)
+			use := func() float64 { return f.dispatcher.ledger.Standing(f.clock.now(), "w", 100).ShareUse }
 			verdict, ticket := f.dispatcher.Admit(admission.Request{Work: placement.Work{Service: "s"}, Workspace: "w", Cost: 200}, false)
-			require.True(t, verdict.Admit())
+			require.True(t, verdict.IsAdmitted())
 			require.Positive(t, use(), "until it is known")
 			f.clock.advance(500 * time.Millisecond)
 			if c.begun {
@@ -219,7 +219,7 @@
 			}
 			f.dispatcher.End(ticket, c.outcome)
 			f.clock.advance(500 * time.Millisecond)
-			f.dispatcher.ledger.Asked(f.clock.now(), "other", 1000)
+			f.dispatcher.ledger.RecordRequested(f.clock.now(), "other", 1000)
 			require.Equal(t, c.counts, use() > 0)
 		})
 	}
@@ -229,13 +229,13 @@
 func TestRefusalsOfAllKindsAreCharged(t *testing.T) {
 	p := newPressure(0, smallVM, frozen)
 	o := observer{metrics: metrics.New("r", "dc"), pressure: p}
-	left := p.budget.Left(frozen())
+	left := p.budget.RemainingFraction(frozen())
 	for _, code := range []result.Code{result.NotReady, result.BadRequest, result.UnknownService, result.Draining, result.OverShare} {
 		o.Finished(ingress.Record{Result: result.New(code, "")})
-		now := p.budget.Left(frozen())
+		now := p.budget.RemainingFraction(frozen())
 		require.Less(t, now, left, code)
 		left = now
 	}
 	o.Finished(ingress.Record{Result: result.New(result.OK, ""), Attempts: 1})
-	require.InDelta(t, left, p.budget.Left(frozen()), 0)
+	require.InDelta(t, left, p.budget.RemainingFraction(frozen()), 0)
 }
--- a/transport/edge/exchange_test.go
+++ b/transport/edge/exchange_test.go
@@ -282,7 +282,7 @@
 func (o *node) believes(engine int) int {
 	o.fixture.dispatcher.mu.Lock()
 	defer o.fixture.dispatcher.mu.Unlock()
-	return o.fixture.dispatcher.picture.Running(engineName(engine))
+	return o.fixture.dispatcher.picture.RunningAt(engineName(engine))
 }
 
 func (n *network) requireAllBelieve(t *testing.T, engine, want int) {
--- a/transport/edge/fakes_test.go
+++ b/transport/edge/fakes_test.go
@@ -99,4 +99,4 @@
 	return f
 }
 
-func (f *fixture) usable() int { return f.dispatcher.picture.Usable("s") }
+func (f *fixture) usable() int { return f.dispatcher.picture.CountUsable("s") }
--- a/transport/edge/figures.go
+++ b/transport/edge/figures.go
@@ -53,8 +53,8 @@
 		return
 	}
 	r.log.Warn().Int64("admitted", done.Requests).Int64("refused", done.Refusals).Int64("shed", done.Shed).
-		Int64("paused_ms", pausedFor.Milliseconds()).Int64("events", done.Events).Int64("streams", r.pressure.work.Streams()).
-		Float64("processor", r.pressure.work.Expected()).
+		Int64("paused_ms", pausedFor.Milliseconds()).Int64("events", done.Events).Int64("streams", r.pressure.work.ActiveStreams()).
+		Float64("processor", r.pressure.work.ExpectedLoad()).
 		Int64("unread_ms", r.pressure.arrivals.estimate().Milliseconds()).
 		Int64("spending_age_ms", r.dispatcher.viewAges().spending.Milliseconds()).Msg("under pressure")
 }
@@ -80,7 +80,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	ages := viewAges{loads: d.picture.LoadsAge(now), spending: d.ledger.Age(now)}
+	ages := viewAges{loads: d.picture.OldestLoadsAge(now), spending: d.ledger.OldestPeerAge(now)}
 	if !d.heard.IsZero() {
 		ages.configuration = now.Sub(d.heard)
 	}
--- a/transport/edge/fleet.go
+++ b/transport/edge/fleet.go
@@ -173,7 +173,7 @@
 	busy, changed := p.observe(min(max(sinceScan-scanEvery, 0), time.Second), sinceScan)
 	if changed {
 		f.log.Warn().Bool("busy", busy).Int64("callers", p.callers.Load()).Int64("upstreams", p.upstreams.Load()).
-			Dur("lag", time.Duration(p.lag.Load())).Float64("processor", p.work.Expected()).
+			Dur("lag", time.Duration(p.lag.Load())).Float64("processor", p.work.ExpectedLoad()).
 			Int64("shed", p.work.Totals().Shed).Msg("pressure changed")
 	}
 }
--- a/transport/edge/flood_test.go
+++ b/transport/edge/flood_test.go
@@ -164,9 +164,9 @@
 		longest = max(longest, vm.now.Sub(passed))
 		passed = vm.now
 		if n == 0 {
-			vm.p.work.Emitting()
+			vm.p.work.StreamStarted()
 		} else {
-			vm.p.work.Event()
+			vm.p.work.AddEvent()
 		}
 		if n+1 == floodEvents || longest > floodPauseLimit {
 			vm.p.streamEnded(true, n+1)
--- a/transport/edge/listener_test.go
+++ b/transport/edge/listener_test.go
@@ -20,7 +20,7 @@
 	perRound := int(part * smallVM * float64(scanEvery) / float64(event))
 	for range 60 {
 		for range perRound {
-			p.work.Event()
+			p.work.AddEvent()
 		}
 		p.observe(0, scanEvery)
 	}
--- a/transport/edge/messages.go
+++ b/transport/edge/messages.go
@@ -27,7 +27,7 @@
 }
 
 // loadsMessage builds a message for a peer that knows a numbering.
-func (n *numbering) loadsMessage(loads map[state.Upstream]placement.Load, prompts []placement.Placed) *peerpb.Loads {
+func (n *numbering) loadsMessage(loads map[state.Upstream]placement.Load, prompts []placement.PlacedPrompt) *peerpb.Loads {
 	message := &peerpb.Loads{Reset_: n.numbers == nil}
 	if n.numbers == nil {
 		n.numbers = make(map[state.Upstream]uint32)
@@ -35,7 +35,7 @@
 	for id, load := range loads {
 		message.Upstreams = append(message.Upstreams, n.number(id))
 		message.Running = append(message.Running, uint32(max(load.Running, 0)))
-		message.Unread = append(message.Unread, uint32(max(load.Unread, 0)))
+		message.Unread = append(message.Unread, uint32(max(load.PendingPrefill, 0)))
 	}
 	for i, placed := range prompts {
 		message.PromptUpstreams = append(message.PromptUpstreams, n.number(placed.Upstream))
@@ -82,13 +82,13 @@
 		if int(number) >= len(n) {
 			return nil, false
 		}
-		loads[n[number]] = placement.Load{Running: int(m.GetRunning()[i]), Unread: int(m.GetUnread()[i])}
+		loads[n[number]] = placement.Load{Running: int(m.GetRunning()[i]), PendingPrefill: int(m.GetUnread()[i])}
 	}
 	return loads, true
 }
 
 // prompts returns the placed prompts of a message; not ok if it is malformed.
-func (n names) prompts(m *peerpb.Loads) ([]placement.Placed, bool) {
+func (n names) prompts(m *peerpb.Loads) ([]placement.PlacedPrompt, bool) {
 	if len(m.GetPromptUpstreams()) != len(m.GetPromptParts()) || len(m.GetParts()) != len(m.GetPartTokens()) {
 		return nil, false
 	}
@@ -96,13 +96,13 @@
 	for i, id := range m.GetParts() {
 		parts[i] = prefix.Part{ID: id, Tokens: int(m.GetPartTokens()[i])}
 	}
-	prompts := make([]placement.Placed, 0, len(m.GetPromptUpstreams()))
+	prompts := make([]placement.PlacedPrompt, 0, len(m.GetPromptUpstreams()))
 	for i, number := range m.GetPromptUpstreams() {
 		count := int(m.GetPromptParts()[i])
 		if int(number) >= len(n) || count > len(parts) {
 			return nil, false
 		}
-		prompts = append(prompts, placement.Placed{Upstream: n[number], Prompt: parts[:count:count]})
+		prompts = append(prompts, placement.PlacedPrompt{Upstream: n[number], Prompt: parts[:count:count]})
 		parts = parts[count:]
 	}
 	for _, i := range m.GetInterfering() {
--- a/transport/edge/messages_test.go
+++ b/transport/edge/messages_test.go
@@ -14,14 +14,14 @@
 )
 
 // linkMessage is what a link of a large fleet carries many times a second.
-func linkMessage() (map[state.Upstream]placement.Load, []placement.Placed) {
+func linkMessage() (map[state.Upstream]placement.Load, []placement.PlacedPrompt) {
 	loads := make(map[state.Upstream]placement.Load)
-	var prompts []placement.Placed
+	var prompts []placement.PlacedPrompt
 	for i := range 100 {
 		id := state.Upstream(fmt.Sprintf("i-%010x", i*7919))
-		loads[id] = placement.Load{Running: i, Unread: 100 * i}
+		loads[id] = placement.Load{Running: i, PendingPrefill: 100 * i}
 		if i%2 == 0 {
-			prompts = append(prompts, placement.Placed{
+			prompts = append(prompts, placement.PlacedPrompt{
 				Upstream: id, Interferes: i%10 == 0,
 				Prompt: []prefix.Part{{ID: uint64(i) * 1e15, Tokens: 800}, {ID: uint64(i)*3e15 + 5, Tokens: 4500}, {ID: uint64(i)*7e15 + 9, Tokens: 6600}},
 			})
--- a/transport/edge/observer.go
+++ b/transport/edge/observer.go
@@ -47,6 +47,6 @@
 
 // Between implements ingress.Observer.
 func (o observer) Between(ws state.Workspace, class string, gap time.Duration) {
-	o.pressure.work.Event()
+	o.pressure.work.AddEvent()
 	o.metrics.For(ws, class).Between(gap)
 }
--- a/transport/edge/outbox.go
+++ b/transport/edge/outbox.go
@@ -20,7 +20,7 @@
 
 // outbox is what waits to be told over a link.
 type outbox struct {
-	prompts []placement.Placed
+	prompts []placement.PlacedPrompt
 	refused []uint32
 	// numbering is of the upstreams that the peer was told of; used by
 	// publishSums alone.
@@ -30,7 +30,7 @@
 	sent, summed time.Time
 }
 
-func (o *outbox) add(prompts []placement.Placed, refused []uint32) {
+func (o *outbox) add(prompts []placement.PlacedPrompt, refused []uint32) {
 	o.prompts = append(o.prompts, prompts[:min(len(prompts), maxPrompts-len(o.prompts))]...)
 	o.refused = append(o.refused, refused[:min(len(refused), maxRefusals-len(o.refused))]...)
 }
@@ -44,7 +44,7 @@
 
 // enqueue queues prompts and refusals for all links but one. Refusals stay in
 // their data centre, where callers come back.
-func (f *fleet) enqueue(prompts []placement.Placed, refused []uint32, except state.Router) {
+func (f *fleet) enqueue(prompts []placement.PlacedPrompt, refused []uint32, except state.Router) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for router, box := range f.links {
--- a/transport/edge/pressure.go
+++ b/transport/edge/pressure.go
@@ -76,8 +76,8 @@
 	lag atomic.Int64
 	now func() time.Time
 	// work estimates the processor's use, budget bounds what is taken on.
-	work   *workload.Estimate
-	budget *workload.Budget
+	work   *workload.Estimator
+	budget *workload.CPUBudget
 	// paused is how long new connections were turned away, pausedBefore the same by
 	// the last round; only the periodic task uses the latter.
 	paused       pauses
@@ -93,39 +93,39 @@
 		limit:  float64(max(maxFiles-reservedFiles, 0)),
 		now:    now,
 		work:   workload.New(processors),
-		budget: workload.NewBudget(processors),
+		budget: workload.NewCPUBudget(processors),
 	}
-	p.arrivals = newArrivals(now, func() { p.budget.Release(now()) })
+	p.arrivals = newArrivals(now, func() { p.budget.ReleaseConnection(now()) })
 	return p
 }
 
 // requested counts a request that is sent to an upstream.
 func (p *pressure) requested(engine bool) {
-	p.work.Request()
+	p.work.AddRequest()
 	if !engine {
-		p.budget.Request(p.now())
+		p.budget.ChargeRequest(p.now())
 		return
 	}
-	p.work.Began()
-	p.budget.Stream(p.now())
+	p.work.StreamSent()
+	p.budget.ChargeStream(p.now())
 }
 
 // refused counts a request that is refused.
 func (p *pressure) refused() {
-	p.work.Refusal()
-	p.budget.Refusal(p.now())
+	p.work.AddRefusal()
+	p.budget.ChargeRefusal(p.now())
 }
 
 // streamEnded counts a stream that ended; events is 0 if it was not answered whole.
 func (p *pressure) streamEnded(emitting bool, events int) {
-	p.work.Ended(emitting)
+	p.work.StreamEnded(emitting)
 	if events > 0 {
-		p.budget.Ended(events)
+		p.budget.LearnStreamEvents(events)
 	}
 }
 
 // unsent notes that a stream's upstream did not take it.
-func (p *pressure) unsent() { p.budget.Unbegun(p.now()) }
+func (p *pressure) unsent() { p.budget.RefundStream(p.now()) }
 
 // changed is the callers' server's hook on the state of connections.
 func (p *pressure) changed(conn net.Conn, state http.ConnState) {
@@ -135,8 +135,8 @@
 	case http.StateClosed, http.StateHijacked:
 		p.callers.Add(-1)
 		if p.arrivals.closed(conn) {
-			p.budget.Release(p.now())
-			p.budget.Shed(p.now())
+			p.budget.ReleaseConnection(p.now())
+			p.budget.ChargeShed(p.now())
 		}
 	}
 }
@@ -179,36 +179,36 @@
 
 // full says whether there is no room for another request.
 func (p *pressure) full() bool {
-	return p.budget.Left(p.now()) < 0 || p.work.Relaying() > fullProcessor || p.exceeds(p.open(), fullShare) || p.arrivals.late() > fullLag
+	return p.budget.RemainingFraction(p.now()) < 0 || p.work.ExpectedRelayLoad() > fullProcessor || p.exceeds(p.open(), fullShare) || p.arrivals.late() > fullLag
 }
 
 // tight says whether there is little room left.
 func (p *pressure) tight() bool {
-	return p.work.Relaying() > tightProcessor || p.budget.Left(p.now()) < tightBudget
+	return p.work.ExpectedRelayLoad() > tightProcessor || p.budget.RemainingFraction(p.now()) < tightBudget
 }
 
 // take says whether a new connection is taken on; else it is to be closed unread.
 // To read a request only to refuse it takes a good part of what relaying one does,
 // and the streams that were admitted would wait behind it.
 func (p *pressure) take() bool {
-	if !p.budget.Known() {
+	if !p.budget.Bounded() {
 		return true
 	}
-	if !p.full() && p.budget.Accept(p.now()) {
+	if !p.full() && p.budget.TryAccept(p.now()) {
 		return true
 	}
-	p.work.Shed()
-	p.budget.Shed(p.now())
+	p.work.AddShed()
+	p.budget.ChargeShed(p.now())
 	return false
 }
 
 // hasRoom says whether a router that turned callers away takes them on again:
 // for more than one at a time, since each change takes system calls.
 func (p *pressure) hasRoom() bool {
-	if !p.budget.Known() {
+	if !p.budget.Bounded() {
 		return true
 	}
-	return !p.full() && p.budget.Left(p.now()) >= reopenBudget
+	return !p.full() && p.budget.RemainingFraction(p.now()) >= reopenBudget
 }
 
 // observe takes how late a periodic task ran and how long after the last time,
@@ -218,7 +218,7 @@
 	lag += int64(lagLearning * float64(int64(late)-lag))
 	p.lag.Store(lag)
 	p.work.Observe(round)
-	expected := p.work.Expected()
+	expected := p.work.ExpectedLoad()
 	was := p.busy.Load()
 	files, lateness, processor, pausedPart := busyShare, busyLag, busyProcessor, busyPaused
 	if was {
--- a/transport/edge/pressure_test.go
+++ b/transport/edge/pressure_test.go
@@ -76,7 +76,7 @@
 	relay := func(perSecond int) {
 		for range 40 {
 			for range perSecond / 10 {
-				p.work.Event()
+				p.work.AddEvent()
 			}
 			p.observe(0, scanEvery)
 		}
--- a/transport/edge/publish.go
+++ b/transport/edge/publish.go
@@ -147,7 +147,7 @@
 	message := &peerpb.Spending{}
 	for ws, u := range usage {
 		message.Entries = append(message.Entries, &peerpb.WorkspaceSpending{
-			Workspace: string(ws), Asked: uint64(u.Asked), Admitted: uint64(u.Admitted),
+			Workspace: string(ws), Asked: uint64(u.Requested), Admitted: uint64(u.Admitted),
 		})
 	}
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Spending{Spending: message}}
--- a/transport/edge/receive.go
+++ b/transport/edge/receive.go
@@ -92,7 +92,7 @@
 	}
 	usage := make(map[state.Workspace]shares.Usage, len(m.GetEntries()))
 	for _, e := range m.GetEntries() {
-		usage[state.Workspace(e.GetWorkspace())] = shares.Usage{Asked: float64(e.GetAsked()), Admitted: float64(e.GetAdmitted())}
+		usage[state.Workspace(e.GetWorkspace())] = shares.Usage{Requested: float64(e.GetAsked()), Admitted: float64(e.GetAdmitted())}
 	}
 	f.dispatcher.heardSpending(from, usage)
 }
--- a/transport/edge/router.go
+++ b/transport/edge/router.go
@@ -298,17 +298,17 @@
 func (r *Router) stop() {
 	r.log.Info().Msg("stopping")
 	course := r.dispatcher.beginDrain()
-	for course.Taking(boottime.Now()) {
+	for course.Accepting(boottime.Now()) {
 		time.Sleep(stopPoll)
 	}
 	_ = r.callers.Close()
-	if r.conns.Drain(func() bool { return course.Remaining(boottime.Now()) <= 0 }) {
+	if r.conns.Drain(func() bool { return course.RunTimeLeft(boottime.Now()) <= 0 }) {
 		return
 	}
 	r.log.Warn().Int64("requests", r.handler.Running()).Int("connections", r.conns.Busy()).
 		Msg("requests cut off at the end of the grace period")
 	r.conns.CutOff()
 	now := boottime.Now()
-	until := now.Add(max(course.AnswersFor(now), leastAnswers))
+	until := now.Add(max(course.AnswerTimeLeft(now), leastAnswers))
 	r.conns.Drain(func() bool { return !boottime.Now().Before(until) })
 }
--- a/transport/ingress/admit.go
+++ b/transport/ingress/admit.go
@@ -28,7 +28,7 @@
 		return res, false
 	}
 	if x.h.Dispatcher.Full() {
-		return result.New(result.TooManyRequests, "").After(admission.ElsewhereRetry), false
+		return result.New(result.TooManyRequests, "").After(admission.OtherRouterRetryAfter), false
 	}
 	// The routes may have changed while the body was read.
 	x.table = x.h.Dispatcher.Table()
@@ -157,7 +157,7 @@
 // room left, so that others whose callers share the router are served.
 func (x *exchange) room() (result.Result, bool) {
 	if x.h.Dispatcher.FullFor(x.workspace) {
-		return result.New(result.TooManyRequests, "").After(admission.ElsewhereRetry), false
+		return result.New(result.TooManyRequests, "").After(admission.OtherRouterRetryAfter), false
 	}
 	return result.Result{}, true
 }
@@ -168,24 +168,24 @@
 	timeout := x.limit.Sub(x.arrived)
 	x.request = admission.Request{
 		Work: placement.Work{
-			Service: x.service,
-			Prompt:  x.in.Prompt,
-			Output:  x.expectedOutput(),
-			Target:  x.route.Target,
-			Pause:   x.route.Pause,
+			Service:              x.service,
+			Prompt:               x.in.Prompt,
+			ExpectedOutputTokens: x.expectedOutput(),
+			TargetLatency:        x.route.Target,
+			MaxEventGap:          x.route.Pause,
 		},
-		Fingerprint: x.fingerprint,
-		Workspace:   x.workspace,
-		Cost:        x.cost(),
-		MaxOutput:   x.in.MaxOutput,
-		Elapsed:     x.h.Dispatcher.Elapsed(x.fingerprint) + x.unread,
-		Timeout:     timeout,
+		Fingerprint:     x.fingerprint,
+		Workspace:       x.workspace,
+		Cost:            x.cost(),
+		MaxOutputTokens: x.in.MaxOutput,
+		Elapsed:         x.h.Dispatcher.Elapsed(x.fingerprint) + x.unread,
+		Timeout:         timeout,
 	}
 	if x.h.Dispatcher.Blocked(x.fingerprint) {
 		return result.New(result.Suspected, "").After(timeout / 2), false
 	}
-	if !x.h.Dispatcher.Drain().Taking(x.h.Now()) {
-		return result.New(result.Draining, "").After(admission.ElsewhereRetry), false
+	if !x.h.Dispatcher.Drain().Accepting(x.h.Now()) {
+		return result.New(result.Draining, "").After(admission.OtherRouterRetryAfter), false
 	}
 	return result.Result{}, true
 }
--- a/transport/ingress/attempt.go
+++ b/transport/ingress/attempt.go
@@ -57,7 +57,7 @@
 		if x.h.Observer != nil {
 			x.h.Observer.Decided(x.request, verdict.Reason, repeat)
 		}
-		if !verdict.Admit() {
+		if !verdict.IsAdmitted() {
 			return x.settle(refusal(verdict))
 		}
 		end := x.attempt(ctx, ticket)
@@ -74,7 +74,7 @@
 		if ctx.Err() != nil || unsent >= unsentTries || !x.again(end) {
 			return x.settle(x.final(ctx, end))
 		}
-		x.request.Begun = x.sent
+		x.request.MayHaveRun = x.sent
 		x.request.Excluded = append(x.request.Excluded, ticket.Upstream())
 	}
 }
@@ -115,7 +115,7 @@
 	case conntrack.IsCutOff(x.r.Context()) && x.sent:
 		return result.New(result.StoppedWhileRun, "")
 	case conntrack.IsCutOff(x.r.Context()):
-		return result.New(result.Draining, "").After(admission.ElsewhereRetry)
+		return result.New(result.Draining, "").After(admission.OtherRouterRetryAfter)
 	case x.sent:
 		return result.New(result.DeadlineWhileRun, "")
 	default:
--- a/transport/ingress/fakes_test.go
+++ b/transport/ingress/fakes_test.go
@@ -154,7 +154,7 @@
 	// left is what the kernel knows of the caller's connection.
 	left    bool
 	table   *routing.Table
-	picture *placement.Picture
+	picture *placement.View
 
 	mu        sync.Mutex
 	upstreams []directory.Upstream
@@ -186,7 +186,7 @@
 func (d *scriptedDispatcher) Admit(r admission.Request, _ bool) (admission.Verdict, *placement.Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.verdict.Admit() {
+	if !d.verdict.IsAdmitted() {
 		return d.verdict, nil
 	}
 	for _, u := range d.upstreams {
--- a/transport/ingress/handler.go
+++ b/transport/ingress/handler.go
@@ -232,17 +232,17 @@
 			Str("service", string(x.service)).
 			Str("upstream", string(x.verdict.Estimate.Upstream)).
 			Stringer("decision", x.verdict.Reason).
-			Int64("wait_ms", x.verdict.Estimate.Wait.Milliseconds()).
-			Int64("own_ms", x.verdict.Estimate.Own.Milliseconds()).
-			Int64("limit_ms", x.verdict.Limit.Milliseconds()).
-			Float64("share_used", x.verdict.Standing.Use).
-			Float64("share_here", x.verdict.Standing.Here).
+			Int64("wait_ms", x.verdict.Estimate.WaitTime.Milliseconds()).
+			Int64("own_ms", x.verdict.Estimate.ProcessingTime.Milliseconds()).
+			Int64("limit_ms", x.verdict.WaitLimit.Milliseconds()).
+			Float64("share_used", x.verdict.Standing.ShareUse).
+			Float64("share_here", x.verdict.Standing.LocalShareUse).
 			Uint64("fingerprint", uint64(x.fingerprint)).
 			Int("prompt", x.in.PromptTokens).
-			Int("unread", x.verdict.Estimate.Unread).
-			Int("output", x.request.Output).
+			Int("unread", x.verdict.Estimate.UncachedTokens).
+			Int("output", x.request.ExpectedOutputTokens).
 			Int64("elapsed_ms", x.request.Elapsed.Milliseconds()).
-			Int64("target_ms", x.request.Target.Milliseconds()).
+			Int64("target_ms", x.request.TargetLatency.Milliseconds()).
 			Int64("first_ms", x.record.First.Milliseconds()).
 			Int64("pause_ms", x.longest.Milliseconds())
 	}
