--- a/capacity/calc.go
+++ b/capacity/calc.go
@@ -105,7 +105,7 @@
 }
 
 // rounds is the claim rounds a second of the fleet.
-func (c *calc) rounds() float64 { return math.Min(claims.FleetRounds, 2*c.claimed()) }
+func (c *calc) rounds() float64 { return math.Min(claims.FleetRoundsPerSecond, 2*c.claimed()) }
 
 // onPlatform is the length of a value in the platform's JSON.
 func onPlatform(bytes float64) float64 { return float64(base64.StdEncoding.EncodedLen(int(bytes))) }
--- a/capacity/measure_deciders.go
+++ b/capacity/measure_deciders.go
@@ -314,9 +314,9 @@
 func deadOrigins(_ context.Context, n int) (float64, error) {
 	l := fairness.New(1)
 	for i := range n {
-		l.Hear(fairness.Origin{Router: "router-0001", Incarnation: state.Incarnation(1 + i)}, countersOf(1))
+		l.ReceiveCounters(fairness.Origin{Router: "router-0001", Incarnation: state.Incarnation(1 + i)}, countersOf(1))
 	}
-	return float64(len(l.Dead())), nil
+	return float64(len(l.RemovedOrigins())), nil
 }
 
 // openSizes are the entries an open segment may hold.
@@ -344,7 +344,7 @@
 	m := claims.NewMachine("router-0001", rigIncarnation)
 	now := time.Unix(1_800_000_000, 0)
 	attempt := state.AttemptID{Router: "router-0001", Incarnation: rigIncarnation, Sequence: 1}
-	actions := m.Step(now, claims.Wanted{Request: claims.Request{
+	actions := m.Step(now, claims.ClaimWanted{Request: claims.Request{
 		Workspace: workspaceNamed(0), Service: serviceNamed(0), Key: "key", Attempt: attempt,
 	}})
 	for _, a := range actions {
@@ -373,7 +373,7 @@
 			done.Version, done.Value = 1, value
 			continue
 		}
-		done.Others = append(done.Others, claims.Stored{Slot: number, Version: 1, Value: value})
+		done.Others = append(done.Others, claims.StoredSegment{Slot: number, Version: 1, Value: value})
 	}
 	return done
 }
@@ -388,7 +388,7 @@
 		copy(digest[:], fmt.Sprintf("%016d", i))
 		peer := peerNamed(i % claimers)
 		segment.Entries = append(segment.Entries, claims.Entry{
-			Digest: digest, Status: claims.StatusCompleted, At: time.Unix(1_800_000_000, 0),
+			Digest: digest, Status: claims.StatusCompleted, ClaimedAt: time.Unix(1_800_000_000, 0),
 			Claim: state.AttemptID{Router: peer.Router, Incarnation: peer.Incarnation, Sequence: uint64(i)},
 		})
 	}
--- a/capacity/measure_memory.go
+++ b/capacity/measure_memory.go
@@ -71,7 +71,7 @@
 	}
 	l.SetPeers(1, peers)
 	for _, peer := range peers {
-		l.Hear(peer.Origin, countersOf(workspaces))
+		l.ReceiveCounters(peer.Origin, countersOf(workspaces))
 	}
 	return l
 }
--- a/capacity/measure_traffic.go
+++ b/capacity/measure_traffic.go
@@ -182,7 +182,7 @@
 	)
 	m := claims.NewMachine("router-0001", rigIncarnation)
 	now := time.Unix(1_800_000_000, 0)
-	m.Step(now, claims.FleetSized{Routers: routers})
+	m.Step(now, claims.FleetResized{Routers: routers})
 	run := claimRun{machine: m, asked: make(map[state.AttemptID]time.Time)}
 	for i := range int(watchedIn / step) {
 		now = now.Add(step)
@@ -206,7 +206,7 @@
 func (c *claimRun) ask(now time.Time) {
 	attempt := state.AttemptID{Router: "router-0001", Incarnation: rigIncarnation, Sequence: uint64(len(c.asked) + c.decided)}
 	c.asked[attempt] = now
-	c.step(now, claims.Wanted{Request: claims.Request{
+	c.step(now, claims.ClaimWanted{Request: claims.Request{
 		Workspace: workspaceNamed(0), Service: serviceNamed(0), Key: attempt.String(), Attempt: attempt,
 	}})
 }
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -257,7 +257,7 @@
 // shard can take: a shard's turn must come within the time for a first token,
 // which bounds the shards, and they hold a day's claims.
 func (c *calc) ownKeys() float64 {
-	shards := claims.FleetRounds * c.MaxFirst
+	shards := claims.FleetRoundsPerSecond * c.MaxFirst
 	return shards * c.shardRoom() / claims.Shards / retained
 }
 
@@ -265,9 +265,9 @@
 // costs the platform nothing.
 func (c *calc) mintedKeys() load {
 	own := math.Min(c.claimed(), c.ownKeys())
-	shards := claims.FleetRounds * c.MaxFirst
+	shards := claims.FleetRoundsPerSecond * c.MaxFirst
 	held := own * retained / shards
-	rounds := math.Min(claims.FleetRounds, own)
+	rounds := math.Min(claims.FleetRoundsPerSecond, own)
 	perRouter := rounds / c.Routers
 	return load{
 		core:   nanosecond * perRouter * c.at(ClaimsRound, c.open()),
--- a/coordination/claims/chain_test.go
+++ b/coordination/claims/chain_test.go
@@ -14,10 +14,10 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// oneEntry is a segment's size at which every write seals.
-const oneEntry = 60
+// oneEntryBytes is a segment's size at which every write seals.
+const oneEntryBytes = 60
 
-func sized(name state.Router, segmentBytes int) *router {
+func newSizedRouter(name state.Router, segmentBytes int) *router {
 	r := newRouter(name, 1)
 	r.limits.segmentBytes = segmentBytes
 	return r
@@ -25,50 +25,50 @@
 
 // TestSealerDies: bookings of a shard stop for good, or run twice. A router is
 // lost between the write that seals a segment and the one that creates the next.
-func TestSealerDies(t *testing.T) {
+func TestRouterLostAfterSeal(t *testing.T) {
 	p := &platform{}
-	require.Equal(t, result.OK, sized("pudahuel-1", oneEntry).claim(p, "k", 1).Code)
+	require.Equal(t, result.OK, newSizedRouter("pudahuel-1", oneEntryBytes).claim(p, "k", 1).Code)
 	require.Equal(t, 1, p.seals)
-	other := sized("quilicura-1", oneEntry)
-	next := sameShard(other, ShardOf(other.request("k", 0).Digest()))
+	other := newSizedRouter("quilicura-1", oneEntryBytes)
+	next := keyInShard(other, ShardOf(other.request("k", 0).Digest()))
 	require.Equal(t, result.KeyInProgress, other.claim(p, "k", 1).Code)
 	require.Equal(t, result.OK, other.claim(p, next, 2).Code)
-	require.Equal(t, result.KeyInProgress, sized("sala-1", oneEntry).claim(p, next, 3).Code)
+	require.Equal(t, result.KeyInProgress, newSizedRouter("sala-1", oneEntryBytes).claim(p, next, 3).Code)
 }
 
 // TestLostAnswersAlongTheChain: a booking runs twice or its key is lost. The
 // answer to an append, to a seal or to a creation is lost; the write landed, got
 // lost, or lands after it was read back, and a resend follows elsewhere.
-func TestLostAnswersAlongTheChain(t *testing.T) {
-	for name, bytes := range map[string]int{"append": 200, "seal": 100, "create": oneEntry} {
-		for _, lands := range []string{"at once", "never", "late"} {
-			t.Run(name+" "+lands, func(t *testing.T) {
+func TestLostWriteAnswers(t *testing.T) {
+	for name, bytes := range map[string]int{"append": 200, "seal": 100, "create": oneEntryBytes} {
+		for _, landing := range []string{"at once", "never", "late"} {
+			t.Run(name+" "+landing, func(t *testing.T) {
 				p := &platform{}
-				r := sized("pudahuel-1", bytes)
-				keys := keysOf(r, 3, 3)
+				r := newSizedRouter("pudahuel-1", bytes)
+				keys := keysInShard(r, 3, 3)
 				require.Equal(t, result.OK, r.claim(p, keys[0], 1).Code)
 				req := r.request(keys[1], 2)
-				r.step(Wanted{Request: req})
+				r.step(ClaimWanted{Request: req})
 				r.now = r.wake
 				r.step(Tick{})
-				write := r.next().(Write)
+				write := r.nextCall().(Write)
 				require.Equal(t, name == "create", write.Slot > 0 && write.Expected == 0)
-				require.Equal(t, name != "append", sealed(write.Value))
-				if lands == "at once" {
+				require.Equal(t, name != "append", isSealed(write.Value))
+				if landing == "at once" {
 					p.write(write)
 				}
 				r.step(WriteDone{Shard: write.Shard, Outcome: WriteUnknown})
 				r.now = r.wake
 				r.step(Tick{})
 				require.NotContains(t, r.decided, req.Attempt)
-				r.answer(p, r.next())
-				if lands == "late" {
+				r.answer(p, r.nextCall())
+				if landing == "late" {
 					p.write(write)
 				}
 				r.settle(p)
 				require.Equal(t, result.OK, r.decided[req.Attempt].Code)
 				require.Equal(t, WriteConflict, p.write(write).Outcome)
-				require.Equal(t, result.KeyInProgress, sized("quilicura-1", bytes).claim(p, keys[1], 3).Code)
+				require.Equal(t, result.KeyInProgress, newSizedRouter("quilicura-1", bytes).claim(p, keys[1], 3).Code)
 			})
 		}
 	}
@@ -77,40 +77,40 @@
 // TestPausedWriterMeetsASeal: two escorts for one child. A router is paused
 // within its append; meanwhile the segment is sealed and the same key claimed in
 // a later one. Another has an old view of the chain's end after a partition.
-func TestPausedWriterMeetsASeal(t *testing.T) {
+func TestPausedWriterConflictsWithSeal(t *testing.T) {
 	p := &platform{}
-	paused, apart, other := sized("pudahuel-1", 150), sized("sala-1", 150), sized("quilicura-1", 150)
-	keys := keysOf(other, 3, 11)
-	require.Equal(t, result.OK, apart.claim(p, keys[0], 1).Code)
+	paused, partitioned, other := newSizedRouter("pudahuel-1", 150), newSizedRouter("sala-1", 150), newSizedRouter("quilicura-1", 150)
+	keys := keysInShard(other, 3, 11)
+	require.Equal(t, result.OK, partitioned.claim(p, keys[0], 1).Code)
 	req := paused.request(keys[10], 1)
-	paused.step(Wanted{Request: req})
-	paused.answer(p, paused.next())
+	paused.step(ClaimWanted{Request: req})
+	paused.answer(p, paused.nextCall())
 	for i, key := range keys[1:] {
 		require.Equal(t, result.OK, other.claim(p, key, uint64(i)).Code)
 	}
 	require.GreaterOrEqual(t, p.seals, 3)
 	paused.settle(p)
 	require.Equal(t, result.KeyInProgress, paused.decided[req.Attempt].Code)
-	apart.now = apart.now.Add(time.Second)
-	require.Equal(t, result.KeyInProgress, apart.claim(p, keys[9], 2).Code)
+	partitioned.now = partitioned.now.Add(time.Second)
+	require.Equal(t, result.KeyInProgress, partitioned.claim(p, keys[9], 2).Code)
 }
 
 // TestStaleEndOfTheChain: a booking runs again at a router that has just
 // started. Its first read is older than the segments that hold the claim.
-func TestStaleEndOfTheChain(t *testing.T) {
-	for back := range 7 {
+func TestStaleFirstRead(t *testing.T) {
+	for behind := range 7 {
 		p := &platform{}
-		r := sized("pudahuel-1", 120)
-		keys := keysOf(r, 3, 6)
+		r := newSizedRouter("pudahuel-1", 120)
+		keys := keysInShard(r, 3, 6)
 		for i, key := range keys {
 			require.Equal(t, result.OK, r.claim(p, key, uint64(i)).Code)
 		}
-		cold := sized("quilicura-1", 120)
-		req := cold.request(keys[5], 1)
-		cold.step(Wanted{Request: req})
-		cold.step(p.stale(cold.next().(Read), back))
-		cold.settle(p)
-		require.Equal(t, result.KeyInProgress, cold.decided[req.Attempt].Code, "%d writes behind", back)
+		restarted := newSizedRouter("quilicura-1", 120)
+		req := restarted.request(keys[5], 1)
+		restarted.step(ClaimWanted{Request: req})
+		restarted.step(p.staleRead(restarted.nextCall().(Read), behind))
+		restarted.settle(p)
+		require.Equal(t, result.KeyInProgress, restarted.decided[req.Attempt].Code, "%d writes behind", behind)
 	}
 }
 
@@ -118,64 +118,64 @@
 // made, or a key stays taken that nobody holds, because the claim's segment
 // takes no more changes. Later entries say what became of it; that a second
 // claim is released must not bring the first one back.
-func TestLaterStatesOfASealedClaim(t *testing.T) {
-	for _, bytes := range []int{oneEntry, 120, SegmentBytes} {
+func TestStatusAfterSeal(t *testing.T) {
+	for _, bytes := range []int{oneEntryBytes, 120, SegmentBytes} {
 		p := &platform{}
-		r := sized("pudahuel-1", bytes)
+		r := newSizedRouter("pudahuel-1", bytes)
 		done, freed := r.request("done", 1), r.request("freed", 2)
 		for _, req := range []Request{done, freed} {
 			require.Equal(t, result.OK, r.claim(p, req.Key, req.Attempt.Sequence).Code)
 		}
-		r.step(Finished{Request: done, Ran: result.RanYes})
-		r.step(Finished{Request: freed, Ran: result.RanNo})
+		r.step(RequestFinished{Request: done, Ran: result.RanYes})
+		r.step(RequestFinished{Request: freed, Ran: result.RanNo})
 		r.settle(p)
-		require.Equal(t, result.KeyCompleted, sized("quilicura-1", bytes).claim(p, "done", 1).Code)
+		require.Equal(t, result.KeyCompleted, newSizedRouter("quilicura-1", bytes).claim(p, "done", 1).Code)
 		for i, name := range []state.Router{"quilicura-1", "sala-1"} {
-			again := sized(name, bytes)
+			again := newSizedRouter(name, bytes)
 			req := again.request("freed", 2)
 			require.Equal(t, result.OK, again.claim(p, "freed", 2).Code)
-			r.step(Finished{Request: freed, Ran: result.RanNo})
+			r.step(RequestFinished{Request: freed, Ran: result.RanNo})
 			r.settle(p)
 			require.Equal(t, result.KeyInProgress, r.claim(p, "freed", uint64(10+i)).Code, "an old release frees nothing")
-			again.step(Finished{Request: req, Ran: result.RanNo})
+			again.step(RequestFinished{Request: req, Ran: result.RanNo})
 			again.settle(p)
 		}
-		require.Equal(t, result.OK, sized("sala-2", bytes).claim(p, "freed", 1).Code)
+		require.Equal(t, result.OK, newSizedRouter("sala-2", bytes).claim(p, "freed", 1).Code)
 	}
 }
 
 // TestChainGoesRound: the platform fills up with old bookings, or one runs again
 // because a segment inside the retention was overwritten. Slots are reused only
 // once their entries have expired, also by a router that slept all the while.
-func TestChainGoesRound(t *testing.T) {
+func TestChainReusesSlots(t *testing.T) {
 	p := &platform{}
-	r, sleeper := sized("pudahuel-1", oneEntry), sized("quilicura-1", oneEntry)
-	for _, each := range []*router{r, sleeper} {
-		each.limits.slots, each.limits.reserved = 8, 1
+	r, idle := newSizedRouter("pudahuel-1", oneEntryBytes), newSizedRouter("quilicura-1", oneEntryBytes)
+	for _, each := range []*router{r, idle} {
+		each.limits.slots, each.limits.reservedSlots = 8, 1
 	}
-	keys := keysOf(r, 3, 8)
-	require.Equal(t, result.OK, sleeper.claim(p, keys[7], 1).Code)
+	keys := keysInShard(r, 3, 8)
+	require.Equal(t, result.OK, idle.claim(p, keys[7], 1).Code)
 	for day := range 10 {
 		for i, key := range keys[:6] {
 			require.Equal(t, result.OK, r.claim(p, key, uint64(100*day+i)).Code, "day %d", day)
 		}
-		sleeper.now = r.now
-		cold := sized("sala-1", oneEntry)
-		cold.limits, cold.now = r.limits, r.now
-		require.Equal(t, result.KeyInProgress, cold.claim(p, keys[0], uint64(day)).Code)
-		require.LessOrEqual(t, len(r.shards[3].chain.records), 8)
+		idle.now = r.now
+		restarted := newSizedRouter("sala-1", oneEntryBytes)
+		restarted.limits, restarted.now = r.limits, r.now
+		require.Equal(t, result.KeyInProgress, restarted.claim(p, keys[0], uint64(day)).Code)
+		require.LessOrEqual(t, len(r.shards[3].chain.entries), 8)
 		r.now = r.now.Add(Retention + clockSkew + time.Minute)
 	}
-	require.Equal(t, result.KeyInProgress, sleeper.claim(p, keys[1], 2).Code)
+	require.Equal(t, result.KeyInProgress, idle.claim(p, keys[1], 2).Code)
 	before := p.seals
-	full := sized("sala-2", oneEntry)
-	full.limits, full.now = r.limits, sleeper.now
+	full := newSizedRouter("sala-2", oneEntryBytes)
+	full.limits, full.now = r.limits, idle.now
 	require.Equal(t, result.OK, full.claim(p, keys[6], 1).Code)
 	res := full.claim(p, keys[7], 2)
 	require.Equal(t, result.ClaimUnavailable, res.Code, "no slot is free")
 	require.Equal(t, result.RanNo, res.Ran)
 	require.Equal(t, before+1, p.seals)
-	stubs := slices.DeleteFunc(slices.Clone(p.history[3]), func(o Stored) bool {
+	stubs := slices.DeleteFunc(slices.Clone(p.history[3]), func(o StoredSegment) bool {
 		segment, err := Decode(o.Value)
 		return err != nil || len(segment.Entries) > 0
 	})
@@ -186,29 +186,29 @@
 // on into the slot that holds its claim. They wait until it has expired.
 func TestNoFreeSlot(t *testing.T) {
 	p := &platform{}
-	r := sized("pudahuel-1", oneEntry)
-	r.limits.slots, r.limits.reserved = 4, 1
-	keys := keysOf(r, 3, 4)
+	r := newSizedRouter("pudahuel-1", oneEntryBytes)
+	r.limits.slots, r.limits.reservedSlots = 4, 1
+	keys := keysInShard(r, 3, 4)
 	for i, key := range keys[:3] {
 		require.Equal(t, result.OK, r.claim(p, key, uint64(i)).Code)
 	}
 	require.Equal(t, result.ClaimUnavailable, r.claim(p, keys[3], 3).Code)
 	for i, key := range keys[:2] {
-		r.step(Finished{Request: r.request(key, uint64(i)), Ran: result.RanYes})
+		r.step(RequestFinished{Request: r.request(key, uint64(i)), Ran: result.RanYes})
 		for range 10 {
 			r.now = latest(r.now, r.wake)
 			r.step(Tick{})
 			for len(r.calls) > 0 {
-				r.answer(p, r.next())
+				r.answer(p, r.nextCall())
 			}
 		}
 	}
 	require.Equal(t, 1, r.Pending())
-	cold := sized("quilicura-1", oneEntry)
-	cold.limits = r.limits
+	restarted := newSizedRouter("quilicura-1", oneEntryBytes)
+	restarted.limits = r.limits
 	for i, key := range keys[:3] {
-		require.Equal(t, result.ClaimUnavailable, cold.claim(p, key, uint64(i)).Code)
-		cold.now = cold.now.Add(awayFor)
+		require.Equal(t, result.ClaimUnavailable, restarted.claim(p, key, uint64(i)).Code)
+		restarted.now = restarted.now.Add(unavailableRetry)
 	}
 	r.now = r.now.Add(Retention + 2*clockSkew)
 	r.settle(p)
@@ -236,7 +236,7 @@
 			p.write(Write{Shard: 3, Slot: slot, Value: value})
 		}
 		before := p.writes
-		require.Equal(t, result.ClaimUnavailable, r.claim(p, keysOf(r, 3, 1)[0], 1).Code, name)
+		require.Equal(t, result.ClaimUnavailable, r.claim(p, keysInShard(r, 3, 1)[0], 1).Code, name)
 		require.Equal(t, before, p.writes, name)
 	}
 }
@@ -246,16 +246,16 @@
 func TestOversizedSegment(t *testing.T) {
 	p := &platform{}
 	r := newRouter("pudahuel-1", 1)
-	key := sameShard(r, 3)
+	key := keyInShard(r, 3)
 	large := &Segment{}
-	for _, segment := range filled((MaxShardBytes - 60) / entryBytes) {
+	for _, segment := range completedSegments((MaxShardBytes - 60) / entryBytes) {
 		large.Entries = append(large.Entries, segment.Entries...)
 	}
 	value, err := large.Encode()
 	require.NoError(t, err)
 	require.Equal(t, WriteOK, p.write(Write{Shard: 3, Value: value}).Outcome)
 	require.Equal(t, result.OK, r.claim(p, key, 1).Code)
-	kept, err := Decode(p.at(3, 0).Value)
+	kept, err := Decode(p.stored(3, 0).Value)
 	require.NoError(t, err)
 	require.True(t, kept.Sealed)
 	require.Equal(t, large.Entries, kept.Entries)
@@ -275,8 +275,8 @@
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		c := newChain()
-		for _, segment := range filled(keys) {
-			c.fold(segment, 1)
+		for _, segment := range completedSegments(keys) {
+			c.merge(segment, 1)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -285,8 +285,8 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(keys), "B/key")
 }
 
-// filled returns sealed segments of a shard with so many completed keys.
-func filled(keys int) []*Segment {
+// completedSegments returns sealed segments of a shard with so many completed keys.
+func completedSegments(keys int) []*Segment {
 	const perSegment = SegmentBytes / entryBytes
 	var segments []*Segment
 	for i := range keys {
@@ -294,7 +294,7 @@
 			segments = append(segments, &Segment{Number: uint64(len(segments)), Sealed: true})
 		}
 		last := segments[len(segments)-1]
-		e := Entry{Claim: state.AttemptID{Router: "old", Incarnation: 1, Sequence: uint64(i)}, Status: StatusCompleted, At: epoch}
+		e := Entry{Claim: state.AttemptID{Router: "old", Incarnation: 1, Sequence: uint64(i)}, Status: StatusCompleted, ClaimedAt: epoch}
 		binary.BigEndian.PutUint64(e.Digest[8:], uint64(i))
 		last.Entries = append(last.Entries, e)
 	}
--- a/coordination/claims/codec.go
+++ b/coordination/claims/codec.go
@@ -101,7 +101,7 @@
 	buf = binary.BigEndian.AppendUint16(buf, index[claimerOf(e.Claim)])
 	buf = binary.BigEndian.AppendUint64(buf, e.Claim.Sequence)
 	buf = append(buf, byte(e.Status))
-	return binary.BigEndian.AppendUint32(buf, uint32(e.At.Unix()))
+	return binary.BigEndian.AppendUint32(buf, uint32(e.ClaimedAt.Unix()))
 }
 
 // Decode reads a segment. An empty value is the empty first segment.
@@ -144,9 +144,9 @@
 	return field
 }
 
-func (r *reader) count(atLeast int) int {
+func (r *reader) count(entrySize int) int {
 	n := int(binary.BigEndian.Uint32(r.take(4)))
-	if n*atLeast > len(r.rest) {
+	if n*entrySize > len(r.rest) {
 		r.failed = true
 		return 0
 	}
@@ -176,15 +176,15 @@
 
 func (r *reader) entry(claimers []claimer) Entry {
 	e := Entry{Digest: Digest(r.take(digestBytes))}
-	by := int(binary.BigEndian.Uint16(r.take(2)))
+	claimerIndex := int(binary.BigEndian.Uint16(r.take(2)))
 	e.Claim.Sequence = binary.BigEndian.Uint64(r.take(8))
 	e.Status = Status(r.take(1)[0])
-	e.At = time.Unix(int64(binary.BigEndian.Uint32(r.take(4))), 0).UTC()
-	if by >= len(claimers) || e.Status < StatusRunning || e.Status > StatusReleased {
+	e.ClaimedAt = time.Unix(int64(binary.BigEndian.Uint32(r.take(4))), 0).UTC()
+	if claimerIndex >= len(claimers) || e.Status < StatusRunning || e.Status > StatusReleased {
 		r.failed = true
 		return e
 	}
-	e.Claim.Router = claimers[by].router
-	e.Claim.Incarnation = claimers[by].incarnation
+	e.Claim.Router = claimers[claimerIndex].router
+	e.Claim.Incarnation = claimers[claimerIndex].incarnation
 	return e
 }
--- a/coordination/claims/codec_test.go
+++ b/coordination/claims/codec_test.go
@@ -15,8 +15,8 @@
 // accepted must be written back the same, or claims would get lost.
 func FuzzDecode(f *testing.F) {
 	shard := &Segment{Number: 3, Sealed: true, Entries: []Entry{
-		{Digest: Digest{1}, Claim: state.AttemptID{Router: "a", Incarnation: 1, Sequence: 2}, Status: StatusRunning, At: time.Unix(5, 0).UTC()},
-		{Digest: Digest{2}, Claim: state.AttemptID{Router: "b", Incarnation: 3, Sequence: 4}, Status: StatusUnknown, At: time.Unix(6, 0).UTC()},
+		{Digest: Digest{1}, Claim: state.AttemptID{Router: "a", Incarnation: 1, Sequence: 2}, Status: StatusRunning, ClaimedAt: time.Unix(5, 0).UTC()},
+		{Digest: Digest{2}, Claim: state.AttemptID{Router: "b", Incarnation: 3, Sequence: 4}, Status: StatusUnknown, ClaimedAt: time.Unix(6, 0).UTC()},
 	}}
 	value, err := shard.Encode()
 	require.NoError(f, err)
--- a/coordination/claims/entry.go
+++ b/coordination/claims/entry.go
@@ -30,17 +30,17 @@
 	Digest Digest
 	Claim  state.AttemptID
 	Status Status
-	// At is when the claim was made, by the claimer's clock.
-	At time.Time
+	// ClaimedAt is when the claim was made, by the claimer's clock.
+	ClaimedAt time.Time
 }
 
 // expired says whether the entry may be forgotten.
 func (e *Entry) expired(now time.Time) bool {
-	return now.Sub(e.At) > Retention+clockSkew
+	return now.Sub(e.ClaimedAt) > Retention+clockSkew
 }
 
-// taken says whether the entry keeps its key from being claimed.
-func (e *Entry) taken(now time.Time) bool {
+// blocksKey says whether the entry keeps its key from being claimed.
+func (e *Entry) blocksKey(now time.Time) bool {
 	return e.Status != StatusReleased && !e.expired(now)
 }
 
@@ -84,11 +84,11 @@
 
 // draft collects one round's changes to the last segment of a chain.
 type draft struct {
-	base  *Segment
-	chain *chain
-	edits map[Digest]*Entry
-	now   time.Time
-	touch bool
+	base       *Segment
+	chain      *chain
+	edits      map[Digest]*Entry
+	now        time.Time
+	forceWrite bool
 }
 
 func newDraft(base *Segment, sealed *chain, now time.Time) *draft {
@@ -97,15 +97,15 @@
 
 // lookup returns the entry that keeps a key taken, nil if it is free.
 func (d *draft) lookup(digest Digest) *Entry {
-	e := d.last(digest)
-	if e == nil || !e.taken(d.now) {
+	e := d.lastEntry(digest)
+	if e == nil || !e.blocksKey(d.now) {
 		return nil
 	}
 	return e
 }
 
-// last returns the last entry of a key in chain order.
-func (d *draft) last(digest Digest) *Entry {
+// lastEntry returns the last entry of a key in chain order.
+func (d *draft) lastEntry(digest Digest) *Entry {
 	if e, edited := d.edits[digest]; edited {
 		return e
 	}
@@ -130,7 +130,7 @@
 	d.put(e)
 }
 
-func (d *draft) changed() bool { return len(d.edits) > 0 || d.touch }
+func (d *draft) changed() bool { return len(d.edits) > 0 || d.forceWrite }
 
 // build merges the changes into the segment and drops what has expired.
 func (d *draft) build() *Segment {
--- a/coordination/claims/event.go
+++ b/coordination/claims/event.go
@@ -13,20 +13,20 @@
 // Event is something that happened to a router's claims.
 type Event interface{ event() }
 
-// Wanted asks for a claim. The machine answers with one Decide.
-type Wanted struct {
+// ClaimWanted asks for a claim. The machine answers with one Decide.
+type ClaimWanted struct {
 	Request Request
 }
 
-// Withdrawn says that the claim will not be used: its request is refused or
+// ClaimWithdrawn says that the claim will not be used: its request is refused or
 // its caller left, and nothing was sent. It may come before or after Decide;
 // no Decide follows it.
-type Withdrawn struct {
+type ClaimWithdrawn struct {
 	Request Request
 }
 
-// Finished says what became of a request that had its claim.
-type Finished struct {
+// RequestFinished says what became of a request that had its claim.
+type RequestFinished struct {
 	Request Request
 	Ran     result.Ran
 }
@@ -40,8 +40,8 @@
 	ReadFailed
 )
 
-// Stored is a segment as the platform holds it.
-type Stored struct {
+// StoredSegment is a segment as the platform holds it.
+type StoredSegment struct {
 	Slot    int
 	Version Version
 	Value   []byte
@@ -55,7 +55,7 @@
 	Version Version
 	Value   []byte
 	// Others are the other slots of a whole chain.
-	Others []Stored
+	Others []StoredSegment
 }
 
 // WriteOutcome tells how a conditional write ended.
@@ -80,25 +80,25 @@
 	Version Version
 }
 
-// FleetSized says how many routers share the platform.
-type FleetSized struct {
+// FleetResized says how many routers share the platform.
+type FleetResized struct {
 	Routers int
 }
 
-// Flushed makes waiting completions due, before a shutdown.
-type Flushed struct{}
+// FlushRequested makes waiting completions due, before a shutdown.
+type FlushRequested struct{}
 
 // Tick lets time pass; the host sends one at each Wake.
 type Tick struct{}
 
-func (Wanted) event()     {}
-func (Withdrawn) event()  {}
-func (Finished) event()   {}
-func (ReadDone) event()   {}
-func (WriteDone) event()  {}
-func (FleetSized) event() {}
-func (Flushed) event()    {}
-func (Tick) event()       {}
+func (ClaimWanted) event()     {}
+func (ClaimWithdrawn) event()  {}
+func (RequestFinished) event() {}
+func (ReadDone) event()        {}
+func (WriteDone) event()       {}
+func (FleetResized) event()    {}
+func (FlushRequested) event()  {}
+func (Tick) event()            {}
 
 // Action is something the host must do.
 type Action interface{ action() }
@@ -108,8 +108,8 @@
 type Read struct {
 	Shard int
 	Slot  int
-	// Whole asks for every slot of the shard as of one version of the store.
-	Whole bool
+	// WholeChain asks for every slot of the shard as of one version of the store.
+	WholeChain bool
 }
 
 // Write replaces a segment if it has the expected version; the host answers
--- a/coordination/claims/limits.go
+++ b/coordination/claims/limits.go
@@ -34,37 +34,37 @@
 	// clockSkew is kept on top of the retention before an entry is dropped,
 	// since claimers stamp entries with their own clocks.
 	clockSkew = time.Hour
-	// emptyEvery is how many rounds of a shard go by for each expired segment
+	// roundsPerEmptying is how many rounds of a shard go by for each expired segment
 	// that is emptied. It is below the rounds that fill a segment, so that
 	// emptying keeps up, and leaves three rounds in four to claims.
-	emptyEvery = 4
+	roundsPerEmptying = 4
 	// MaxShardBytes bounds a segment's object, as the platform does.
 	MaxShardBytes = 1 << 20
-	// FleetRounds bounds the rounds a second of all routers together. A
+	// FleetRoundsPerSecond bounds the rounds a second of all routers together. A
 	// round is at most one write, and one read and one more for each segment
 	// sealed by others meanwhile. The platform takes several hundred writes
 	// a second and serves other purposes too.
-	FleetRounds = 200
+	FleetRoundsPerSecond = 200
 	// defaultRouters paces a machine that has not heard the fleet's size. Too
 	// many only slow its bursts; too few would flood the platform.
 	defaultRouters = 8
 	// completionDelay lets a completion wait for a claim's write to ride in.
 	// Until then a resend hears that the request is in progress.
 	completionDelay = time.Second
-	// awayFor is how long claims are refused at once after the platform did
+	// unavailableRetry is how long claims are refused at once after the platform did
 	// not answer, before one round tries it again.
-	awayFor = 2 * time.Second
-	// decideWithin is the longest a claim may take from arrival to the right
+	unavailableRetry = 2 * time.Second
+	// maxDecisionTime is the longest a claim may take from arrival to the right
 	// to run. A claimer that was paused for longer gives the claim back: the
 	// caller has been answered or left, and the entry may be near its end.
-	decideWithin = 30 * time.Second
-	// inProgressFor is how long a running claim is taken for under way. It
+	maxDecisionTime = 30 * time.Second
+	// maxInProgressTime is how long a running claim is taken for under way. It
 	// is above the longest default deadline; later nobody will complete it.
-	inProgressFor = 15 * time.Minute
+	maxInProgressTime = 15 * time.Minute
 	// progressRetry is when a caller may ask after a running request again.
 	progressRetry = 2 * time.Second
-	// maxSettling bounds completions and releases kept while the platform is
+	// maxPendingSettlements bounds completions and releases kept while the platform is
 	// away. Beyond it the oldest is dropped; its key then reads as unknown,
 	// which is still true.
-	maxSettling = 100_000
+	maxPendingSettlements = 100_000
 )
--- a/coordination/claims/load_test.go
+++ b/coordination/claims/load_test.go
@@ -14,21 +14,21 @@
 
 const (
 	loadSeconds = 10
-	// loadCall is how long a call to the platform takes in the load tests.
-	loadCall = 5 * time.Millisecond
-	// loadRun is how long a claimed request runs.
-	loadRun = 300 * time.Millisecond
+	// loadCallTime is how long a call to the platform takes in the load tests.
+	loadCallTime = 5 * time.Millisecond
+	// loadRunTime is how long a claimed request runs.
+	loadRunTime = 300 * time.Millisecond
 )
 
 // load drives a fleet at a steady rate of claims, in steps of a millisecond of
 // its own clock.
 type load struct {
-	p       *platform
-	routers []*router
-	due     []dueEvent
-	asked   map[state.AttemptID]time.Time
-	waits   []time.Duration
-	ended   int
+	p           *platform
+	routers     []*router
+	due         []dueEvent
+	requestedAt map[state.AttemptID]time.Time
+	waits       []time.Duration
+	ended       int
 }
 
 type dueEvent struct {
@@ -39,10 +39,10 @@
 }
 
 func newLoad(routers int) *load {
-	l := &load{p: &platform{}, asked: map[state.AttemptID]time.Time{}}
+	l := &load{p: &platform{}, requestedAt: map[state.AttemptID]time.Time{}}
 	for i := range routers {
 		r := newRouter(state.Router(fmt.Sprint("r", i)), 1)
-		r.step(FleetSized{Routers: routers})
+		r.step(FleetResized{Routers: routers})
 		l.routers = append(l.routers, r)
 	}
 	return l
@@ -57,9 +57,9 @@
 		for want := int(now.Sub(epoch).Seconds() * float64(rate)); sent < min(want, rate*loadSeconds); sent++ {
 			r := l.routers[sent%len(l.routers)]
 			req := r.request(fmt.Sprint("k", sent), uint64(sent))
-			l.asked[req.Attempt] = now
+			l.requestedAt[req.Attempt] = now
 			r.now = now
-			r.step(Wanted{Request: req})
+			r.step(ClaimWanted{Request: req})
 		}
 		l.deliver(now)
 		for _, r := range l.routers {
@@ -80,7 +80,7 @@
 			d.router.answer(l.p, d.call)
 		default:
 			d.router.now = now
-			d.router.step(Finished{Request: d.done, Ran: result.RanYes})
+			d.router.step(RequestFinished{Request: d.done, Ran: result.RanYes})
 			l.ended++
 		}
 	}
@@ -90,14 +90,14 @@
 	r.now = now
 	r.step(Tick{})
 	for _, call := range r.calls {
-		l.due = append(l.due, dueEvent{at: now.Add(loadCall), router: r, call: call})
+		l.due = append(l.due, dueEvent{at: now.Add(loadCallTime), router: r, call: call})
 	}
 	r.calls = nil
 	for attempt, res := range r.decided {
 		require.Equal(t, result.OK, res.Code)
-		l.waits = append(l.waits, now.Sub(l.asked[attempt]))
+		l.waits = append(l.waits, now.Sub(l.requestedAt[attempt]))
 		done := r.request(fmt.Sprint("k", attempt.Sequence), attempt.Sequence)
-		l.due = append(l.due, dueEvent{at: now.Add(loadRun), router: r, done: done})
+		l.due = append(l.due, dueEvent{at: now.Add(loadRunTime), router: r, done: done})
 		delete(r.decided, attempt)
 	}
 }
@@ -114,16 +114,16 @@
 			t.Logf("routers=%d claims/s=%d writes/s=%.1f conflicts/s=%.1f reads/s=%.1f wait p50=%v p99=%v max=%v written/claim=%d B read/claim=%d B seals=%d",
 				routers, rate, perSecond(l.p.writes), perSecond(l.p.conflicts), perSecond(l.p.reads),
 				l.waits[n/2], l.waits[n*99/100], l.waits[n-1], l.p.writtenBytes/n, l.p.readBytes/n, l.p.seals)
-			require.LessOrEqual(t, l.p.writes, FleetRounds*(loadSeconds+3))
-			require.Less(t, l.waits[n-1], decideWithin)
+			require.LessOrEqual(t, l.p.writes, FleetRoundsPerSecond*(loadSeconds+3))
+			require.Less(t, l.waits[n-1], maxDecisionTime)
 		}
 	}
 }
 
 func perSecond(count int) float64 { return float64(count) / loadSeconds }
 
-// dayOfKeys is what each shard remembers before the load of TestWritesStaySmall.
-const dayOfKeys = 20_000
+// initialKeys is what each shard remembers before the load of TestWritesStaySmall.
+const initialKeys = 20_000
 
 // TestWritesStaySmall: by the evening the fleet spends its network on claims,
 // since each write carries the keys of the day. A write carries one segment at
@@ -131,21 +131,21 @@
 func TestWritesStaySmall(t *testing.T) {
 	for _, rate := range []int{10, 100, 1000} {
 		l := newLoad(8)
-		l.p.fill(t, dayOfKeys)
+		l.p.fill(t, initialKeys)
 		l.run(t, rate)
 		n := len(l.waits)
 		t.Logf("keys=%d claims/s=%d written/claim=%d B read/claim=%d B cold reads=%d of %d B each writes/s=%.1f reads/s=%.1f",
-			Shards*dayOfKeys, rate, l.p.writtenBytes/n, (l.p.readBytes-l.p.wholeBytes)/n, l.p.wholes, l.p.wholeBytes/l.p.wholes,
+			Shards*initialKeys, rate, l.p.writtenBytes/n, (l.p.readBytes-l.p.wholeReadBytes)/n, l.p.wholeReads, l.p.wholeReadBytes/l.p.wholeReads,
 			perSecond(l.p.writes), perSecond(l.p.reads))
 		require.LessOrEqual(t, l.p.writtenBytes, 2*SegmentBytes*l.p.writes)
-		require.LessOrEqual(t, l.p.wholes, 8*Shards, "a chain is read whole once")
+		require.LessOrEqual(t, l.p.wholeReads, 8*Shards, "a chain is read whole once")
 	}
 }
 
 // fill gives each shard a chain of so many keys.
 func (p *platform) fill(t *testing.T, keys int) {
 	t.Helper()
-	segments := filled(keys)
+	segments := completedSegments(keys)
 	for shard := range Shards {
 		for slot, segment := range segments {
 			value, err := segment.Encode()
--- a/coordination/claims/machine.go
+++ b/coordination/claims/machine.go
@@ -34,8 +34,8 @@
 	withdrawn bool
 }
 
-// settled says whether no write of this op can land any more.
-func (o *op) settled(at position) bool { return !o.fenced || at.after(o.fence) }
+// cannotLand says whether no write of this op can land any more.
+func (o *op) cannotLand(at position) bool { return !o.fenced || at.after(o.fence) }
 
 // position is a version of one segment of a chain.
 type position struct {
@@ -50,12 +50,12 @@
 	return p.number > other.number || p.number == other.number && p.version > other.version
 }
 
-type flight uint8
+type callKind uint8
 
 const (
-	flightNone flight = iota
-	flightRead
-	flightWrite
+	callNone callKind = iota
+	callRead
+	callWrite
 )
 
 // shardState is a router's view of one shard and its work on it.
@@ -63,30 +63,30 @@
 	index int
 	// chain holds the sealed segments, nil until the whole chain was read.
 	chain *chain
-	// last is the position of the segment after them. Version zero: it does
+	// lastPosition is the position of the segment after them. Version zero: it does
 	// not exist as far as this router knows.
-	last position
-	// copy is the last segment's content, nil if it must be read.
-	copy *Segment
-	// asOf is a time at which copy was surely current.
-	asOf time.Time
+	lastPosition position
+	// lastSegment is the last segment's content, nil if it must be read.
+	lastSegment *Segment
+	// lastSegmentAsOf is a time at which copy was surely current.
+	lastSegmentAsOf time.Time
 	// contended is set while other routers write the shard too: reads are
 	// cheaper than conflicts, so each round then reads first.
 	contended bool
 	// notBefore holds back rounds on an object of another format.
-	notBefore time.Time
-	waiting   []*op
-	flight    flight
-	// begun is when the call in flight began.
-	begun time.Time
+	notBefore    time.Time
+	waiting      []*op
+	callInFlight callKind
+	// callStarted is when the call in flight began.
+	callStarted time.Time
 	// round are the ops of the write in flight, next what it writes.
-	round []*op
-	next  *Segment
+	round       []*op
+	nextSegment *Segment
 	// emptying is set while the write in flight empties an expired segment.
 	emptying bool
-	// rounds counts those since an expired segment was emptied.
-	rounds int
-	queued bool
+	// roundsSinceEmptying counts those since an expired segment was emptied.
+	roundsSinceEmptying int
+	queued              bool
 	// urgent puts the shard before others in the queue after a round that
 	// came to nothing. Its claims have waited a whole turn already; with one
 	// more for each conflict the last callers of a burst would wait seconds.
@@ -104,37 +104,37 @@
 	shards [Shards]shardState
 	// queue holds shards with work, first come first served.
 	queue []*shardState
-	// spare is the queue's other buffer.
-	spare []*shardState
+	// spareQueue is the queue's other buffer.
+	spareQueue []*shardState
 	// interval is the time between rounds, nextRound when one may start.
 	interval  time.Duration
 	nextRound time.Time
-	// suspect is set while the platform did not answer the last call, and
+	// platformSuspect is set while the platform did not answer the last call, and
 	// awayUntil is when it is tried again.
-	suspect   bool
-	awayUntil time.Time
-	flights   int
-	settling  int
-	flushing  bool
-	out       []Action
-	limits    limits
+	platformSuspect    bool
+	unavailableUntil   time.Time
+	callsInFlight      int
+	pendingSettlements int
+	flushing           bool
+	actions            []Action
+	limits             limits
 }
 
 // limits are the sizes of chains. Tests take small ones.
 type limits struct {
-	segmentBytes int
-	slots        uint64
-	reserved     int
-	keys         int
+	segmentBytes  int
+	slots         uint64
+	reservedSlots int
+	maxKeys       int
 }
 
 // NewMachine returns a machine for one incarnation of a router.
 func NewMachine(router state.Router, incarnation state.Incarnation) *Machine {
 	m := &Machine{
 		self:   claimer{router, incarnation},
-		limits: limits{segmentBytes: SegmentBytes, slots: Slots, reserved: reservedSlots, keys: MaxKeys},
+		limits: limits{segmentBytes: SegmentBytes, slots: Slots, reservedSlots: reservedSlots, maxKeys: MaxKeys},
 	}
-	m.resize(defaultRouters)
+	m.setFleetSize(defaultRouters)
 	for i := range m.shards {
 		m.shards[i].index = i
 	}
@@ -153,37 +153,37 @@
 // Step takes one event and returns what to do. The same events at the same
 // times give the same actions. The slice is valid until the next Step.
 func (m *Machine) Step(now time.Time, event Event) []Action {
-	m.out = m.out[:0]
+	m.actions = m.actions[:0]
 	switch e := event.(type) {
-	case Wanted:
-		m.want(now, e.Request)
-	case Withdrawn:
-		m.withdraw(now, e.Request)
-	case Finished:
-		m.finish(now, e)
+	case ClaimWanted:
+		m.handleWanted(now, e.Request)
+	case ClaimWithdrawn:
+		m.withdrawClaim(now, e.Request)
+	case RequestFinished:
+		m.handleFinished(now, e)
 	case ReadDone:
 		m.readDone(now, e)
 	case WriteDone:
 		m.writeDone(now, e)
-	case FleetSized:
-		m.resize(e.Routers)
-	case Flushed:
+	case FleetResized:
+		m.setFleetSize(e.Routers)
+	case FlushRequested:
 		m.flushing = true
 	case Tick:
 	}
-	m.pump(now)
-	return m.out
+	m.startRounds(now)
+	return m.actions
 }
 
-func (m *Machine) emit(a Action) { m.out = append(m.out, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// resize divides the fleet's rounds among its routers, so that calls to the
+// setFleetSize divides the fleet's rounds among its routers, so that calls to the
 // platform do not grow with the fleet.
-func (m *Machine) resize(routers int) {
-	m.interval = time.Second * time.Duration(max(routers, 1)) / FleetRounds
+func (m *Machine) setFleetSize(routers int) {
+	m.interval = time.Second * time.Duration(max(routers, 1)) / FleetRoundsPerSecond
 }
 
-func (m *Machine) want(now time.Time, req Request) {
+func (m *Machine) handleWanted(now time.Time, req Request) {
 	digest := req.Digest()
 	s := &m.shards[ShardOf(digest)]
 	m.enqueue(s, &op{kind: opClaim, digest: digest, claim: req.Attempt, arrived: now})
@@ -191,8 +191,8 @@
 
 func (m *Machine) enqueue(s *shardState, o *op) {
 	if o.kind != opClaim {
-		m.settling++
-		if m.settling > maxSettling {
+		m.pendingSettlements++
+		if m.pendingSettlements > maxPendingSettlements {
 			m.dropOldest(s)
 		}
 	}
@@ -201,7 +201,7 @@
 }
 
 func (m *Machine) queueShard(s *shardState) {
-	if s.queued || s.flight != flightNone || len(s.waiting) == 0 {
+	if s.queued || s.callInFlight != callNone || len(s.waiting) == 0 {
 		return
 	}
 	s.queued = true
@@ -220,12 +220,12 @@
 		return
 	}
 	s.waiting = slices.Delete(s.waiting, i, i+1)
-	m.settling--
+	m.pendingSettlements--
 }
 
-// withdraw gives up a claim that was not used. One that no write has carried
+// withdrawClaim gives up a claim that was not used. One that no write has carried
 // is just dropped; any other is released.
-func (m *Machine) withdraw(now time.Time, req Request) {
+func (m *Machine) withdrawClaim(now time.Time, req Request) {
 	digest := req.Digest()
 	s := &m.shards[ShardOf(digest)]
 	sameClaim := func(o *op) bool { return o.kind == opClaim && o.claim == req.Attempt }
@@ -240,21 +240,21 @@
 	}
 	o := s.waiting[i]
 	s.waiting = slices.Delete(s.waiting, i, i+1)
-	m.release(now, s, o)
+	m.releaseIfFenced(now, s, o)
 }
 
-// release takes a claim back that is not going to run. Only a write with an
+// releaseIfFenced takes a claim back that is not going to run. Only a write with an
 // unknown outcome can have left something to take back.
-func (m *Machine) release(now time.Time, s *shardState, o *op) {
+func (m *Machine) releaseIfFenced(now time.Time, s *shardState, o *op) {
 	if !o.fenced {
 		return
 	}
 	m.enqueue(s, &op{kind: opRelease, digest: o.digest, claim: o.claim, arrived: now, fence: o.fence, fenced: true})
 }
 
-func (m *Machine) finish(now time.Time, e Finished) {
+func (m *Machine) handleFinished(now time.Time, e RequestFinished) {
 	if e.Ran == result.RanNo {
-		m.withdraw(now, e.Request)
+		m.withdrawClaim(now, e.Request)
 		return
 	}
 	status := StatusCompleted
--- a/coordination/claims/machine_test.go
+++ b/coordination/claims/machine_test.go
@@ -19,69 +19,69 @@
 type platform struct {
 	version Version
 	// history holds the writes of each shard in their order.
-	history [Shards][]Stored
+	history [Shards][]StoredSegment
 
-	reads, wholes, writes, conflicts, seals int
-	readBytes, wholeBytes, writtenBytes     int
+	reads, wholeReads, writes, conflicts, seals int
+	readBytes, wholeReadBytes, writtenBytes     int
 }
 
 func (p *platform) read(a Read) ReadDone {
 	p.reads++
-	done := p.stale(a, 0)
+	done := p.staleRead(a, 0)
 	size := len(done.Value)
 	for _, o := range done.Others {
 		size += len(o.Value)
 	}
 	p.readBytes += size
-	if a.Whole {
-		p.wholes++
-		p.wholeBytes += size
+	if a.WholeChain {
+		p.wholeReads++
+		p.wholeReadBytes += size
 	}
 	return done
 }
 
-// stale reads a shard as it was some writes ago.
-func (p *platform) stale(a Read, back int) ReadDone {
+// staleRead reads a shard as it was some writes ago.
+func (p *platform) staleRead(a Read, behind int) ReadDone {
 	past := p.history[a.Shard]
-	slots := map[int]Stored{}
-	for _, o := range past[:max(len(past)-back, 0)] {
+	slots := map[int]StoredSegment{}
+	for _, o := range past[:max(len(past)-behind, 0)] {
 		slots[o.Slot] = o
 	}
 	done := ReadDone{Shard: a.Shard, Outcome: ReadOK, Version: slots[a.Slot].Version, Value: slots[a.Slot].Value}
 	for slot, o := range slots {
-		if a.Whole && slot != a.Slot {
+		if a.WholeChain && slot != a.Slot {
 			done.Others = append(done.Others, o)
 		}
 	}
 	return done
 }
 
-func (p *platform) at(shard, slot int) Stored {
+func (p *platform) stored(shard, slot int) StoredSegment {
 	for _, o := range slices.Backward(p.history[shard]) {
 		if o.Slot == slot {
 			return o
 		}
 	}
-	return Stored{Slot: slot}
+	return StoredSegment{Slot: slot}
 }
 
 // write replaces an object under its condition.
 func (p *platform) write(a Write) WriteDone {
 	p.writes++
 	p.writtenBytes += len(a.Value)
-	if p.at(a.Shard, a.Slot).Version != a.Expected {
+	if p.stored(a.Shard, a.Slot).Version != a.Expected {
 		p.conflicts++
 		return WriteDone{Shard: a.Shard, Outcome: WriteConflict}
 	}
-	if sealed(a.Value) {
+	if isSealed(a.Value) {
 		p.seals++
 	}
 	p.version++
-	p.history[a.Shard] = append(p.history[a.Shard], Stored{Slot: a.Slot, Version: p.version, Value: a.Value})
+	p.history[a.Shard] = append(p.history[a.Shard], StoredSegment{Slot: a.Slot, Version: p.version, Value: a.Value})
 	return WriteDone{Shard: a.Shard, Outcome: WriteOK, Version: p.version}
 }
 
-func sealed(value []byte) bool {
+func isSealed(value []byte) bool {
 	segment, err := Decode(value)
 	return err == nil && segment.Sealed
 }
@@ -115,8 +115,8 @@
 	}
 }
 
-// next takes the oldest call under way.
-func (r *router) next() Action {
+// nextCall takes the oldest call under way.
+func (r *router) nextCall() Action {
 	call := r.calls[0]
 	r.calls = r.calls[1:]
 	return call
@@ -136,7 +136,7 @@
 	for {
 		switch {
 		case len(r.calls) > 0:
-			r.answer(p, r.next())
+			r.answer(p, r.nextCall())
 		case r.Pending() > 0:
 			r.now = latest(r.now, r.wake)
 			r.step(Tick{})
@@ -156,7 +156,7 @@
 // claim asks and settles, and returns the decision.
 func (r *router) claim(p *platform, key string, sequence uint64) result.Result {
 	req := r.request(key, sequence)
-	r.step(Wanted{Request: req})
+	r.step(ClaimWanted{Request: req})
 	r.settle(p)
 	res, ok := r.decided[req.Attempt]
 	if !ok {
@@ -172,17 +172,17 @@
 	p := &platform{}
 	a, b := newRouter("pudahuel-1", 1), newRouter("quilicura-1", 1)
 	reqA, reqB := a.request("k", 1), b.request("k", 1)
-	a.step(Wanted{Request: reqA})
-	b.step(Wanted{Request: reqB})
-	a.answer(p, a.next())
-	b.answer(p, b.next())
+	a.step(ClaimWanted{Request: reqA})
+	b.step(ClaimWanted{Request: reqB})
+	a.answer(p, a.nextCall())
+	b.answer(p, b.nextCall())
 	a.settle(p)
 	b.settle(p)
 	require.Equal(t, result.OK, a.decided[reqA.Attempt].Code)
 	require.Equal(t, result.KeyInProgress, b.decided[reqB.Attempt].Code)
 	require.Equal(t, result.RanUnknown, b.decided[reqB.Attempt].Ran)
 
-	a.step(Finished{Request: reqA, Ran: result.RanYes})
+	a.step(RequestFinished{Request: reqA, Ran: result.RanYes})
 	a.settle(p)
 	require.Equal(t, result.KeyCompleted, b.claim(p, "k", 2).Code)
 }
@@ -190,14 +190,14 @@
 // TestResendAfterAKill: a family is charged twice. The router is replaced
 // between claim and dispatch, so nobody knows whether the booking was sent,
 // and the resend must not run.
-func TestResendAfterAKill(t *testing.T) {
+func TestResendAfterCrash(t *testing.T) {
 	p := &platform{}
 	require.Equal(t, result.OK, newRouter("pudahuel-1", 1).claim(p, "k", 1).Code)
 	again := newRouter("pudahuel-1", 2)
 	require.Equal(t, result.KeyUnknown, again.claim(p, "k", 1).Code)
 	other := newRouter("quilicura-1", 1)
 	require.Equal(t, result.KeyInProgress, other.claim(p, "k", 1).Code)
-	other.now = other.now.Add(inProgressFor + time.Second)
+	other.now = other.now.Add(maxInProgressTime + time.Second)
 	require.Equal(t, result.KeyUnknown, other.claim(p, "k", 2).Code)
 	other.now = other.now.Add(Retention + clockSkew)
 	require.Equal(t, result.OK, other.claim(p, "k", 3).Code)
@@ -206,14 +206,14 @@
 // TestLostAnswerIsSettled: a guardian's booking hangs although it could run.
 // The platform's answer to the write is lost; reading back finds the router's
 // own claim id, whether the write landed before the read or only after it.
-func TestLostAnswerIsSettled(t *testing.T) {
+func TestLostAnswerIsReadBack(t *testing.T) {
 	for _, landsLate := range []bool{false, true} {
 		p := &platform{}
 		r := newRouter("pudahuel-1", 1)
 		req := r.request("k", 1)
-		r.step(Wanted{Request: req})
-		r.answer(p, r.next())
-		write := r.next().(Write)
+		r.step(ClaimWanted{Request: req})
+		r.answer(p, r.nextCall())
+		write := r.nextCall().(Write)
 		if !landsLate {
 			p.write(write)
 		}
@@ -221,7 +221,7 @@
 		require.Empty(t, r.decided, "nothing runs on an unknown write")
 		r.now = r.wake
 		r.step(Tick{})
-		r.answer(p, r.next())
+		r.answer(p, r.nextCall())
 		if landsLate {
 			p.write(write)
 		}
@@ -234,29 +234,29 @@
 // hears "in progress" for a day. The platform goes away within the write, so
 // the claim may have landed or may land later; once the platform is back the
 // claim is withdrawn before or together with the resend.
-func TestUnsettledClaimIsTakenBack(t *testing.T) {
-	for _, lands := range []string{"never", "before the outage", "after the first read back"} {
-		t.Run(lands, func(t *testing.T) {
+func TestUnsettledClaimIsReleased(t *testing.T) {
+	for _, landing := range []string{"never", "before the outage", "after the first read back"} {
+		t.Run(landing, func(t *testing.T) {
 			p := &platform{}
 			r := newRouter("pudahuel-1", 1)
 			req := r.request("k", 1)
-			r.step(Wanted{Request: req})
-			r.answer(p, r.next())
-			write := r.next().(Write)
-			if lands == "before the outage" {
+			r.step(ClaimWanted{Request: req})
+			r.answer(p, r.nextCall())
+			write := r.nextCall().(Write)
+			if landing == "before the outage" {
 				p.write(write)
 			}
 			r.step(WriteDone{Shard: write.Shard, Outcome: WriteUnknown})
 			r.now = r.wake
 			r.step(Tick{})
-			r.step(ReadDone{Shard: r.next().(Read).Shard, Outcome: ReadFailed})
+			r.step(ReadDone{Shard: r.nextCall().(Read).Shard, Outcome: ReadFailed})
 			require.Equal(t, result.ClaimUnavailable, r.decided[req.Attempt].Code)
 			require.Equal(t, result.RanNo, r.decided[req.Attempt].Ran)
 
 			r.now = r.wake
 			r.step(Tick{})
-			r.answer(p, r.next())
-			if lands == "after the first read back" {
+			r.answer(p, r.nextCall())
+			if landing == "after the first read back" {
 				p.write(write)
 			}
 			r.settle(p)
@@ -269,37 +269,37 @@
 // TestFrozenClaimer: a booking runs twice. A router is paused within its write;
 // meanwhile the caller sends again elsewhere. When it wakes, its write meets a
 // later version, or lands so late that its caller is long gone.
-func TestFrozenClaimer(t *testing.T) {
+func TestPausedClaimer(t *testing.T) {
 	p := &platform{}
-	frozen, other := newRouter("pudahuel-1", 1), newRouter("quilicura-1", 1)
-	req := frozen.request("k", 1)
-	frozen.step(Wanted{Request: req})
-	frozen.answer(p, frozen.next())
+	paused, other := newRouter("pudahuel-1", 1), newRouter("quilicura-1", 1)
+	req := paused.request("k", 1)
+	paused.step(ClaimWanted{Request: req})
+	paused.answer(p, paused.nextCall())
 	require.Equal(t, result.OK, other.claim(p, "k", 1).Code)
-	frozen.now = frozen.now.Add(time.Hour)
-	frozen.settle(p)
-	require.Equal(t, result.KeyUnknown, frozen.decided[req.Attempt].Code)
-
-	late := frozen.request("k2", 2)
-	frozen.step(Wanted{Request: late})
-	frozen.now = frozen.now.Add(decideWithin + time.Second)
-	frozen.settle(p)
-	require.Equal(t, result.ClaimUnavailable, frozen.decided[late.Attempt].Code)
+	paused.now = paused.now.Add(time.Hour)
+	paused.settle(p)
+	require.Equal(t, result.KeyUnknown, paused.decided[req.Attempt].Code)
+
+	late := paused.request("k2", 2)
+	paused.step(ClaimWanted{Request: late})
+	paused.now = paused.now.Add(maxDecisionTime + time.Second)
+	paused.settle(p)
+	require.Equal(t, result.ClaimUnavailable, paused.decided[late.Attempt].Code)
 	require.Equal(t, result.OK, other.claim(p, "k2", 2).Code, "the late claim was given back")
 }
 
 // TestPlatformAway: counter staff stare at a spinner for every booking of an
 // outage. After the first failure claims are refused at once, and one call at
 // a time asks whether the platform is back.
-func TestPlatformAway(t *testing.T) {
+func TestPlatformUnavailable(t *testing.T) {
 	p := &platform{}
 	r := newRouter("pudahuel-1", 1)
 	first := r.request("k0", 1)
-	r.step(Wanted{Request: first})
-	r.step(ReadDone{Shard: r.next().(Read).Shard, Outcome: ReadFailed})
+	r.step(ClaimWanted{Request: first})
+	r.step(ReadDone{Shard: r.nextCall().(Read).Shard, Outcome: ReadFailed})
 	for i := range 100 {
 		req := r.request(fmt.Sprint("k", i+1), uint64(i+2))
-		r.step(Wanted{Request: req})
+		r.step(ClaimWanted{Request: req})
 		res := r.decided[req.Attempt]
 		require.Equal(t, result.ClaimUnavailable, res.Code)
 		require.Equal(t, result.RanNo, res.Ran)
@@ -307,11 +307,11 @@
 	}
 	require.Empty(t, r.calls)
 
-	r.now = r.now.Add(awayFor)
+	r.now = r.now.Add(unavailableRetry)
 	probe := r.request("probe", 200)
-	r.step(Wanted{Request: probe})
+	r.step(ClaimWanted{Request: probe})
 	meanwhile := r.request("meanwhile", 201)
-	r.step(Wanted{Request: meanwhile})
+	r.step(ClaimWanted{Request: meanwhile})
 	require.Len(t, r.calls, 1)
 	require.Equal(t, result.ClaimUnavailable, r.decided[meanwhile.Attempt].Code)
 	r.settle(p)
@@ -325,43 +325,43 @@
 func TestFullShard(t *testing.T) {
 	p := &platform{}
 	r := newRouter("pudahuel-1", 1)
-	r.limits.keys = 40
-	held, given := r.request("held", 1), r.request(sameShard(r, ShardOf(r.request("held", 0).Digest())), 2)
-	at := ShardOf(held.Digest())
-	for _, req := range []Request{held, given} {
-		r.step(Wanted{Request: req})
+	r.limits.maxKeys = 40
+	completed, released := r.request("held", 1), r.request(keyInShard(r, ShardOf(r.request("held", 0).Digest())), 2)
+	at := ShardOf(completed.Digest())
+	for _, req := range []Request{completed, released} {
+		r.step(ClaimWanted{Request: req})
 		r.settle(p)
 		require.Equal(t, result.OK, r.decided[req.Attempt].Code)
 	}
-	shard, err := Decode(p.at(at, 0).Value)
+	shard, err := Decode(p.stored(at, 0).Value)
 	require.NoError(t, err)
 	d := newDraft(shard, newChain(), epoch)
-	for i := range r.limits.keys - 2 {
-		d.put(Entry{Digest: Digest{0xff, byte(i >> 16), byte(i >> 8), byte(i)}, Claim: held.Attempt, Status: StatusRunning, At: epoch})
+	for i := range r.limits.maxKeys - 2 {
+		d.put(Entry{Digest: Digest{0xff, byte(i >> 16), byte(i >> 8), byte(i)}, Claim: completed.Attempt, Status: StatusRunning, ClaimedAt: epoch})
 	}
 	value, err := d.build().Encode()
 	require.NoError(t, err)
-	require.Equal(t, WriteOK, p.write(Write{Shard: at, Expected: p.at(at, 0).Version, Value: value}).Outcome)
+	require.Equal(t, WriteOK, p.write(Write{Shard: at, Expected: p.stored(at, 0).Version, Value: value}).Outcome)
 
-	keys := keysOf(r, at, 3)
+	keys := keysInShard(r, at, 3)
 	other := newRouter("quilicura-1", 1)
 	other.limits = r.limits
 	res := other.claim(p, keys[1], 2)
 	require.Equal(t, result.ClaimUnavailable, res.Code)
 	require.Equal(t, result.RanNo, res.Ran)
-	r.step(Finished{Request: held, Ran: result.RanYes})
+	r.step(RequestFinished{Request: completed, Ran: result.RanYes})
 	r.settle(p)
 	require.Equal(t, result.KeyCompleted, r.claim(p, "held", 3).Code)
 	require.Equal(t, result.ClaimUnavailable, r.claim(p, keys[1], 4).Code)
-	r.step(Finished{Request: given, Ran: result.RanNo})
+	r.step(RequestFinished{Request: released, Ran: result.RanNo})
 	r.settle(p)
-	require.Equal(t, result.OK, r.claim(p, given.Key, 5).Code, "what was released makes room")
+	require.Equal(t, result.OK, r.claim(p, released.Key, 5).Code, "what was released makes room")
 	r.now = r.now.Add(Retention + clockSkew + time.Second)
 	require.Equal(t, result.OK, r.claim(p, keys[2], 6).Code, "what has expired makes room")
 }
 
-// keysOf returns keys that lie in a shard.
-func keysOf(r *router, shard, n int) []string {
+// keysInShard returns keys that lie in a shard.
+func keysInShard(r *router, shard, n int) []string {
 	var keys []string
 	for i := 0; len(keys) < n; i++ {
 		key := fmt.Sprint("other-", i)
@@ -372,11 +372,11 @@
 	return keys
 }
 
-// sameShard returns a key that lies in the shard.
-func sameShard(r *router, shard int) string { return keysOf(r, shard, 1)[0] }
+// keyInShard returns a key that lies in the shard.
+func keyInShard(r *router, shard int) string { return keysInShard(r, shard, 1)[0] }
 
-// TestForeignObjectIsLeftAlone keeps an object that this version cannot read.
-func TestForeignObjectIsLeftAlone(t *testing.T) {
+// TestUnknownFormatIsNotOverwritten keeps an object that this version cannot read.
+func TestUnknownFormatIsNotOverwritten(t *testing.T) {
 	p := &platform{}
 	for i := range p.history {
 		p.write(Write{Shard: i, Value: []byte("a later format")})
@@ -394,21 +394,21 @@
 	p := &platform{}
 	r := newRouter("pudahuel-1", 1)
 	late := r.request("late", 1)
-	r.step(Wanted{Request: late})
-	r.answer(p, r.next())
-	write := r.next().(Write)
+	r.step(ClaimWanted{Request: late})
+	r.answer(p, r.nextCall())
+	write := r.nextCall().(Write)
 	p.write(write)
-	r.now = r.now.Add(decideWithin + time.Second)
+	r.now = r.now.Add(maxDecisionTime + time.Second)
 	r.step(WriteDone{Shard: write.Shard, Outcome: WriteUnknown})
-	key := sameShard(r, write.Shard)
-	r.step(Wanted{Request: r.request(key, 2)})
-	r.answer(p, r.next())
+	key := keyInShard(r, write.Shard)
+	r.step(ClaimWanted{Request: r.request(key, 2)})
+	r.answer(p, r.nextCall())
 	require.Equal(t, result.ClaimUnavailable, r.decided[late.Attempt].Code)
 
 	granted := 0
 	for sequence := uint64(3); sequence < 6; sequence++ {
 		r.now = r.now.Add(time.Second)
-		r.step(Wanted{Request: r.request("late", sequence)})
+		r.step(ClaimWanted{Request: r.request("late", sequence)})
 		require.Len(t, r.calls, 1)
 	}
 	r.settle(p)
@@ -422,20 +422,20 @@
 
 // TestStaleReadKeepsARelease: a caller was told "not run", yet its key stays
 // taken for a day. The read before the release is older than the claim.
-func TestStaleReadKeepsARelease(t *testing.T) {
+func TestStaleReadKeepsRelease(t *testing.T) {
 	p := &platform{}
 	r, other := newRouter("pudahuel-1", 1), newRouter("quilicura-1", 1)
 	req := r.request("k", 1)
 	require.Equal(t, result.OK, r.claim(p, "k", 1).Code)
 	shard := ShardOf(req.Digest())
-	require.Equal(t, result.OK, other.claim(p, sameShard(r, shard), 1).Code)
-	r.step(Finished{Request: req, Ran: result.RanNo})
+	require.Equal(t, result.OK, other.claim(p, keyInShard(r, shard), 1).Code)
+	r.step(RequestFinished{Request: req, Ran: result.RanNo})
 	r.now = r.wake
 	r.step(Tick{})
-	r.answer(p, r.next())
+	r.answer(p, r.nextCall())
 	r.now = r.wake
 	r.step(Tick{})
-	r.step(p.stale(r.next().(Read), 2))
+	r.step(p.staleRead(r.nextCall().(Read), 2))
 	r.settle(p)
 	other.now = r.now
 	require.Equal(t, result.OK, other.claim(p, "k", 2).Code)
--- a/coordination/claims/minted/key.go
+++ b/coordination/claims/minted/key.go
@@ -23,8 +23,8 @@
 	separator = ":"
 )
 
-// errKey says that a text is no minted key.
-var errKey = errors.New("minted: not a minted key")
+// errMalformedKey says that a text is no minted key.
+var errMalformedKey = errors.New("minted: not a minted key")
 
 // Key names one key. The code binds it to a workspace and to the secret of the
 // incarnation that issued it.
@@ -36,8 +36,8 @@
 	code        [macBytes]byte
 }
 
-// Is says whether a caller's key claims to be a minted one.
-func Is(key string) bool { return strings.HasPrefix(key, prefix) }
+// IsMinted says whether a caller's key claims to be a minted one.
+func IsMinted(key string) bool { return strings.HasPrefix(key, prefix) }
 
 // String returns the key as callers send it.
 func (k Key) String() string {
@@ -53,20 +53,20 @@
 // Parse reads a key without checking its code.
 func Parse(text string) (Key, error) {
 	fields := strings.Split(strings.TrimPrefix(text, prefix), separator)
-	if !Is(text) || len(fields) != keyFields {
-		return Key{}, errKey
+	if !IsMinted(text) || len(fields) != keyFields {
+		return Key{}, errMalformedKey
 	}
 	incarnation, err := strconv.ParseUint(fields[2], 10, 64)
 	if err != nil {
-		return Key{}, errKey
+		return Key{}, errMalformedKey
 	}
 	sequence, err := strconv.ParseUint(fields[3], 10, 64)
 	if err != nil {
-		return Key{}, errKey
+		return Key{}, errMalformedKey
 	}
 	code, err := base64.RawURLEncoding.DecodeString(fields[4])
 	if err != nil || len(code) != macBytes {
-		return Key{}, errKey
+		return Key{}, errMalformedKey
 	}
 	return Key{
 		DataCentre:  state.DataCentre(fields[0]),
--- a/coordination/claims/minted/mint.go
+++ b/coordination/claims/minted/mint.go
@@ -31,8 +31,8 @@
 
 // Faults of a mint's options.
 var (
-	errNames  = errors.New("minted: data centre and router must be named without ':'")
-	errSecret = errors.New("minted: the secret is too short")
+	errInvalidName = errors.New("minted: data centre and router must be named without ':'")
+	errShortSecret = errors.New("minted: the secret is too short")
 )
 
 // status is where a key stands.
@@ -50,8 +50,8 @@
 	workspace state.Workspace
 	claim     state.AttemptID
 	status    status
-	// until is when the record may be forgotten.
-	until time.Time
+	// expiresAt is when the record may be forgotten.
+	expiresAt time.Time
 }
 
 // Options name an incarnation of a router.
@@ -71,40 +71,40 @@
 // long ago that it may have run. So forgetting is always safe, and the bounds
 // on memory cost no promise.
 type Mint struct {
-	opts     Options
-	sequence uint64
-	records  map[uint64]*record
-	perOwner map[state.Workspace]int
+	opts             Options
+	sequence         uint64
+	records          map[uint64]*record
+	keysPerWorkspace map[state.Workspace]int
 	// issued and used hold sequences in the order in which they expire.
 	issued, used []expiry
 }
 
 type expiry struct {
-	sequence uint64
-	at       time.Time
+	sequence  uint64
+	expiresAt time.Time
 }
 
 // New returns a mint.
 func New(opts Options) (*Mint, error) {
 	names := string(opts.DataCentre) + string(opts.Router)
 	if opts.DataCentre == "" || opts.Router == "" || strings.Contains(names, separator) {
-		return nil, errNames
+		return nil, errInvalidName
 	}
 	if len(opts.Secret) < minSecretBytes {
-		return nil, errSecret
+		return nil, errShortSecret
 	}
 	return &Mint{
-		opts:     opts,
-		records:  make(map[uint64]*record),
-		perOwner: make(map[state.Workspace]int),
+		opts:             opts,
+		records:          make(map[uint64]*record),
+		keysPerWorkspace: make(map[state.Workspace]int),
 	}, nil
 }
 
 // Issue returns a new key of a workspace and when it expires. The result is OK
 // or a refusal.
 func (m *Mint) Issue(now time.Time, ws state.Workspace) (Key, time.Time, result.Result) {
-	m.forget(now)
-	if len(m.records) >= MaxKeys || m.perOwner[ws] >= MaxPerWorkspace {
+	m.forgetExpired(now)
+	if len(m.records) >= MaxKeys || m.keysPerWorkspace[ws] >= MaxPerWorkspace {
 		refusal := result.New(result.TooManyRequests, "The router holds as many keys as it may.")
 		return Key{}, time.Time{}, refusal.After(fullRetry)
 	}
@@ -116,16 +116,16 @@
 		Sequence:    m.sequence,
 	}
 	key.code = key.sign(m.opts.Secret, ws)
-	until := now.Add(Lifetime)
-	m.records[m.sequence] = &record{workspace: ws, until: until}
-	m.perOwner[ws]++
-	m.issued = append(m.issued, expiry{m.sequence, until})
-	return key, until, result.New(result.OK, "")
+	expiresAt := now.Add(Lifetime)
+	m.records[m.sequence] = &record{workspace: ws, expiresAt: expiresAt}
+	m.keysPerWorkspace[ws]++
+	m.issued = append(m.issued, expiry{m.sequence, expiresAt})
+	return key, expiresAt, result.New(result.OK, "")
 }
 
 // Claim returns OK if the request may run now, once.
 func (m *Mint) Claim(now time.Time, req claims.Request) result.Result {
-	m.forget(now)
+	m.forgetExpired(now)
 	key, err := Parse(req.Key)
 	if err != nil {
 		return result.New(result.BadRequest, "The idempotency key looks like an issued one but is malformed.")
@@ -140,16 +140,16 @@
 	if rec == nil {
 		return result.New(result.KeyUnknown, "The key has expired.")
 	}
-	return m.start(now, key.Sequence, rec, req.Attempt)
+	return m.startRun(now, key.Sequence, rec, req.Attempt)
 }
 
-func (m *Mint) start(now time.Time, sequence uint64, rec *record, claim state.AttemptID) result.Result {
+func (m *Mint) startRun(now time.Time, sequence uint64, rec *record, claim state.AttemptID) result.Result {
 	switch rec.status {
 	case statusIssued:
 		rec.status = statusRunning
 		rec.claim = claim
-		rec.until = now.Add(claims.Retention)
-		m.used = append(m.used, expiry{sequence, rec.until})
+		rec.expiresAt = now.Add(claims.Retention)
+		m.used = append(m.used, expiry{sequence, rec.expiresAt})
 		return result.New(result.OK, "")
 	case statusRunning:
 		return result.New(result.KeyInProgress, "").After(progressRetry)
@@ -181,25 +181,25 @@
 	}
 }
 
-// forget drops records whose time has come. A record that was used since it
+// forgetExpired drops records whose time has come. A record that was used since it
 // was queued has a later time and stays for its next place in the queue.
-func (m *Mint) forget(now time.Time) {
-	m.issued = m.drop(now, m.issued)
-	m.used = m.drop(now, m.used)
+func (m *Mint) forgetExpired(now time.Time) {
+	m.issued = m.dropExpired(now, m.issued)
+	m.used = m.dropExpired(now, m.used)
 }
 
-func (m *Mint) drop(now time.Time, queue []expiry) []expiry {
-	for len(queue) > 0 && !queue[0].at.After(now) {
+func (m *Mint) dropExpired(now time.Time, queue []expiry) []expiry {
+	for len(queue) > 0 && !queue[0].expiresAt.After(now) {
 		sequence := queue[0].sequence
 		queue = queue[1:]
 		rec := m.records[sequence]
-		if rec == nil || rec.until.After(now) {
+		if rec == nil || rec.expiresAt.After(now) {
 			continue
 		}
 		delete(m.records, sequence)
-		m.perOwner[rec.workspace]--
-		if m.perOwner[rec.workspace] == 0 {
-			delete(m.perOwner, rec.workspace)
+		m.keysPerWorkspace[rec.workspace]--
+		if m.keysPerWorkspace[rec.workspace] == 0 {
+			delete(m.keysPerWorkspace, rec.workspace)
 		}
 	}
 	return queue
--- a/coordination/claims/minted/mint_test.go
+++ b/coordination/claims/minted/mint_test.go
@@ -24,7 +24,7 @@
 	return m
 }
 
-func present(key Key, sequence uint64) claims.Request {
+func requestWithKey(key Key, sequence uint64) claims.Request {
 	return claims.Request{
 		Workspace: "lan", Service: "bookings", Key: key.String(),
 		Attempt: state.AttemptID{Router: "pudahuel-1", Incarnation: 1, Sequence: sequence},
@@ -33,26 +33,26 @@
 
 func TestKeyRunsOnce(t *testing.T) {
 	m := newMint(t, "pudahuel-1", 1, 1)
-	key, until, res := m.Issue(epoch, "lan")
+	key, expiresAt, res := m.Issue(epoch, "lan")
 	require.Equal(t, result.OK, res.Code)
-	require.Equal(t, epoch.Add(Lifetime), until)
-	first := present(key, 1)
+	require.Equal(t, epoch.Add(Lifetime), expiresAt)
+	first := requestWithKey(key, 1)
 	require.Equal(t, result.OK, m.Claim(epoch, first).Code)
-	require.Equal(t, result.KeyInProgress, m.Claim(epoch, present(key, 2)).Code)
+	require.Equal(t, result.KeyInProgress, m.Claim(epoch, requestWithKey(key, 2)).Code)
 	m.Complete(first, result.RanNo)
-	second := present(key, 3)
+	second := requestWithKey(key, 3)
 	require.Equal(t, result.OK, m.Claim(epoch, second).Code)
 	m.Complete(first, result.RanNo)
-	require.Equal(t, result.KeyInProgress, m.Claim(epoch, present(key, 4)).Code, "a stale release changes nothing")
+	require.Equal(t, result.KeyInProgress, m.Claim(epoch, requestWithKey(key, 4)).Code, "a stale release changes nothing")
 	m.Complete(second, result.RanYes)
-	require.Equal(t, result.KeyCompleted, m.Claim(epoch.Add(2*Lifetime), present(key, 5)).Code)
-	require.Equal(t, result.KeyUnknown, m.Claim(epoch.Add(claims.Retention+time.Second), present(key, 6)).Code)
+	require.Equal(t, result.KeyCompleted, m.Claim(epoch.Add(2*Lifetime), requestWithKey(key, 5)).Code)
+	require.Equal(t, result.KeyUnknown, m.Claim(epoch.Add(claims.Retention+time.Second), requestWithKey(key, 6)).Code)
 }
 
 // TestKeyElsewhereIsNotRun: two escorts are assigned to one child. The key's
 // router is gone, restarted, doubled or just another one, and whoever receives
 // the resend cannot know whether the booking ran.
-func TestKeyElsewhereIsNotRun(t *testing.T) {
+func TestKeyOfAnotherMintIsNotRun(t *testing.T) {
 	key, _, _ := newMint(t, "pudahuel-1", 1, 1).Issue(epoch, "lan")
 	others := map[string]*Mint{
 		"another router":     newMint(t, "pudahuel-2", 1, 1),
@@ -61,14 +61,14 @@
 		"forgotten":          newMint(t, "pudahuel-1", 1, 1),
 	}
 	for name, m := range others {
-		res := m.Claim(epoch, present(key, 1))
+		res := m.Claim(epoch, requestWithKey(key, 1))
 		require.Equal(t, result.KeyUnknown, res.Code, name)
 		require.Equal(t, result.RanUnknown, res.Ran, name)
 	}
 	m := newMint(t, "pudahuel-1", 1, 1)
 	key, _, _ = m.Issue(epoch, "another-workspace")
-	require.Equal(t, result.KeyUnknown, m.Claim(epoch, present(key, 1)).Code)
-	malformed := present(key, 1)
+	require.Equal(t, result.KeyUnknown, m.Claim(epoch, requestWithKey(key, 1)).Code)
+	malformed := requestWithKey(key, 1)
 	malformed.Key = prefix + "a:b"
 	require.Equal(t, result.BadRequest, m.Claim(epoch, malformed).Code)
 }
@@ -110,7 +110,7 @@
 				if len(keys) == 0 {
 					continue
 				}
-				req := present(rapid.SampledFrom(keys).Draw(t, "key"), step)
+				req := requestWithKey(rapid.SampledFrom(keys).Draw(t, "key"), step)
 				if m.Claim(now, req).Code == result.OK {
 					running = append(running, req)
 				}
--- a/coordination/claims/property_test.go
+++ b/coordination/claims/property_test.go
@@ -20,34 +20,34 @@
 	p       *platform
 	routers []*router
 	keys    []string
-	// adrift are writes whose answer was given up and that may yet land.
-	adrift []Write
+	// lateWrites are writes whose answer was given up and that may yet land.
+	lateWrites []Write
 	// pending and granted are the requests of each router by state.
 	pending, granted [][]Request
 	running          [][]Request
 	sequence         uint64
 	runs             map[string]int
-	// held are keys that somebody has the right to run or has run.
-	held map[string]bool
-	// unclear are keys whose claimer crashed or that may be running.
-	unclear map[string]bool
-	limits  limits
+	// grantedKeys are keys that somebody has the right to run or has run.
+	grantedKeys map[string]bool
+	// uncertainKeys are keys whose claimer crashed or that may be running.
+	uncertainKeys map[string]bool
+	limits        limits
 }
 
 func newFleet(t *rapid.T) *fleet {
-	f := &fleet{t: t, p: &platform{}, runs: map[string]int{}, held: map[string]bool{}, unclear: map[string]bool{}}
+	f := &fleet{t: t, p: &platform{}, runs: map[string]int{}, grantedKeys: map[string]bool{}, uncertainKeys: map[string]bool{}}
 	f.limits = newRouter("r", 1).limits
 	// Two to four entries fill a segment.
 	f.limits.segmentBytes = rapid.IntRange(72, 140).Draw(t, "segment bytes")
 	if rapid.Bool().Draw(t, "few slots") {
-		f.limits.slots, f.limits.reserved = 12, 1
+		f.limits.slots, f.limits.reservedSlots = 12, 1
 	}
 	for i := range 3 {
 		f.routers = append(f.routers, newRouter(state.Router(fmt.Sprint("r", i)), 1))
 		f.routers[i].limits = f.limits
 	}
 	first := f.routers[0]
-	f.keys = []string{"k", sameShard(first, ShardOf(first.request("k", 0).Digest())), "elsewhere"}
+	f.keys = []string{"k", keyInShard(first, ShardOf(first.request("k", 0).Digest())), "elsewhere"}
 	f.pending = make([][]Request, len(f.routers))
 	f.granted = make([][]Request, len(f.routers))
 	f.running = make([][]Request, len(f.routers))
@@ -58,7 +58,7 @@
 	return rapid.IntRange(0, n-1).Draw(f.t, label)
 }
 
-func take[T any](list *[]T, i int) T {
+func removeAt[T any](list *[]T, i int) T {
 	item := (*list)[i]
 	*list = slices.Delete(*list, i, i+1)
 	return item
@@ -79,8 +79,8 @@
 		}
 		switch {
 		case res.Code == result.OK:
-			require.False(f.t, f.held[req.Key], "%s was granted twice", req.Key)
-			f.held[req.Key] = true
+			require.False(f.t, f.grantedKeys[req.Key], "%s was granted twice", req.Key)
+			f.grantedKeys[req.Key] = true
 			f.granted[i] = append(f.granted[i], req)
 		case res.Code == result.KeyCompleted:
 			require.Equal(f.t, 1, f.runs[req.Key], "told completed, but it never ran")
@@ -93,36 +93,36 @@
 	})
 }
 
-func (f *fleet) ask(i int) {
+func (f *fleet) requestClaim(i int) {
 	f.sequence++
 	req := f.routers[i].request(f.keys[f.pick("key", len(f.keys))], f.sequence)
 	f.pending[i] = append(f.pending[i], req)
-	f.step(i, Wanted{Request: req})
+	f.step(i, ClaimWanted{Request: req})
 }
 
-// call ends one call of a router in one of the ways a network allows.
-func (f *fleet) call(i int) {
+// endCall ends one call of a router in one of the ways a network allows.
+func (f *fleet) endCall(i int) {
 	r := f.routers[i]
 	if len(r.calls) == 0 {
 		return
 	}
 	fate := f.pick("fate", 6)
-	switch a := take(&r.calls, f.pick("call", len(r.calls))).(type) {
+	switch a := removeAt(&r.calls, f.pick("call", len(r.calls))).(type) {
 	case Read:
 		switch fate {
 		case 0:
 			f.step(i, ReadDone{Shard: a.Shard, Outcome: ReadFailed})
 		case 1:
-			f.step(i, f.p.stale(a, f.pick("version", 8)))
+			f.step(i, f.p.staleRead(a, f.pick("version", 8)))
 		default:
 			f.step(i, f.p.read(a))
 		}
 	case Write:
-		f.write(i, a, fate)
+		f.endWrite(i, a, fate)
 	}
 }
 
-func (f *fleet) write(i int, a Write, fate int) {
+func (f *fleet) endWrite(i int, a Write, fate int) {
 	lost := WriteDone{Shard: a.Shard, Outcome: WriteUnknown}
 	switch fate {
 	case 0:
@@ -131,27 +131,27 @@
 		f.p.write(a)
 		f.step(i, lost)
 	case 2:
-		f.adrift = append(f.adrift, a)
+		f.lateWrites = append(f.lateWrites, a)
 		f.step(i, lost)
 	default:
 		f.step(i, f.p.write(a))
 	}
 }
 
-// host does what a router's host does with its claims.
-func (f *fleet) host(i int) {
+// actAsHost does what a router's host does with its claims.
+func (f *fleet) actAsHost(i int) {
 	switch f.pick("host", 4) {
 	case 0:
 		if len(f.pending[i]) > 0 {
-			f.step(i, Withdrawn{Request: take(&f.pending[i], 0)})
+			f.step(i, ClaimWithdrawn{Request: removeAt(&f.pending[i], 0)})
 		}
 	case 1:
 		if len(f.granted[i]) > 0 {
-			f.giveBack(i, take(&f.granted[i], 0))
+			f.giveBack(i, removeAt(&f.granted[i], 0))
 		}
 	case 2:
 		if len(f.granted[i]) > 0 {
-			req := take(&f.granted[i], 0)
+			req := removeAt(&f.granted[i], 0)
 			f.runs[req.Key]++
 			require.LessOrEqual(f.t, f.runs[req.Key], 1, "%s ran twice", req.Key)
 			f.running[i] = append(f.running[i], req)
@@ -159,15 +159,15 @@
 	default:
 		if len(f.running[i]) > 0 {
 			ran := rapid.SampledFrom([]result.Ran{result.RanYes, result.RanUnknown}).Draw(f.t, "ran")
-			f.step(i, Finished{Request: take(&f.running[i], 0), Ran: ran})
+			f.step(i, RequestFinished{Request: removeAt(&f.running[i], 0), Ran: ran})
 		}
 	}
 }
 
 // giveBack ends a granted request of which nothing was sent.
 func (f *fleet) giveBack(i int, req Request) {
-	f.held[req.Key] = false
-	f.step(i, Finished{Request: req, Ran: result.RanNo})
+	f.grantedKeys[req.Key] = false
+	f.step(i, RequestFinished{Request: req, Ran: result.RanNo})
 }
 
 // crash replaces a router. What it sent may yet arrive.
@@ -175,17 +175,17 @@
 	old := f.routers[i]
 	for _, list := range [][]Request{f.pending[i], f.granted[i], f.running[i]} {
 		for _, req := range list {
-			f.unclear[req.Key] = true
+			f.uncertainKeys[req.Key] = true
 		}
 	}
 	if old.Pending() > 0 {
 		for _, key := range f.keys {
-			f.unclear[key] = true
+			f.uncertainKeys[key] = true
 		}
 	}
 	for _, call := range old.calls {
 		if w, ok := call.(Write); ok {
-			f.adrift = append(f.adrift, w)
+			f.lateWrites = append(f.lateWrites, w)
 		}
 	}
 	fresh := newRouter(old.self.router, old.self.incarnation+1)
@@ -195,40 +195,40 @@
 	f.pending[i], f.granted[i], f.running[i] = nil, nil, nil
 }
 
-// day ends all requests and lets their claims expire, after which each key may
+// expireClaims ends all requests and lets their claims expire, after which each key may
 // run again.
-func (f *fleet) day() {
+func (f *fleet) expireClaims() {
 	for i, r := range f.routers {
 		for len(f.pending[i]) > 0 {
-			f.step(i, Withdrawn{Request: take(&f.pending[i], 0)})
+			f.step(i, ClaimWithdrawn{Request: removeAt(&f.pending[i], 0)})
 		}
 		for len(f.granted[i]) > 0 {
-			f.giveBack(i, take(&f.granted[i], 0))
+			f.giveBack(i, removeAt(&f.granted[i], 0))
 		}
 		for len(f.running[i]) > 0 {
-			f.step(i, Finished{Request: take(&f.running[i], 0), Ran: result.RanYes})
+			f.step(i, RequestFinished{Request: removeAt(&f.running[i], 0), Ran: result.RanYes})
 		}
 		r.now = r.now.Add(Retention + 2*clockSkew)
 	}
 	clear(f.runs)
-	clear(f.held)
+	clear(f.grantedKeys)
 }
 
-func (f *fleet) act() {
+func (f *fleet) randomAction() {
 	i := f.pick("router", len(f.routers))
 	switch f.pick("act", 11) {
 	case 0, 1:
-		f.ask(i)
+		f.requestClaim(i)
 	case 2, 3, 4:
-		f.call(i)
+		f.endCall(i)
 	case 5, 6:
-		f.host(i)
+		f.actAsHost(i)
 	case 7:
 		f.routers[i].now = f.routers[i].now.Add(time.Duration(f.pick("ms", 5000)) * time.Millisecond)
 		f.step(i, Tick{})
 	case 8:
-		if len(f.adrift) > 0 {
-			f.p.write(take(&f.adrift, f.pick("adrift", len(f.adrift))))
+		if len(f.lateWrites) > 0 {
+			f.p.write(removeAt(&f.lateWrites, f.pick("adrift", len(f.lateWrites))))
 		}
 	case 9:
 		if f.pick("crash", 4) == 0 {
@@ -236,7 +236,7 @@
 		}
 	default:
 		if f.pick("day", 4) == 0 {
-			f.day()
+			f.expireClaims()
 		}
 	}
 }
@@ -254,9 +254,9 @@
 		rapid.Check(t, func(t *rapid.T) {
 			f := newFleet(t)
 			for range f.pick("steps", 120) + 30 {
-				f.act()
+				f.randomAction()
 			}
-			f.quiet()
+			f.checkAtRest()
 			runs++
 			if f.p.seals > 0 {
 				sealing++
@@ -267,7 +267,7 @@
 	require.Greater(t, 2*sealing, runs)
 }
 
-func (f *fleet) quiet() {
+func (f *fleet) checkAtRest() {
 	for i, r := range f.routers {
 		r.settle(f.p)
 		f.collect(i)
@@ -277,18 +277,18 @@
 		f.granted[i] = nil
 		r.settle(f.p)
 	}
-	for _, write := range f.adrift {
+	for _, write := range f.lateWrites {
 		f.p.write(write)
 	}
 	last := f.routers[0]
-	last.now = last.now.Add(awayFor)
+	last.now = last.now.Add(unavailableRetry)
 	for _, key := range f.keys {
 		f.sequence++
 		res := last.claim(f.p, key, f.sequence)
 		switch {
 		case f.runs[key] > 0:
 			require.NotEqual(f.t, result.OK, res.Code, "%s would run again", key)
-		case !f.unclear[key] && f.limits.slots == Slots:
+		case !f.uncertainKeys[key] && f.limits.slots == Slots:
 			require.Equal(f.t, result.OK, res.Code, "%s never ran and is lost", key)
 		}
 	}
--- a/coordination/claims/pump.go
+++ b/coordination/claims/pump.go
@@ -7,25 +7,25 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// pump starts the rounds that may start now and asks to be woken for the rest.
-func (m *Machine) pump(now time.Time) {
+// startRounds starts the rounds that may start now and asks to be woken for the rest.
+func (m *Machine) startRounds(now time.Time) {
 	var wake time.Time
-	later := m.spare[:0]
+	postponed := m.spareQueue[:0]
 	for i := 0; i < len(m.queue); i++ {
 		s := m.queue[i]
-		m.refuseIfAway(now, s)
-		at, work := m.startAt(now, s)
-		if work && at.After(now) {
-			later = append(later, s)
+		m.refuseIfUnavailable(now, s)
+		at, hasWork := m.startAt(now, s)
+		if hasWork && at.After(now) {
+			postponed = append(postponed, s)
 			wake = earlier(wake, at)
 			continue
 		}
 		s.queued = false
-		if work {
+		if hasWork {
 			m.startRound(now, s)
 		}
 	}
-	m.queue, m.spare = later, m.queue
+	m.queue, m.spareQueue = postponed, m.queue
 	if !wake.IsZero() {
 		m.emit(Wake{At: wake})
 	}
@@ -42,12 +42,12 @@
 // flight has no round to start: a second one would mix its claims with those of
 // the first and grant them all by one answer. Such a shard can be in the queue,
 // since composing a round may add a release to it; landing queues it again.
-func (m *Machine) startAt(now time.Time, s *shardState) (at time.Time, work bool) {
-	if len(s.waiting) == 0 || s.flight != flightNone {
+func (m *Machine) startAt(now time.Time, s *shardState) (at time.Time, hasWork bool) {
+	if len(s.waiting) == 0 || s.callInFlight != callNone {
 		return time.Time{}, false
 	}
-	at = latest(m.nextRound, m.awayUntil, s.notBefore, m.workDue(s))
-	if m.suspect && m.flights > 0 {
+	at = latest(m.nextRound, m.unavailableUntil, s.notBefore, m.workDue(s))
+	if m.platformSuspect && m.callsInFlight > 0 {
 		// One round at a time tries a platform that did not answer.
 		at = latest(at, now.Add(m.interval))
 	}
@@ -71,11 +71,11 @@
 	return slices.MaxFunc(times, time.Time.Compare)
 }
 
-// refuseIfAway answers waiting claims at once while the platform is away.
+// refuseIfUnavailable answers waiting claims at once while the platform is away.
 // Otherwise every booking would wait for a time-out to hear the same.
-func (m *Machine) refuseIfAway(now time.Time, s *shardState) {
-	probing := m.suspect && m.flights > 0
-	if probing || now.Before(m.awayUntil) || now.Before(s.notBefore) {
+func (m *Machine) refuseIfUnavailable(now time.Time, s *shardState) {
+	probing := m.platformSuspect && m.callsInFlight > 0
+	if probing || now.Before(m.unavailableUntil) || now.Before(s.notBefore) {
 		m.refuseClaims(now, s)
 	}
 }
@@ -90,14 +90,14 @@
 			s.waiting = append(s.waiting, o)
 			continue
 		}
-		m.decide(o, m.unavailable(now, s))
-		m.release(now, s, o)
+		m.decide(o, m.unavailableResult(now, s))
+		m.releaseIfFenced(now, s, o)
 	}
 }
 
-func (m *Machine) unavailable(now time.Time, s *shardState) result.Result {
-	back := latest(m.awayUntil, s.notBefore).Sub(now)
-	return result.New(result.ClaimUnavailable, "").After(max(back, progressRetry))
+func (m *Machine) unavailableResult(now time.Time, s *shardState) result.Result {
+	retryAfter := latest(m.unavailableUntil, s.notBefore).Sub(now)
+	return result.New(result.ClaimUnavailable, "").After(max(retryAfter, progressRetry))
 }
 
 // startRound begins with a read where the copy is missing or likely stale.
@@ -107,62 +107,62 @@
 	if m.emptyOldest(now, s) {
 		return
 	}
-	if s.copy == nil || s.contended {
-		m.read(now, s)
+	if s.lastSegment == nil || s.contended {
+		m.sendRead(now, s)
 		return
 	}
-	m.compose(now, s)
+	m.composeWrite(now, s)
 }
 
-func (m *Machine) read(now time.Time, s *shardState) {
-	s.flight = flightRead
-	s.begun = now
-	m.flights++
+func (m *Machine) sendRead(now time.Time, s *shardState) {
+	s.callInFlight = callRead
+	s.callStarted = now
+	m.callsInFlight++
 	if s.chain == nil {
-		m.emit(Read{Shard: s.index, Whole: true})
+		m.emit(Read{Shard: s.index, WholeChain: true})
 		return
 	}
-	m.emit(Read{Shard: s.index, Slot: m.slot(s.last.number)})
+	m.emit(Read{Shard: s.index, Slot: m.slot(s.lastPosition.number)})
 }
 
 // slot returns the index of the object that a segment uses.
 func (m *Machine) slot(number uint64) int { return int(number % m.limits.slots) }
 
-// compose applies the waiting ops to the copy and writes what changed.
-func (m *Machine) compose(now time.Time, s *shardState) {
-	d := newDraft(s.copy, s.chain, now)
+// composeWrite applies the waiting ops to the copy and writes what changed.
+func (m *Machine) composeWrite(now time.Time, s *shardState) {
+	d := newDraft(s.lastSegment, s.chain, now)
 	waiting := s.waiting
 	s.waiting = nil
-	reread := false
+	needsRead := false
 	// Releases and completions come first: a resend of a claim that this
 	// router gave up then finds the key free in the same write.
 	for _, o := range waiting {
 		if o.kind != opClaim {
-			m.settle(s, d, o)
+			m.applySettlement(s, d, o)
 		}
 	}
 	for _, o := range waiting {
-		if o.kind == opClaim && !m.claim(now, s, d, o) {
+		if o.kind == opClaim && !m.applyClaim(now, s, d, o) {
 			s.waiting = append(s.waiting, o)
-			reread = true
+			needsRead = true
 		}
 	}
-	if d.changed() && m.write(now, s, d) {
+	if d.changed() && m.writeDraft(now, s, d) {
 		return
 	}
-	if reread {
-		m.read(now, s)
+	if needsRead {
+		m.sendRead(now, s)
 	}
 	m.queueShard(s)
 }
 
-// write sends the draft. Where it does not fit, the segment is sealed without
+// writeDraft sends the draft. Where it does not fit, the segment is sealed without
 // it: claims inside the retention are never forgotten to make room.
-func (m *Machine) write(now time.Time, s *shardState, d *draft) bool {
+func (m *Machine) writeDraft(now time.Time, s *shardState, d *draft) bool {
 	next := d.build()
 	value, err := m.encode(next)
 	if err != nil && len(d.base.Entries) > 0 {
-		return m.sealAsIs(now, s)
+		return m.sealUnchanged(now, s)
 	}
 	if err != nil {
 		d = m.refuseRound(now, s, d)
@@ -170,37 +170,37 @@
 		value, err = m.encode(next)
 	}
 	if err != nil {
-		m.putOff(now, s)
+		m.postponeRound(now, s)
 		return false
 	}
 	if !d.changed() {
 		return false
 	}
-	s.next = next
-	m.send(now, s, s.last, value)
+	s.nextSegment = next
+	m.sendWrite(now, s, s.lastPosition, value)
 	return true
 }
 
-// sealAsIs seals the last segment unchanged. The round waits for the next one.
-func (m *Machine) sealAsIs(now time.Time, s *shardState) bool {
-	sealed := &Segment{Number: s.copy.Number, Sealed: true, Entries: s.copy.Entries}
+// sealUnchanged seals the last segment unchanged. The round waits for the next one.
+func (m *Machine) sealUnchanged(now time.Time, s *shardState) bool {
+	sealed := &Segment{Number: s.lastSegment.Number, Sealed: true, Entries: s.lastSegment.Entries}
 	value, err := sealed.Encode()
 	if err != nil {
-		m.putOff(now, s)
+		m.postponeRound(now, s)
 		return false
 	}
 	s.waiting = append(s.round, s.waiting...)
 	s.round = nil
-	s.next = sealed
-	m.send(now, s, s.last, value)
+	s.nextSegment = sealed
+	m.sendWrite(now, s, s.lastPosition, value)
 	return true
 }
 
-// putOff puts a round back that cannot be written.
-func (m *Machine) putOff(now time.Time, s *shardState) {
+// postponeRound puts a round back that cannot be written.
+func (m *Machine) postponeRound(now time.Time, s *shardState) {
 	s.waiting = append(s.round, s.waiting...)
 	s.round = nil
-	s.notBefore = now.Add(awayFor)
+	s.notBefore = now.Add(unavailableRetry)
 }
 
 // encode renders a segment and seals it if it has reached its size. The seal
@@ -216,10 +216,10 @@
 	return next.Encode()
 }
 
-func (m *Machine) send(now time.Time, s *shardState, at position, value []byte) {
-	s.flight = flightWrite
-	s.begun = now
-	m.flights++
+func (m *Machine) sendWrite(now time.Time, s *shardState, at position, value []byte) {
+	s.callInFlight = callWrite
+	s.callStarted = now
+	m.callsInFlight++
 	m.emit(Write{Shard: s.index, Slot: m.slot(at.number), Expected: at.version, Value: value})
 }
 
@@ -229,19 +229,19 @@
 // Claims go first for some rounds after it, since a router that starts after a
 // quiet day finds hundreds of such segments.
 func (m *Machine) emptyOldest(now time.Time, s *shardState) bool {
-	s.rounds++
-	if s.rounds < emptyEvery || s.chain == nil || s.chain.expiredSegments(now) == 0 {
+	s.roundsSinceEmptying++
+	if s.roundsSinceEmptying < roundsPerEmptying || s.chain == nil || s.chain.expiredSegments(now) == 0 {
 		return false
 	}
 	oldest := s.chain.sealed[0]
-	stub := Segment{Number: oldest.number, Sealed: true}
-	value, err := stub.Encode()
+	emptied := Segment{Number: oldest.number, Sealed: true}
+	value, err := emptied.Encode()
 	if err != nil {
 		return false
 	}
-	s.rounds = 0
+	s.roundsSinceEmptying = 0
 	s.emptying = true
-	m.send(now, s, position{oldest.number, oldest.version}, value)
+	m.sendWrite(now, s, position{oldest.number, oldest.version}, value)
 	return true
 }
 
@@ -250,19 +250,19 @@
 func (m *Machine) refuseRound(now time.Time, s *shardState, d *draft) *draft {
 	round := s.round
 	s.round = nil
-	rest := newDraft(d.base, d.chain, now)
+	remaining := newDraft(d.base, d.chain, now)
 	for _, o := range round {
 		if o.kind != opClaim {
-			m.settle(s, rest, o)
+			m.applySettlement(s, remaining, o)
 			continue
 		}
 		m.refuseFull(now, s, o)
 	}
-	return rest
+	return remaining
 }
 
 func (m *Machine) refuseFull(now time.Time, s *shardState, o *op) {
 	res := result.New(result.ClaimUnavailable, "The shard of this key is full.")
-	m.decide(o, res.After(awayFor))
-	m.release(now, s, o)
+	m.decide(o, res.After(unavailableRetry))
+	m.releaseIfFenced(now, s, o)
 }
--- a/coordination/fairness/choice.go
+++ b/coordination/fairness/choice.go
@@ -12,14 +12,14 @@
 
 // node is a backlogged account in an index.
 type node struct {
-	key     float64
-	tie     uint64
-	account *account
+	key        float64
+	tieBreaker uint64
+	account    *account
 }
 
 func newIndex() *btree.BTreeG[node] {
 	return btree.NewG(8, func(a, b node) bool {
-		return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.tie, b.tie), cmp.Compare(a.account.workspace, b.account.workspace)) < 0
+		return cmp.Or(cmp.Compare(a.key, b.key), cmp.Compare(a.tieBreaker, b.tieBreaker), cmp.Compare(a.account.workspace, b.account.workspace)) < 0
 	})
 }
 
@@ -28,15 +28,15 @@
 }
 
 func (a *account) node() node {
-	return node{key: a.key, tie: a.tie, account: a}
+	return node{key: a.key, tieBreaker: a.tieBreaker, account: a}
 }
 
-// rekey moves a backlogged account to its present virtual time.
-func (l *Ledger) rekey(a *account) {
+// updateKey moves a backlogged account to its present virtual time.
+func (l *Ledger) updateKey(a *account) {
 	if len(a.models) == 0 {
 		return
 	}
-	key := l.virtual(a)
+	key := l.virtualTime(a)
 	if key == a.key {
 		return
 	}
@@ -46,14 +46,14 @@
 }
 
 func (l *Ledger) index(a *account) {
-	l.all.ReplaceOrInsert(a.node())
+	l.byVirtualTime.ReplaceOrInsert(a.node())
 	for m := range a.models {
 		l.modelIndex(m).ReplaceOrInsert(a.node())
 	}
 }
 
 func (l *Ledger) unindex(a *account) {
-	l.all.Delete(a.node())
+	l.byVirtualTime.Delete(a.node())
 	for m := range a.models {
 		l.modelIndex(m).Delete(a.node())
 	}
@@ -83,29 +83,29 @@
 			delete(l.byModel, m)
 		}
 		if len(a.models) == 0 {
-			l.all.Delete(a.node())
+			l.byVirtualTime.Delete(a.node())
 			a.idleSince = now
 		}
 		return
 	}
 	if len(a.models) == 0 {
-		l.wake(now, a)
+		l.liftIdle(now, a)
 	}
 	a.models[m] = struct{}{}
-	l.all.ReplaceOrInsert(a.node())
+	l.byVirtualTime.ReplaceOrInsert(a.node())
 	l.modelIndex(m).ReplaceOrInsert(a.node())
 }
 
-// Lost says that demand of a workspace went out of sight with a router, and
+// DemandLost says that demand of a workspace went out of sight with a router, and
 // not because its work was done. If none is left, the workspace does not count
 // as idle: behind a partition it may have work waiting all the time, and lifted
 // on return it would never make up for what it missed.
-func (l *Ledger) Lost(w state.Workspace) {
+func (l *Ledger) DemandLost(w state.Workspace) {
 	a := l.account(w)
-	a.lost = len(a.models) == 0
+	a.demandLost = len(a.models) == 0
 }
 
-// wake lifts an account that was idle for longer than idleGrace, up to one
+// liftIdle lifts an account that was idle for longer than idleGrace, up to one
 // usual request below the least virtual time of the others. Without that one,
 // a workspace that asks rarely would wait after each request for the others
 // to catch up with it. It cannot add up: the floor counts all past service.
@@ -114,35 +114,35 @@
 // a rush that is far above or below the truth and differs from owner to owner,
 // and as the greatest lift heard of holds for good, the workspace with the
 // worst guess waited until all others had caught up with it.
-func (l *Ledger) wake(now time.Time, a *account) {
-	a.key = l.virtual(a)
-	lost := a.lost
-	a.lost = false
-	if lost || now.Sub(a.idleSince) <= idleGrace {
+func (l *Ledger) liftIdle(now time.Time, a *account) {
+	a.key = l.virtualTime(a)
+	demandLost := a.demandLost
+	a.demandLost = false
+	if demandLost || now.Sub(a.idleSince) <= idleGrace {
 		return
 	}
-	least, ok := l.all.Min()
+	minNode, ok := l.byVirtualTime.Min()
 	if !ok {
 		return
 	}
-	floor := l.counted(least.account) - float64(a.usual)/a.share
-	own := l.counted(a)
-	if floor <= own {
+	floor := l.countedTime(minNode.account) - float64(a.lastEstimate)/a.share
+	ownTime := l.countedTime(a)
+	if floor <= ownTime {
 		return
 	}
-	l.raise(a, a.lift+state.Cost(floor-own))
-	a.key = l.virtual(a)
+	l.raiseLift(a, a.lift+state.Cost(floor-ownTime))
+	a.key = l.virtualTime(a)
 }
 
 // Next returns the backlogged workspace with the least virtual time among
 // those that wait for one of the models; nil means any model.
 func (l *Ledger) Next(models []state.Model) (state.Workspace, bool) {
 	if models == nil {
-		least, ok := l.all.Min()
+		minNode, ok := l.byVirtualTime.Min()
 		if !ok {
 			return "", false
 		}
-		return least.account.workspace, true
+		return minNode.account.workspace, true
 	}
 	var best node
 	for _, m := range models {
@@ -150,9 +150,9 @@
 		if index == nil {
 			continue
 		}
-		least, ok := index.Min()
-		if ok && (best.account == nil || least.key < best.key) {
-			best = least
+		minNode, ok := index.Min()
+		if ok && (best.account == nil || minNode.key < best.key) {
+			best = minNode
 		}
 	}
 	if best.account == nil {
@@ -161,19 +161,19 @@
 	return best.account.workspace, true
 }
 
-// Models lists for what models work of a workspace waits.
-func (l *Ledger) Models(w state.Workspace) map[state.Model]struct{} {
+// WaitingModels lists for what models work of a workspace waits.
+func (l *Ledger) WaitingModels(w state.Workspace) map[state.Model]struct{} {
 	return l.account(w).models
 }
 
-// Backlogged counts the workspaces with work waiting.
-func (l *Ledger) Backlogged() int {
-	return l.all.Len()
+// BackloggedCount counts the workspaces with work waiting.
+func (l *Ledger) BackloggedCount() int {
+	return l.byVirtualTime.Len()
 }
 
-func (l *Ledger) backlogged() []*account {
-	accounts := make([]*account, 0, l.all.Len())
-	l.all.Ascend(func(n node) bool {
+func (l *Ledger) backloggedAccounts() []*account {
+	accounts := make([]*account, 0, l.byVirtualTime.Len())
+	l.byVirtualTime.Ascend(func(n node) bool {
 		accounts = append(accounts, n.account)
 		return true
 	})
--- a/coordination/fairness/exchange.go
+++ b/coordination/fairness/exchange.go
@@ -8,28 +8,28 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Refold re-orders the backlogged accounts if counters of others came in. The
+// Reindex re-orders the backlogged accounts if counters of others came in. The
 // host calls it once per tick, so that hundreds of peers cost no more.
-func (l *Ledger) Refold() {
-	if !l.stale {
+func (l *Ledger) Reindex() {
+	if !l.othersChanged {
 		return
 	}
-	l.stale = false
-	for _, a := range l.backlogged() {
-		l.rekey(a)
+	l.othersChanged = false
+	for _, a := range l.backloggedAccounts() {
+		l.updateKey(a)
 	}
 }
 
-// Exchange ends a period between two exchanges of counters: it returns the
+// EndPeriod ends a period between two exchanges of counters: it returns the
 // entries that changed, clamps and measures the rate of service.
-func (l *Ledger) Exchange(period time.Duration) []Entry {
-	l.measure(period)
+func (l *Ledger) EndPeriod(period time.Duration) []Entry {
+	l.updateServiceRate(period)
 	l.clamp()
-	entries := make([]Entry, 0, len(l.changed))
-	for a := range l.changed {
+	entries := make([]Entry, 0, len(l.changedAccounts))
+	for a := range l.changedAccounts {
 		entries = append(entries, a.entry())
 	}
-	clear(l.changed)
+	clear(l.changedAccounts)
 	sortEntries(entries)
 	return entries
 }
@@ -42,37 +42,37 @@
 	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Workspace, b.Workspace) })
 }
 
-// Own returns all counters of this router, with virtual times.
-func (l *Ledger) Own() []Entry {
+// OwnEntries returns all counters of this router, with virtual times.
+func (l *Ledger) OwnEntries() []Entry {
 	entries := make([]Entry, 0, len(l.accounts))
 	for _, a := range l.accounts {
-		if a.own == (Counter{}) && a.lift == 0 && a.others == 0 {
+		if a.own == (Counter{}) && a.lift == 0 && a.othersTotal == 0 {
 			continue
 		}
 		e := a.entry()
-		e.Virtual = state.Cost(l.virtual(a))
+		e.Virtual = state.Cost(l.virtualTime(a))
 		entries = append(entries, e)
 	}
 	sortEntries(entries)
 	return entries
 }
 
-// Relay is the last word of an incarnation that is gone.
-type Relay struct {
+// RemovedOrigin is the last word of an incarnation that is gone.
+type RemovedOrigin struct {
 	Origin  Origin
 	Entries []Entry
 }
 
-// Dead returns the counters of incarnations that are gone. A router that
+// RemovedOrigins returns the counters of incarnations that are gone. A router that
 // starts cold hears of them from nobody else.
-func (l *Ledger) Dead() []Relay {
-	var relays []Relay
-	for _, name := range l.sorted() {
+func (l *Ledger) RemovedOrigins() []RemovedOrigin {
+	var relays []RemovedOrigin
+	for _, name := range l.sortedOrigins() {
 		o := l.origins[name]
 		if o.live || len(o.counters) == 0 {
 			continue
 		}
-		r := Relay{Origin: name}
+		r := RemovedOrigin{Origin: name}
 		for w, c := range o.counters {
 			r.Entries = append(r.Entries, Entry{Workspace: w, Counter: c, Lift: l.account(w).lift})
 		}
@@ -82,14 +82,14 @@
 	return relays
 }
 
-func (l *Ledger) measure(period time.Duration) {
-	perSecond := float64(l.paidOut) / period.Seconds() / l.share
-	l.paidOut = 0
-	if l.rate == 0 {
-		l.rate = perSecond
+func (l *Ledger) updateServiceRate(period time.Duration) {
+	perSecond := float64(l.servedInPeriod) / period.Seconds() / l.ownShare
+	l.servedInPeriod = 0
+	if l.serviceRate == 0 {
+		l.serviceRate = perSecond
 		return
 	}
-	l.rate += rateSmoothing * (perSecond - l.rate)
+	l.serviceRate += rateSmoothing * (perSecond - l.serviceRate)
 }
 
 // clamp forgives a backlogged workspace what puts it further ahead of the
@@ -101,16 +101,16 @@
 // not counted against it, because one long request of a small workspace is
 // far ahead without any harm done.
 func (l *Ledger) clamp() {
-	least, ok := l.all.Min()
-	if !ok || l.rate == 0 {
+	minNode, ok := l.byVirtualTime.Min()
+	if !ok || l.serviceRate == 0 {
 		return
 	}
-	window := l.rate * clampWindow.Seconds()
-	for _, a := range l.backlogged() {
-		ahead := a.key - least.key - float64(a.own.Reserved)/l.share/a.share
-		if ahead > window {
-			a.forgiven += ahead - window
-			l.rekey(a)
+	maxLead := l.serviceRate * clampWindow.Seconds()
+	for _, a := range l.backloggedAccounts() {
+		lead := a.key - minNode.key - float64(a.own.Reserved)/l.ownShare/a.share
+		if lead > maxLead {
+			a.forgiven += lead - maxLead
+			l.updateKey(a)
 		}
 	}
 }
--- a/coordination/fairness/fairness_test.go
+++ b/coordination/fairness/fairness_test.go
@@ -11,36 +11,36 @@
 	"github.com/figstile/figstile/state"
 )
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-func twoTenants(seed uint64) *Ledger {
+func newTwoWorkspaceLedger(seed uint64) *Ledger {
 	l := New(seed)
 	for _, w := range []state.Workspace{"a", "b"} {
 		l.SetShare(w, 0.5)
-		l.SetBacklog(start, w, "", true)
+		l.SetBacklog(startTime, w, "", true)
 	}
 	return l
 }
 
-func next(t require.TestingT, l *Ledger, models ...state.Model) state.Workspace {
+func nextWorkspace(t require.TestingT, l *Ledger, models ...state.Model) state.Workspace {
 	w, ok := l.Next(models)
 	require.True(t, ok)
 	return w
 }
 
 func TestGrantsAlternateBetweenEqualShares(t *testing.T) {
-	l := twoTenants(1)
+	l := newTwoWorkspaceLedger(1)
 	for range 10 {
-		first := next(t, l)
+		first := nextWorkspace(t, l)
 		l.Reserve(first, 100)
-		require.NotEqual(t, first, next(t, l))
-		l.Reserve(next(t, l), 100)
+		require.NotEqual(t, first, nextWorkspace(t, l))
+		l.Reserve(nextWorkspace(t, l), 100)
 	}
 	l.SetShare("a", 0.75)
 	l.SetShare("b", 0.25)
 	got := map[state.Workspace]int{}
 	for range 100 {
-		w := next(t, l)
+		w := nextWorkspace(t, l)
 		got[w]++
 		l.Reserve(w, 100)
 	}
@@ -50,60 +50,60 @@
 // A workspace is served twice over: every owner gives its next slots to the
 // one that was behind at the last exchange. Extrapolated, an owner's own
 // grants stand for those of its peers until they are heard.
-func TestOwnGrantsStandForThoseOfPeers(t *testing.T) {
-	l := twoTenants(1)
+func TestOwnGrantsAreExtrapolatedToPeers(t *testing.T) {
+	l := newTwoWorkspaceLedger(1)
 	peer := Origin{Router: "p", Incarnation: 1}
 	l.SetPeers(0.25, []Peer{{Origin: peer, Share: 0.75}})
-	l.Hear(peer, []Entry{{Workspace: "b", Counter: Counter{Charged: 350}}})
-	l.Refold()
-	l.Reserve(next(t, l), 100)
-	require.Equal(t, state.Workspace("b"), next(t, l), "100 here stand for 400")
-	l.Hear(peer, nil)
-	l.Refold()
-	require.Equal(t, state.Workspace("a"), next(t, l), "the peer granted nothing")
+	l.ReceiveCounters(peer, []Entry{{Workspace: "b", Counter: Counter{Charged: 350}}})
+	l.Reindex()
+	l.Reserve(nextWorkspace(t, l), 100)
+	require.Equal(t, state.Workspace("b"), nextWorkspace(t, l), "100 here stand for 400")
+	l.ReceiveCounters(peer, nil)
+	l.Reindex()
+	require.Equal(t, state.Workspace("a"), nextWorkspace(t, l), "the peer granted nothing")
 }
 
-func TestModelsNarrowTheChoice(t *testing.T) {
-	l := twoTenants(1)
-	l.SetBacklog(start, "b", "m", true)
+func TestNextHonoursModels(t *testing.T) {
+	l := newTwoWorkspaceLedger(1)
+	l.SetBacklog(startTime, "b", "m", true)
 	l.Reserve("b", 1000)
-	require.Equal(t, state.Workspace("b"), next(t, l, "m"))
-	require.Equal(t, state.Workspace("a"), next(t, l, "", "m"))
-	l.SetBacklog(start, "b", "m", false)
+	require.Equal(t, state.Workspace("b"), nextWorkspace(t, l, "m"))
+	require.Equal(t, state.Workspace("a"), nextWorkspace(t, l, "", "m"))
+	l.SetBacklog(startTime, "b", "m", false)
 	_, ok := l.Next([]state.Model{"m"})
 	require.False(t, ok)
 }
 
-func TestIdlenessSavesUpNoClaim(t *testing.T) {
+func TestIdleTimeEarnsNoCredit(t *testing.T) {
 	for _, c := range []struct {
 		idle time.Duration
 		lost bool
 		kept bool
 	}{{idleGrace, false, true}, {time.Minute, false, false}, {time.Minute, true, true}} {
-		l := twoTenants(1)
-		l.SetBacklog(start, "b", "", false)
+		l := newTwoWorkspaceLedger(1)
+		l.SetBacklog(startTime, "b", "", false)
 		if c.lost {
-			l.Lost("b")
+			l.DemandLost("b")
 		}
 		for range 100 {
 			l.Reserve("a", 100)
 		}
-		l.SetBacklog(start.Add(c.idle), "b", "", true)
+		l.SetBacklog(startTime.Add(c.idle), "b", "", true)
 		l.Reserve("b", 200)
-		require.Equal(t, c.kept, next(t, l) == "b", "%+v", c)
+		require.Equal(t, c.kept, nextWorkspace(t, l) == "b", "%+v", c)
 	}
 }
 
 func TestClampBoundsTheWait(t *testing.T) {
-	l := twoTenants(1)
+	l := newTwoWorkspaceLedger(1)
 	peer := Origin{Router: "p", Incarnation: 1}
 	l.Charge("b", 1000, 0)
-	l.Exchange(time.Second)
-	l.Hear(peer, []Entry{{Workspace: "a", Counter: Counter{Charged: 1e9}}})
-	l.Refold()
-	l.Exchange(time.Second)
+	l.EndPeriod(time.Second)
+	l.ReceiveCounters(peer, []Entry{{Workspace: "a", Counter: Counter{Charged: 1e9}}})
+	l.Reindex()
+	l.EndPeriod(time.Second)
 	served := state.Cost(0)
-	for next(t, l) == "b" {
+	for nextWorkspace(t, l) == "b" {
 		l.Charge("b", 100, 0)
 		served += 100
 	}
@@ -112,17 +112,17 @@
 
 // A router that starts cold sums up all counters, but knows neither under
 // which shares they grew nor what was forgiven.
-func TestColdLedgerAdoptsVirtualTimes(t *testing.T) {
-	old, cold := twoTenants(1), twoTenants(1)
+func TestNewLedgerAdoptsVirtualTimes(t *testing.T) {
+	old, restarted := newTwoWorkspaceLedger(1), newTwoWorkspaceLedger(1)
 	old.Charge("a", 1000, 0)
 	old.Charge("b", 400, 0)
 	old.SetShare("a", 0.9)
-	cold.SetShare("a", 0.9)
+	restarted.SetShare("a", 0.9)
 	from := Origin{Router: "p", Incarnation: 1}
-	cold.Hear(from, old.Own())
-	cold.Adopt(old.Own())
-	require.InDelta(t, old.Figures()[0].Virtual, cold.Figures()[0].Virtual, 1)
-	require.Equal(t, []Relay{{Origin: from, Entries: withoutVirtual(old.Own())}}, cold.Dead())
+	restarted.ReceiveCounters(from, old.OwnEntries())
+	restarted.AdoptVirtualTimes(old.OwnEntries())
+	require.InDelta(t, old.AccountStatuses()[0].Virtual, restarted.AccountStatuses()[0].Virtual, 1)
+	require.Equal(t, []RemovedOrigin{{Origin: from, Entries: withoutVirtual(old.OwnEntries())}}, restarted.RemovedOrigins())
 }
 
 func withoutVirtual(entries []Entry) []Entry {
@@ -136,39 +136,39 @@
 // harm, and that two ledgers that heard the same agree on the fleet's total.
 func TestLedgersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		x, y := twoTenants(1), twoTenants(2)
+		x, y := newTwoWorkspaceLedger(1), newTwoWorkspaceLedger(2)
 		ox, oy := Origin{Router: "x", Incarnation: 1}, Origin{Router: "y", Incarnation: 1}
 		x.SetPeers(0.5, []Peer{{Origin: oy, Share: 0.5}})
 		y.SetPeers(0.5, []Peer{{Origin: ox, Share: 0.5}})
 		var sent [][]Entry
 		charged := map[state.Workspace]state.Cost{}
 		t.Repeat(map[string]func(*rapid.T){
-			"grant": func(t *rapid.T) { x.Reserve(next(t, x), state.Cost(rapid.IntRange(1, 100).Draw(t, "cost"))) },
+			"grant": func(t *rapid.T) { x.Reserve(nextWorkspace(t, x), state.Cost(rapid.IntRange(1, 100).Draw(t, "cost"))) },
 			"serve": func(t *rapid.T) {
 				cost := state.Cost(rapid.IntRange(1, 100).Draw(t, "cost"))
-				x.Charge(next(t, x), cost, -cost)
+				x.Charge(nextWorkspace(t, x), cost, -cost)
 			},
 			"exchange": func(t *rapid.T) {
-				sent = append(sent, x.Exchange(time.Second))
-				y.Hear(ox, sent[len(sent)-1])
+				sent = append(sent, x.EndPeriod(time.Second))
+				y.ReceiveCounters(ox, sent[len(sent)-1])
 			},
 			"repeat": func(t *rapid.T) {
 				if len(sent) > 1 {
-					y.Hear(ox, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "old")])
-					y.Hear(ox, x.Own())
+					y.ReceiveCounters(ox, sent[rapid.IntRange(0, len(sent)-1).Draw(t, "old")])
+					y.ReceiveCounters(ox, x.OwnEntries())
 				}
 			},
 			"": func(t *rapid.T) {
-				for _, f := range x.Figures() {
+				for _, f := range x.AccountStatuses() {
 					require.GreaterOrEqual(t, f.Charged, charged[f.Workspace])
 					require.GreaterOrEqual(t, f.Reserved, state.Cost(0))
 					charged[f.Workspace] = f.Charged
 				}
 			},
 		})
-		y.Hear(ox, x.Own())
-		for i, f := range x.Figures() {
-			require.Equal(t, f.Fleet, y.Figures()[i].Fleet)
+		y.ReceiveCounters(ox, x.OwnEntries())
+		for i, f := range x.AccountStatuses() {
+			require.Equal(t, f.Fleet, y.AccountStatuses()[i].Fleet)
 		}
 	})
 }
@@ -180,7 +180,7 @@
 			for i := range n {
 				w := state.Workspace(fmt.Sprint(i))
 				l.SetShare(w, 1/float64(n))
-				l.SetBacklog(start, w, "", true)
+				l.SetBacklog(startTime, w, "", true)
 			}
 			for b.Loop() {
 				w, _ := l.Next(nil)
@@ -193,13 +193,13 @@
 // A rush begins, and a workspace that asks little comes back from idleness.
 // Lifted to virtual times that hold guesses of what other owners granted, it
 // waited for seconds until all others had caught up with the worst guess.
-func TestLiftLeavesOutGuesses(t *testing.T) {
-	l := twoTenants(1)
+func TestLiftIgnoresExtrapolation(t *testing.T) {
+	l := newTwoWorkspaceLedger(1)
 	l.SetPeers(0.25, []Peer{{Origin: Origin{Router: "p", Incarnation: 1}, Share: 0.75}})
-	l.SetBacklog(start, "b", "", false)
+	l.SetBacklog(startTime, "b", "", false)
 	l.Reserve("a", 100)
-	l.SetBacklog(start.Add(time.Minute), "b", "", true)
-	for _, e := range l.Own() {
+	l.SetBacklog(startTime.Add(time.Minute), "b", "", true)
+	for _, e := range l.OwnEntries() {
 		if e.Workspace == "b" {
 			require.Equal(t, state.Cost(100/0.5), e.Lift, "what a was granted here, at half of the whole")
 			return
--- a/coordination/fairness/ledger.go
+++ b/coordination/fairness/ledger.go
@@ -39,99 +39,99 @@
 // account is one workspace of the service.
 type account struct {
 	workspace state.Workspace
-	// tie settles equal virtual times differently at each router, so that a
+	// tieBreaker settles equal virtual times differently at each router, so that a
 	// fleet that starts idle does not send its first slots all one way.
-	tie   uint64
-	share float64
-	own   Counter
-	// others is the total of all other origins, as last heard.
-	others state.Cost
-	// granted grows by the estimate of each own grant. It drives the
+	tieBreaker uint64
+	share      float64
+	own        Counter
+	// othersTotal is the total of all other origins, as last heard.
+	othersTotal state.Cost
+	// grantedEstimate grows by the estimate of each own grant. It drives the
 	// extrapolation.
-	granted float64
-	// marked is the sum over live peers of peer share times granted when the
+	grantedEstimate float64
+	// peerGrantedEstimate is the sum over live peers of peer share times granted when the
 	// peer was last heard.
-	marked   float64
-	lift     state.Cost
-	forgiven float64
+	peerGrantedEstimate float64
+	lift                state.Cost
+	forgiven            float64
 	// models counts as backlog index; idleSince is set while it is empty.
 	models    map[state.Model]struct{}
 	idleSince time.Time
-	// lost is set while all demand known of was that of lost routers.
-	lost bool
-	// usual is the estimate of the last own grant.
-	usual state.Cost
+	// demandLost is set while all demand known of was that of lost routers.
+	demandLost bool
+	// lastEstimate is the estimate of the last own grant.
+	lastEstimate state.Cost
 	// key is the virtual time under which the index holds the account.
 	key float64
 }
 
 // Ledger keeps the counters of one service and chooses whose turn it is.
 type Ledger struct {
-	seed     uint64
-	share    float64
-	accounts map[state.Workspace]*account
-	origins  map[Origin]*origin
-	heard    uint64
-	// moved holds accounts whose extrapolation is not zero.
-	moved map[*account]struct{}
-	// all and byModel index the backlogged accounts by virtual time.
-	all     *btree.BTreeG[node]
-	byModel map[state.Model]*btree.BTreeG[node]
-	// changed lists the accounts to be sent at the next exchange.
-	changed map[*account]struct{}
-	// stale says that counters of others came in since the last Refold.
-	stale bool
-	// paidOut and rate measure how fast this owner serves, for the clamp.
-	paidOut state.Cost
-	rate    float64
+	seed        uint64
+	ownShare    float64
+	accounts    map[state.Workspace]*account
+	origins     map[Origin]*origin
+	originsSeen uint64
+	// extrapolated holds accounts whose extrapolation is not zero.
+	extrapolated map[*account]struct{}
+	// byVirtualTime and byModel index the backlogged accounts by virtual time.
+	byVirtualTime *btree.BTreeG[node]
+	byModel       map[state.Model]*btree.BTreeG[node]
+	// changedAccounts lists the accounts to be sent at the next exchange.
+	changedAccounts map[*account]struct{}
+	// othersChanged says that counters of others came in since the last Refold.
+	othersChanged bool
+	// servedInPeriod and rate measure how fast this owner serves, for the clamp.
+	servedInPeriod state.Cost
+	serviceRate    float64
 }
 
 // New returns an empty ledger. The seed only settles ties.
 func New(seed uint64) *Ledger {
 	return &Ledger{
-		seed:     seed,
-		share:    1,
-		accounts: make(map[state.Workspace]*account),
-		origins:  make(map[Origin]*origin),
-		moved:    make(map[*account]struct{}),
-		all:      newIndex(),
-		byModel:  make(map[state.Model]*btree.BTreeG[node]),
-		changed:  make(map[*account]struct{}),
+		seed:            seed,
+		ownShare:        1,
+		accounts:        make(map[state.Workspace]*account),
+		origins:         make(map[Origin]*origin),
+		extrapolated:    make(map[*account]struct{}),
+		byVirtualTime:   newIndex(),
+		byModel:         make(map[state.Model]*btree.BTreeG[node]),
+		changedAccounts: make(map[*account]struct{}),
 	}
 }
 
 func (l *Ledger) account(w state.Workspace) *account {
 	a := l.accounts[w]
 	if a == nil {
-		a = &account{workspace: w, tie: tieBreak(l.seed, w), share: unknownShare, models: make(map[state.Model]struct{})}
+		a = &account{workspace: w, tieBreaker: tieBreak(l.seed, w), share: minWorkspaceShare, models: make(map[state.Model]struct{})}
 		l.accounts[w] = a
 	}
 	return a
 }
 
-// virtual is the weighted service of an account as this owner sees it; see
+// virtualTime is the weighted service of an account as this owner sees it; see
 // the package comment.
-func (l *Ledger) virtual(a *account) float64 {
-	return l.counted(a) + l.extrapolated(a)/a.share
+func (l *Ledger) virtualTime(a *account) float64 {
+	return l.countedTime(a) + l.extrapolatedCost(a)/a.share
 }
 
-// counted is the part of the virtual time that rests on counters alone.
-func (l *Ledger) counted(a *account) float64 {
-	return float64(a.own.total()+a.others)/a.share + float64(a.lift) - a.forgiven
+// countedTime is the part of the virtual time that rests on counters alone.
+func (l *Ledger) countedTime(a *account) float64 {
+	return float64(a.own.total()+a.othersTotal)/a.share + float64(a.lift) - a.forgiven
 }
 
-// extrapolated is what the other owners are taken to have granted since they
+// extrapolatedCost is what the other owners are taken to have granted since they
 // were last heard: as much per slot as this one.
-func (l *Ledger) extrapolated(a *account) float64 {
-	return (a.granted*(1-l.share) - a.marked) / l.share
+func (l *Ledger) extrapolatedCost(a *account) float64 {
+	return (a.grantedEstimate*(1-l.ownShare) - a.peerGrantedEstimate) / l.ownShare
 }
 
 // Reserve sets cost aside for a grant of this owner.
 func (l *Ledger) Reserve(w state.Workspace, estimate state.Cost) {
 	a := l.account(w)
-	a.granted += float64(estimate)
-	a.usual = estimate
-	l.moved[a] = struct{}{}
+	a.grantedEstimate += float64(estimate)
+	a.lastEstimate = estimate
+	l.extrapolated[a] = struct{}{}
 	l.adjust(a, 0, estimate)
 }
 
@@ -146,9 +146,9 @@
 	}
 	a.own.Charged += max(0, served)
 	a.own.Reserved = max(0, a.own.Reserved+reserved)
-	l.paidOut += max(0, served)
-	l.changed[a] = struct{}{}
-	l.rekey(a)
+	l.servedInPeriod += max(0, served)
+	l.changedAccounts[a] = struct{}{}
+	l.updateKey(a)
 }
 
 // SetShare sets a workspace's part of the service. Its virtual time stays
@@ -156,43 +156,43 @@
 // one change of a weight would hand a workspace the whole fleet for hours.
 func (l *Ledger) SetShare(w state.Workspace, share float64) {
 	a := l.account(w)
-	share = max(share, unknownShare)
+	share = max(share, minWorkspaceShare)
 	if share == a.share {
 		return
 	}
-	first := a.share == unknownShare
-	before := l.virtual(a)
+	unset := a.share == minWorkspaceShare
+	before := l.virtualTime(a)
 	a.share = share
-	if !first {
-		a.forgiven += l.virtual(a) - before
+	if !unset {
+		a.forgiven += l.virtualTime(a) - before
 	}
-	l.rekey(a)
+	l.updateKey(a)
 }
 
-// Adopt takes over the virtual times of a peer. It is for a router that has
+// AdoptVirtualTimes takes over the virtual times of a peer. It is for a router that has
 // just started: it can sum up what was served, but not what was forgiven or
 // under which shares it was served.
-func (l *Ledger) Adopt(entries []Entry) {
+func (l *Ledger) AdoptVirtualTimes(entries []Entry) {
 	for _, e := range entries {
 		if e.Virtual == 0 {
 			continue
 		}
 		a := l.account(e.Workspace)
-		a.forgiven += l.virtual(a) - float64(e.Virtual)
-		l.rekey(a)
+		a.forgiven += l.virtualTime(a) - float64(e.Virtual)
+		l.updateKey(a)
 	}
 }
 
-func (l *Ledger) raise(a *account, lift state.Cost) {
+func (l *Ledger) raiseLift(a *account, lift state.Cost) {
 	if lift <= a.lift {
 		return
 	}
 	a.lift = lift
-	l.changed[a] = struct{}{}
+	l.changedAccounts[a] = struct{}{}
 }
 
-// Figures are one workspace's state for operators.
-type Figures struct {
+// AccountStatus are one workspace's state for operators.
+type AccountStatus struct {
 	Workspace state.Workspace
 	Share     float64
 	Counter
@@ -201,15 +201,15 @@
 	Virtual float64
 }
 
-// Figures returns the state of all workspaces in order of name.
-func (l *Ledger) Figures() []Figures {
-	figures := make([]Figures, 0, len(l.accounts))
+// AccountStatuses returns the state of all workspaces in order of name.
+func (l *Ledger) AccountStatuses() []AccountStatus {
+	statuses := make([]AccountStatus, 0, len(l.accounts))
 	for _, a := range l.accounts {
-		figures = append(figures, Figures{
+		statuses = append(statuses, AccountStatus{
 			Workspace: a.workspace, Share: a.share, Counter: a.own,
-			Fleet: a.own.total() + a.others, Lift: a.lift, Virtual: l.virtual(a),
+			Fleet: a.own.total() + a.othersTotal, Lift: a.lift, Virtual: l.virtualTime(a),
 		})
 	}
-	slices.SortFunc(figures, func(a, b Figures) int { return cmp.Compare(a.Workspace, b.Workspace) })
-	return figures
+	slices.SortFunc(statuses, func(a, b AccountStatus) int { return cmp.Compare(a.Workspace, b.Workspace) })
+	return statuses
 }
--- a/coordination/fairness/limits.go
+++ b/coordination/fairness/limits.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// unknownShare keeps a workspace without a share in the settings at the
+	// minWorkspaceShare keeps a workspace without a share in the settings at the
 	// end of the line instead of dividing by zero.
-	unknownShare = 1e-6
+	minWorkspaceShare = 1e-6
 	// minOwnShare bounds the extrapolation of an owner of next to nothing.
 	minOwnShare = 1e-4
 	// idleGrace is how long a workspace may seem to have nothing waiting
@@ -20,7 +20,7 @@
 	clampWindow = time.Minute
 	// rateSmoothing averages the rate of service over some ten exchanges.
 	rateSmoothing = 0.1
-	// maxDead bounds the remembered incarnations that are gone: a fleet of a
+	// maxRemovedOrigins bounds the remembered incarnations that are gone: a fleet of a
 	// few hundred routers may be replaced once over.
-	maxDead = 512
+	maxRemovedOrigins = 512
 )
--- a/coordination/fairness/origin.go
+++ b/coordination/fairness/origin.go
@@ -10,8 +10,8 @@
 // origin is what is known of one other incarnation.
 type origin struct {
 	counters map[state.Workspace]Counter
-	// marks are the accounts' granted when this origin was last heard.
-	marks map[state.Workspace]float64
+	// grantedAtReceipt are the accounts' granted when this origin was last heard.
+	grantedAtReceipt map[state.Workspace]float64
 	// share of the service's slots; zero for incarnations that are gone.
 	share float64
 	live  bool
@@ -19,73 +19,73 @@
 	order uint64
 }
 
-// Hear takes in counters of another origin. Charged figures below the known
+// ReceiveCounters takes in counters of another origin. Charged figures below the known
 // ones are old and ignored; so is a reservation that comes with them.
-func (l *Ledger) Hear(o Origin, entries []Entry) {
-	known := l.origin(o)
-	l.mark(known)
+func (l *Ledger) ReceiveCounters(o Origin, entries []Entry) {
+	sender := l.origin(o)
+	l.endExtrapolation(sender)
 	for _, e := range entries {
 		a := l.account(e.Workspace)
 		a.lift = max(a.lift, e.Lift)
-		old := known.counters[e.Workspace]
+		old := sender.counters[e.Workspace]
 		if e.Charged < old.Charged {
 			continue
 		}
-		if !known.live {
+		if !sender.live {
 			e.Reserved = 0
 		}
-		known.counters[e.Workspace] = e.Counter
-		a.others += e.total() - old.total()
+		sender.counters[e.Workspace] = e.Counter
+		a.othersTotal += e.total() - old.total()
 	}
-	l.stale = true
+	l.othersChanged = true
 }
 
 func (l *Ledger) origin(o Origin) *origin {
 	known := l.origins[o]
 	if known == nil {
-		l.heard++
-		known = &origin{counters: make(map[state.Workspace]Counter), marks: make(map[state.Workspace]float64), order: l.heard}
+		l.originsSeen++
+		known = &origin{counters: make(map[state.Workspace]Counter), grantedAtReceipt: make(map[state.Workspace]float64), order: l.originsSeen}
 		l.origins[o] = known
-		l.forgetOldest()
+		l.forgetOldestOrigin()
 	}
 	return known
 }
 
-// mark ends the extrapolation of one peer: what it did until now is known.
-func (l *Ledger) mark(o *origin) {
+// endExtrapolation ends the extrapolation of one peer: what it did until now is known.
+func (l *Ledger) endExtrapolation(o *origin) {
 	if o.share == 0 {
 		return
 	}
-	for a := range l.moved {
-		a.marked += o.share * (a.granted - o.marks[a.workspace])
-		o.marks[a.workspace] = a.granted
-		if l.extrapolated(a) < 1 {
-			delete(l.moved, a)
+	for a := range l.extrapolated {
+		a.peerGrantedEstimate += o.share * (a.grantedEstimate - o.grantedAtReceipt[a.workspace])
+		o.grantedAtReceipt[a.workspace] = a.grantedEstimate
+		if l.extrapolatedCost(a) < 1 {
+			delete(l.extrapolated, a)
 		}
 	}
 }
 
-// forgetOldest bounds the memory under restarts without end. What a forgotten
+// forgetOldestOrigin bounds the memory under restarts without end. What a forgotten
 // incarnation had charged no longer counts here, which the clamp bounds.
-func (l *Ledger) forgetOldest() {
-	dead := 0
+func (l *Ledger) forgetOldestOrigin() {
+	removed := 0
 	var oldest Origin
-	first := l.heard + 1
+	minOrder := l.originsSeen + 1
 	for o, known := range l.origins {
 		if known.live {
 			continue
 		}
-		dead++
-		if known.order < first {
-			first = known.order
+		removed++
+		if known.order < minOrder {
+			minOrder = known.order
 			oldest = o
 		}
 	}
-	if dead <= maxDead {
+	if removed <= maxRemovedOrigins {
 		return
 	}
 	for w, c := range l.origins[oldest].counters {
-		l.account(w).others -= c.total()
+		l.account(w).othersTotal -= c.total()
 	}
 	delete(l.origins, oldest)
 }
@@ -100,13 +100,13 @@
 // Reservations of routers that are gone are dropped, because their work shows
 // in load reports or has ended.
 func (l *Ledger) SetPeers(own float64, peers []Peer) {
-	l.share = min(max(own, minOwnShare), 1)
+	l.ownShare = min(max(own, minOwnShare), 1)
 	live := make(map[Origin]struct{}, len(peers))
 	for _, p := range peers {
 		live[p.Origin] = struct{}{}
 		o := l.origin(p.Origin)
 		if !o.live {
-			o.marks = l.grantedNow()
+			o.grantedAtReceipt = l.grantedEstimates()
 		}
 		o.live = true
 		o.share = p.Share
@@ -118,12 +118,12 @@
 			o.share = 0
 		}
 	}
-	l.remark()
-	l.stale = true
+	l.rebuildExtrapolation()
+	l.othersChanged = true
 }
 
-// Knows reports whether exactly these routers are live to the ledger.
-func (l *Ledger) Knows(live []Origin) bool {
+// HasPeers reports whether exactly these routers are live to the ledger.
+func (l *Ledger) HasPeers(live []Origin) bool {
 	known := 0
 	for _, o := range l.origins {
 		if o.live {
@@ -143,43 +143,43 @@
 
 func (l *Ledger) dropReserved(o *origin) {
 	for w, c := range o.counters {
-		l.account(w).others -= c.Reserved
+		l.account(w).othersTotal -= c.Reserved
 		c.Reserved = 0
 		o.counters[w] = c
 	}
-	clear(o.marks)
+	clear(o.grantedAtReceipt)
 }
 
-func (l *Ledger) grantedNow() map[state.Workspace]float64 {
-	marks := make(map[state.Workspace]float64, len(l.accounts))
+func (l *Ledger) grantedEstimates() map[state.Workspace]float64 {
+	estimates := make(map[state.Workspace]float64, len(l.accounts))
 	for w, a := range l.accounts {
-		marks[w] = a.granted
+		estimates[w] = a.grantedEstimate
 	}
-	return marks
+	return estimates
 }
 
-// remark rebuilds the sums over peers after their shares changed. Parts that
+// rebuildExtrapolation rebuilds the sums over peers after their shares changed. Parts that
 // belong to no live peer extrapolate nothing.
-func (l *Ledger) remark() {
-	parts := make([]*origin, 0, len(l.origins))
-	covered := 0.0
-	for _, name := range l.sorted() {
+func (l *Ledger) rebuildExtrapolation() {
+	liveOrigins := make([]*origin, 0, len(l.origins))
+	coveredShare := 0.0
+	for _, name := range l.sortedOrigins() {
 		o := l.origins[name]
 		if o.share > 0 {
-			parts = append(parts, o)
-			covered += o.share
+			liveOrigins = append(liveOrigins, o)
+			coveredShare += o.share
 		}
 	}
 	for w, a := range l.accounts {
-		a.marked = (1 - l.share - covered) * a.granted
-		for _, o := range parts {
-			a.marked += o.share * o.marks[w]
+		a.peerGrantedEstimate = (1 - l.ownShare - coveredShare) * a.grantedEstimate
+		for _, o := range liveOrigins {
+			a.peerGrantedEstimate += o.share * o.grantedAtReceipt[w]
 		}
-		l.moved[a] = struct{}{}
+		l.extrapolated[a] = struct{}{}
 	}
 }
 
-func (l *Ledger) sorted() []Origin {
+func (l *Ledger) sortedOrigins() []Origin {
 	names := make([]Origin, 0, len(l.origins))
 	for name := range l.origins {
 		names = append(names, name)
--- a/coordination/grants/grants.go
+++ b/coordination/grants/grants.go
@@ -16,181 +16,181 @@
 // lapse, and bounds for how long such a receiver keeps a slot idle.
 const Lifetime = 2 * time.Second
 
-// Silence is after how long without a report a used grant is checked against
+// ReportTimeout is after how long without a report a used grant is checked against
 // the upstream's load. The report of the end can be lost with a connection
 // that is restored before anybody misses the peer; then the slot would count
 // as taken for ever.
-const Silence = 5 * time.Minute
+const ReportTimeout = 5 * time.Minute
 
-// Given is one outstanding grant of this router.
-type Given struct {
+// Grant is one outstanding grant of this router.
+type Grant struct {
 	Sequence  uint64
 	To        state.Router
 	Upstream  state.Upstream
 	Service   state.Service
 	Workspace state.Workspace
 	// Reserved is the cost set aside in total, Charged what was served of it.
-	Reserved state.Cost
-	Charged  state.Cost
-	Started  bool
-	Given    time.Time
-	Expires  time.Time
+	Reserved  state.Cost
+	Charged   state.Cost
+	Started   bool
+	IssuedAt  time.Time
+	ExpiresAt time.Time
 }
 
 // Remaining is the cost still set aside.
-func (g *Given) Remaining() state.Cost {
+func (g *Grant) Remaining() state.Cost {
 	return max(0, g.Reserved-g.Charged)
 }
 
 // Charge counts served cost. A request that outgrows its reservation gets
 // twice as much set aside: one that already ran past its estimate is likely
 // to go on for as long again, and would otherwise count nothing ahead.
-func (g *Given) Charge(cost state.Cost) {
+func (g *Grant) Charge(cost state.Cost) {
 	g.Charged += cost
 	for g.Reserved < g.Charged {
 		g.Reserved = max(1, 2*g.Reserved)
 	}
 }
 
-// Book holds the outstanding grants that a router has given.
-type Book struct {
-	next    uint64
-	bySeq   map[uint64]*Given
-	expiry  *btree.BTreeG[*Given]
-	byPeers map[state.Router]map[uint64]*Given
+// Table holds the outstanding grants that a router has given.
+type Table struct {
+	lastSequence uint64
+	bySequence   map[uint64]*Grant
+	byExpiry     *btree.BTreeG[*Grant]
+	byRouter     map[state.Router]map[uint64]*Grant
 }
 
-// NewBook returns an empty book whose sequence numbers follow first. Callers
+// NewTable returns an empty book whose sequence numbers follow first. Callers
 // pick first at random per incarnation, so that reports about grants of an
 // earlier incarnation never hit a grant of this one.
-func NewBook(first uint64) *Book {
-	return &Book{
-		next:    first,
-		bySeq:   make(map[uint64]*Given),
-		expiry:  btree.NewG(8, expiresBefore),
-		byPeers: make(map[state.Router]map[uint64]*Given),
+func NewTable(first uint64) *Table {
+	return &Table{
+		lastSequence: first,
+		bySequence:   make(map[uint64]*Grant),
+		byExpiry:     btree.NewG(8, expiresBefore),
+		byRouter:     make(map[state.Router]map[uint64]*Grant),
 	}
 }
 
-func expiresBefore(a, b *Given) bool {
-	if !a.Expires.Equal(b.Expires) {
-		return a.Expires.Before(b.Expires)
+func expiresBefore(a, b *Grant) bool {
+	if !a.ExpiresAt.Equal(b.ExpiresAt) {
+		return a.ExpiresAt.Before(b.ExpiresAt)
 	}
 	return a.Sequence < b.Sequence
 }
 
-// Give enters a grant and numbers it.
-func (b *Book) Give(now time.Time, g Given) *Given {
-	b.next++
-	g.Sequence = b.next
-	g.Given = now
-	g.Expires = now.Add(Lifetime)
-	b.enter(&g)
+// Issue enters a grant and numbers it.
+func (b *Table) Issue(now time.Time, g Grant) *Grant {
+	b.lastSequence++
+	g.Sequence = b.lastSequence
+	g.IssuedAt = now
+	g.ExpiresAt = now.Add(Lifetime)
+	b.insert(&g)
 	return &g
 }
 
-// Reopen enters a used grant again that had expired.
-func (b *Book) Reopen(now time.Time, g *Given) {
-	g.Expires = now.Add(Silence)
-	b.enter(g)
+// Reinsert enters a used grant again that had expired.
+func (b *Table) Reinsert(now time.Time, g *Grant) {
+	g.ExpiresAt = now.Add(ReportTimeout)
+	b.insert(g)
 }
 
-func (b *Book) enter(g *Given) {
-	b.bySeq[g.Sequence] = g
-	if b.byPeers[g.To] == nil {
-		b.byPeers[g.To] = make(map[uint64]*Given)
+func (b *Table) insert(g *Grant) {
+	b.bySequence[g.Sequence] = g
+	if b.byRouter[g.To] == nil {
+		b.byRouter[g.To] = make(map[uint64]*Grant)
 	}
-	b.byPeers[g.To][g.Sequence] = g
-	b.expiry.ReplaceOrInsert(g)
+	b.byRouter[g.To][g.Sequence] = g
+	b.byExpiry.ReplaceOrInsert(g)
 }
 
 // Find returns an outstanding grant given to a router, or nil.
-func (b *Book) Find(to state.Router, sequence uint64) *Given {
-	g, ok := b.bySeq[sequence]
+func (b *Table) Find(to state.Router, sequence uint64) *Grant {
+	g, ok := b.bySequence[sequence]
 	if !ok || g.To != to {
 		return nil
 	}
 	return g
 }
 
-// Heard marks a grant as used. It does not expire before Silence has passed.
-func (b *Book) Heard(now time.Time, g *Given) {
-	b.expiry.Delete(g)
+// MarkStarted marks a grant as used. It does not expire before Silence has passed.
+func (b *Table) MarkStarted(now time.Time, g *Grant) {
+	b.byExpiry.Delete(g)
 	g.Started = true
-	g.Expires = now.Add(Silence)
-	b.expiry.ReplaceOrInsert(g)
+	g.ExpiresAt = now.Add(ReportTimeout)
+	b.byExpiry.ReplaceOrInsert(g)
 }
 
-// Close removes a grant.
-func (b *Book) Close(g *Given) {
-	b.expiry.Delete(g)
-	delete(b.bySeq, g.Sequence)
-	delete(b.byPeers[g.To], g.Sequence)
-	if len(b.byPeers[g.To]) == 0 {
-		delete(b.byPeers, g.To)
+// Remove removes a grant.
+func (b *Table) Remove(g *Grant) {
+	b.byExpiry.Delete(g)
+	delete(b.bySequence, g.Sequence)
+	delete(b.byRouter[g.To], g.Sequence)
+	if len(b.byRouter[g.To]) == 0 {
+		delete(b.byRouter, g.To)
 	}
 }
 
-// Expired removes and returns the grants that were not used in time or of
+// TakeExpired removes and returns the grants that were not used in time or of
 // which nothing was heard for too long.
-func (b *Book) Expired(now time.Time) []*Given {
-	var expired []*Given
+func (b *Table) TakeExpired(now time.Time) []*Grant {
+	var expired []*Grant
 	for {
-		g, ok := b.expiry.Min()
-		if !ok || now.Before(g.Expires) {
+		g, ok := b.byExpiry.Min()
+		if !ok || now.Before(g.ExpiresAt) {
 			return expired
 		}
-		b.Close(g)
+		b.Remove(g)
 		expired = append(expired, g)
 	}
 }
 
-// Lose removes and returns all grants of a router that is gone.
-func (b *Book) Lose(to state.Router) []*Given {
-	var lost []*Given
-	for _, g := range b.byPeers[to] {
-		lost = append(lost, g)
+// RemoveRouter removes and returns all grants of a router that is gone.
+func (b *Table) RemoveRouter(to state.Router) []*Grant {
+	var removed []*Grant
+	for _, g := range b.byRouter[to] {
+		removed = append(removed, g)
 	}
-	slices.SortFunc(lost, func(a, b *Given) int { return int(int64(a.Sequence - b.Sequence)) })
-	for _, g := range lost {
-		b.Close(g)
+	slices.SortFunc(removed, func(a, b *Grant) int { return int(int64(a.Sequence - b.Sequence)) })
+	for _, g := range removed {
+		b.Remove(g)
 	}
-	return lost
+	return removed
 }
 
 // Len counts the outstanding grants.
-func (b *Book) Len() int {
-	return len(b.bySeq)
+func (b *Table) Len() int {
+	return len(b.bySequence)
 }
 
-// sameIncarnation is the distance within which two sequence numbers belong to
+// maxSequenceDistance is the distance within which two sequence numbers belong to
 // the same incarnation of an owner; numbers of another one start at random.
-const sameIncarnation = 1 << 32
+const maxSequenceDistance = 1 << 32
 
-// Seen recognises grants that come twice, so that one grant never starts two
+// SeenSequences recognises grants that come twice, so that one grant never starts two
 // requests.
-type Seen struct {
+type SeenSequences struct {
 	last map[state.Router]uint64
 }
 
-// NewSeen returns an empty memory.
-func NewSeen() *Seen {
-	return &Seen{last: make(map[state.Router]uint64)}
+// NewSeenSequences returns an empty memory.
+func NewSeenSequences() *SeenSequences {
+	return &SeenSequences{last: make(map[state.Router]uint64)}
 }
 
-// First reports whether a grant is news. Owners number their grants upwards
+// Accept reports whether a grant is news. Owners number their grants upwards
 // over an ordered connection, so the last number per owner is memory enough.
-func (s *Seen) First(owner state.Router, sequence uint64) bool {
+func (s *SeenSequences) Accept(owner state.Router, sequence uint64) bool {
 	last, ok := s.last[owner]
 	behind := int64(last - sequence)
-	if ok && behind >= 0 && behind < sameIncarnation {
+	if ok && behind >= 0 && behind < maxSequenceDistance {
 		return false
 	}
 	s.last[owner] = sequence
 	return true
 }
 
-// Forget drops an owner that is gone.
-func (s *Seen) Forget(owner state.Router) {
+// ForgetOwner drops an owner that is gone.
+func (s *SeenSequences) ForgetOwner(owner state.Router) {
 	delete(s.last, owner)
 }
--- a/coordination/ownership/change.go
+++ b/coordination/ownership/change.go
@@ -11,24 +11,24 @@
 // that a single router costs no look-up over all of them.
 type Change struct {
 	before, after *Table
-	rings         map[ringPair]*ringChange
+	setChanges    map[routerSetPair]*routerSetChange
 }
 
-// ringPair is the rings of one data centre before and after.
-type ringPair struct{ before, after *ring }
+// routerSetPair is the rings of one data centre before and after.
+type routerSetPair struct{ before, after *routerSet }
 
 // NewChange compares two tables.
 func NewChange(before, after *Table) *Change {
-	return &Change{before: before, after: after, rings: make(map[ringPair]*ringChange)}
+	return &Change{before: before, after: after, setChanges: make(map[routerSetPair]*routerSetChange)}
 }
 
-// None reports whether both tables give every upstream the same owner.
-func (c *Change) None() bool {
-	if len(c.before.byCentre) != len(c.after.byCentre) {
+// IsEmpty reports whether both tables give every upstream the same owner.
+func (c *Change) IsEmpty() bool {
+	if len(c.before.byDataCentre) != len(c.after.byDataCentre) {
 		return false
 	}
-	for dc, r := range c.after.byCentre {
-		old, ok := c.before.byCentre[dc]
+	for dc, r := range c.after.byDataCentre {
+		old, ok := c.before.byDataCentre[dc]
 		if !ok || !slices.Equal(old.names, r.names) {
 			return false
 		}
@@ -37,54 +37,54 @@
 }
 
 // Owner returns the owner by the later table, given the one by the earlier.
-func (c *Change) Owner(upstream state.Upstream, dc state.DataCentre, present state.Router) state.Router {
-	return c.of(dc).owner(upstream, present)
+func (c *Change) Owner(upstream state.Upstream, dc state.DataCentre, currentOwner state.Router) state.Router {
+	return c.forDataCentre(dc).owner(upstream, currentOwner)
 }
 
-func (c *Change) of(dc state.DataCentre) *ringChange {
-	pair := ringPair{before: c.before.ring(dc), after: c.after.ring(dc)}
-	change := c.rings[pair]
+func (c *Change) forDataCentre(dc state.DataCentre) *routerSetChange {
+	pair := routerSetPair{before: c.before.routersFor(dc), after: c.after.routersFor(dc)}
+	change := c.setChanges[pair]
 	if change == nil {
-		change = newRingChange(pair)
-		c.rings[pair] = change
+		change = newRouterSetChange(pair)
+		c.setChanges[pair] = change
 	}
 	return change
 }
 
-// ringChange is the change of one ring.
-type ringChange struct {
-	after  *ring
+// routerSetChange is the change of one ring.
+type routerSetChange struct {
+	after  *routerSet
 	joined []string
-	// against holds, for each present owner, the ring of it and of those
+	// challengerSets holds, for each present owner, the ring of it and of those
 	// that joined.
-	against map[state.Router]*ring
+	challengerSets map[state.Router]*routerSet
 }
 
-func newRingChange(pair ringPair) *ringChange {
-	c := &ringChange{after: pair.after, against: make(map[state.Router]*ring)}
+func newRouterSetChange(pair routerSetPair) *routerSetChange {
+	c := &routerSetChange{after: pair.after, challengerSets: make(map[state.Router]*routerSet)}
 	for _, name := range pair.after.names {
-		if !pair.before.has(state.Router(name)) {
+		if !pair.before.contains(state.Router(name)) {
 			c.joined = append(c.joined, name)
 		}
 	}
 	return c
 }
 
-func (c *ringChange) owner(upstream state.Upstream, present state.Router) state.Router {
-	if len(c.joined) > maxJoined || !c.after.has(present) {
+func (c *routerSetChange) owner(upstream state.Upstream, currentOwner state.Router) state.Router {
+	if len(c.joined) > maxJoined || !c.after.contains(currentOwner) {
 		return c.after.owner(upstream)
 	}
 	if len(c.joined) == 0 {
-		return present
+		return currentOwner
 	}
-	return c.challengers(present).owner(upstream)
+	return c.challengers(currentOwner).owner(upstream)
 }
 
-func (c *ringChange) challengers(present state.Router) *ring {
-	r := c.against[present]
+func (c *routerSetChange) challengers(currentOwner state.Router) *routerSet {
+	r := c.challengerSets[currentOwner]
 	if r == nil {
-		r = newRing(append(slices.Clone(c.joined), string(present)))
-		c.against[present] = r
+		r = newRouterSet(append(slices.Clone(c.joined), string(currentOwner)))
+		c.challengerSets[currentOwner] = r
 	}
 	return r
 }
--- a/coordination/ownership/change_test.go
+++ b/coordination/ownership/change_test.go
@@ -20,7 +20,7 @@
 			list := fleet.Draw(t, "after")
 			after := New(list)
 			change := NewChange(before, after)
-			none := change.None()
+			none := change.IsEmpty()
 			for i := range 60 {
 				u := state.Upstream(fmt.Sprint("u", i))
 				dc := state.DataCentre(fmt.Sprint(i % 5))
--- a/coordination/ownership/ownership.go
+++ b/coordination/ownership/ownership.go
@@ -27,8 +27,8 @@
 
 // Table maps upstreams to owners for one set of live routers.
 type Table struct {
-	byCentre map[state.DataCentre]*ring
-	all      *ring
+	byDataCentre map[state.DataCentre]*routerSet
+	allRouters   *routerSet
 }
 
 // New builds the table. Draining routers own nothing, unless no other router
@@ -45,9 +45,9 @@
 		names[c.DataCentre] = append(names[c.DataCentre], string(c.Router))
 		all = append(all, string(c.Router))
 	}
-	t := &Table{byCentre: make(map[state.DataCentre]*ring, len(names)), all: newRing(all)}
+	t := &Table{byDataCentre: make(map[state.DataCentre]*routerSet, len(names)), allRouters: newRouterSet(all)}
 	for dc, routers := range names {
-		t.byCentre[dc] = newRing(routers)
+		t.byDataCentre[dc] = newRouterSet(routers)
 	}
 	return t
 }
@@ -56,33 +56,33 @@
 // of the upstream's data centre come first, because a partition that cuts
 // data centres apart then leaves upstream and owner on the same side.
 func (t *Table) Owner(upstream state.Upstream, dc state.DataCentre) state.Router {
-	return t.ring(dc).owner(upstream)
+	return t.routersFor(dc).owner(upstream)
 }
 
-func (t *Table) ring(dc state.DataCentre) *ring {
-	if r, ok := t.byCentre[dc]; ok {
+func (t *Table) routersFor(dc state.DataCentre) *routerSet {
+	if r, ok := t.byDataCentre[dc]; ok {
 		return r
 	}
-	return t.all
+	return t.allRouters
 }
 
-// ring is the rendezvous hash over one set of routers.
-type ring struct {
+// routerSet is the rendezvous hash over one set of routers.
+type routerSet struct {
 	names []string
 	hash  *rendezvous.Rendezvous
 }
 
-// newRing sorts the names, so that equal hashes are settled alike everywhere.
-func newRing(names []string) *ring {
+// newRouterSet sorts the names, so that equal hashes are settled alike everywhere.
+func newRouterSet(names []string) *routerSet {
 	slices.Sort(names)
-	return &ring{names: names, hash: rendezvous.New(names, xxhash.Sum64String)}
+	return &routerSet{names: names, hash: rendezvous.New(names, xxhash.Sum64String)}
 }
 
-func (r *ring) owner(upstream state.Upstream) state.Router {
+func (r *routerSet) owner(upstream state.Upstream) state.Router {
 	return state.Router(r.hash.Lookup(string(upstream)))
 }
 
-func (r *ring) has(router state.Router) bool {
+func (r *routerSet) contains(router state.Router) bool {
 	_, found := slices.BinarySearch(r.names, string(router))
 	return found
 }
--- a/coordination/queue/pace.go
+++ b/coordination/queue/pace.go
@@ -11,16 +11,16 @@
 	paceMemory = time.Minute
 )
 
-// pace is how fast a workspace's queue moves at this router. It learns only
+// departurePace is how fast a workspace's queue moves at this router. It learns only
 // while requests wait, since an idle queue says nothing of the service.
-type pace struct {
-	interval time.Duration
-	last     time.Time
+type departurePace struct {
+	interval      time.Duration
+	lastDeparture time.Time
 }
 
-func (p *pace) served(now time.Time) {
-	interval := now.Sub(p.last)
-	p.last = now
+func (p *departurePace) recordDeparture(now time.Time) {
+	interval := now.Sub(p.lastDeparture)
+	p.lastDeparture = now
 	if p.interval == 0 {
 		p.interval = interval
 		return
@@ -28,12 +28,12 @@
 	p.interval += time.Duration(paceSmoothing * float64(interval-p.interval))
 }
 
-// wait is the queue's length at its pace, plus how far the next departure is
+// estimatedWait is the queue's length at its pace, plus how far the next departure is
 // overdue: a queue that stopped moving is seen at once.
-func (t *tenant) wait(now time.Time) time.Duration {
-	if t.requests == 0 || t.pace.interval == 0 {
+func (q *workspaceQueue) estimatedWait(now time.Time) time.Duration {
+	if q.requests == 0 || q.pace.interval == 0 {
 		return 0
 	}
-	overdue := max(0, now.Sub(t.pace.last)-t.pace.interval)
-	return time.Duration(t.requests)*t.pace.interval + overdue
+	overdue := max(0, now.Sub(q.pace.lastDeparture)-q.pace.interval)
+	return time.Duration(q.requests)*q.pace.interval + overdue
 }
--- a/coordination/queue/queue.go
+++ b/coordination/queue/queue.go
@@ -33,12 +33,12 @@
 	DefaultTotalBytes    = 256 << 20
 )
 
-// avoidLast is how long a retry waits for another upstream than the one that
+// avoidanceTime is how long a retry waits for another upstream than the one that
 // failed it: several grants' round trips, and no longer, because the others
 // may be gone.
-const avoidLast = time.Second
+const avoidanceTime = time.Second
 
-func (l Limits) orDefault(requests int, bytes int64) Limits {
+func (l Limits) withDefaults(requests int, bytes int64) Limits {
 	if l.Requests <= 0 {
 		l.Requests = requests
 	}
@@ -60,52 +60,52 @@
 	Key
 	ID          state.RequestID
 	Bytes       int64
-	Hint        state.Cost
+	CostHint    state.Cost
 	Arrived     time.Time
 	Deadline    time.Time
 	Repeatable  bool
 	Fingerprint state.Fingerprint
 	// Dispatches counts earlier tries, Last is the upstream of the latest,
 	// and Sent says that some try may have reached its upstream.
-	Dispatches int
-	Last       state.Upstream
-	Sent       bool
+	Dispatches   int
+	LastUpstream state.Upstream
+	MaybeSent    bool
 
 	// avoidUntil is how long a retry keeps away from Last.
 	avoidUntil time.Time
 	element    *list.Element
 }
 
-type tenantKey struct {
+type workspaceKey struct {
 	service   state.Service
 	workspace state.Workspace
 }
 
-// tenant is what waits of one workspace for one service.
-type tenant struct {
+// workspaceQueue is what waits of one workspace for one service.
+type workspaceQueue struct {
 	requests int
 	bytes    int64
-	lines    map[state.Model]*list.List
-	pace     pace
+	byModel  map[state.Model]*list.List
+	pace     departurePace
 }
 
 // Set holds all queues of a router.
 type Set struct {
-	total     Limits
-	requests  int
-	bytes     int64
-	items     map[state.RequestID]*Item
-	tenants   map[tenantKey]*tenant
-	deadlines *btree.BTreeG[*Item]
+	totalLimits Limits
+	requests    int
+	bytes       int64
+	items       map[state.RequestID]*Item
+	workspaces  map[workspaceKey]*workspaceQueue
+	deadlines   *btree.BTreeG[*Item]
 }
 
 // New returns empty queues bounded by total.
 func New(total Limits) *Set {
 	return &Set{
-		total:     total.orDefault(DefaultTotalRequests, DefaultTotalBytes),
-		items:     make(map[state.RequestID]*Item),
-		tenants:   make(map[tenantKey]*tenant),
-		deadlines: btree.NewG(16, dueBefore),
+		totalLimits: total.withDefaults(DefaultTotalRequests, DefaultTotalBytes),
+		items:       make(map[state.RequestID]*Item),
+		workspaces:  make(map[workspaceKey]*workspaceQueue),
+		deadlines:   btree.NewG(16, dueBefore),
 	}
 }
 
@@ -127,22 +127,22 @@
 	if !it.Deadline.After(now) {
 		return result.DeadlineTooShort
 	}
-	limits = limits.orDefault(defaultRequests, defaultBytes)
-	t := s.tenants[tenantKey{it.Service, it.Workspace}]
-	if t != nil {
+	limits = limits.withDefaults(defaultRequests, defaultBytes)
+	q := s.workspaces[workspaceKey{it.Service, it.Workspace}]
+	if q != nil {
 		switch {
-		case t.requests >= limits.Requests:
+		case q.requests >= limits.Requests:
 			return result.QueueFull
-		case t.bytes+it.Bytes > limits.Bytes:
+		case q.bytes+it.Bytes > limits.Bytes:
 			return result.QueueBytesFull
-		case now.Add(t.wait(now)).After(it.Deadline):
+		case now.Add(q.estimatedWait(now)).After(it.Deadline):
 			return result.DeadlineTooShort
 		}
 	}
 	if it.Bytes > limits.Bytes {
 		return result.QueueBytesFull
 	}
-	if s.requests >= s.total.Requests || s.bytes+it.Bytes > s.total.Bytes {
+	if s.requests >= s.totalLimits.Requests || s.bytes+it.Bytes > s.totalLimits.Bytes {
 		return result.TooManyRequests
 	}
 	s.insert(now, &it, false)
@@ -153,32 +153,32 @@
 // bounds do not apply: it was counted before, and there are no more of these
 // than there were slots.
 func (s *Set) Requeue(now time.Time, it *Item) {
-	it.avoidUntil = now.Add(avoidLast)
+	it.avoidUntil = now.Add(avoidanceTime)
 	s.insert(now, it, true)
 }
 
 func (s *Set) insert(now time.Time, it *Item, front bool) {
-	tk := tenantKey{it.Service, it.Workspace}
-	t := s.tenants[tk]
-	if t == nil {
-		t = &tenant{lines: make(map[state.Model]*list.List), pace: pace{last: now}}
-		s.tenants[tk] = t
+	key := workspaceKey{it.Service, it.Workspace}
+	q := s.workspaces[key]
+	if q == nil {
+		q = &workspaceQueue{byModel: make(map[state.Model]*list.List), pace: departurePace{lastDeparture: now}}
+		s.workspaces[key] = q
 	}
-	l := t.lines[it.Model]
+	l := q.byModel[it.Model]
 	if l == nil {
 		l = list.New()
-		t.lines[it.Model] = l
+		q.byModel[it.Model] = l
 	}
 	if front {
 		it.element = l.PushFront(it)
 	} else {
 		it.element = l.PushBack(it)
 	}
-	if t.requests == 0 {
-		t.pace.last = now
+	if q.requests == 0 {
+		q.pace.lastDeparture = now
 	}
-	t.requests++
-	t.bytes += it.Bytes
+	q.requests++
+	q.bytes += it.Bytes
 	s.requests++
 	s.bytes += it.Bytes
 	s.items[it.ID] = it
@@ -186,16 +186,16 @@
 }
 
 func (s *Set) remove(it *Item) {
-	tk := tenantKey{it.Service, it.Workspace}
-	t := s.tenants[tk]
-	l := t.lines[it.Model]
+	key := workspaceKey{it.Service, it.Workspace}
+	q := s.workspaces[key]
+	l := q.byModel[it.Model]
 	l.Remove(it.element)
 	it.element = nil
 	if l.Len() == 0 {
-		delete(t.lines, it.Model)
+		delete(q.byModel, it.Model)
 	}
-	t.requests--
-	t.bytes -= it.Bytes
+	q.requests--
+	q.bytes -= it.Bytes
 	s.requests--
 	s.bytes -= it.Bytes
 	delete(s.items, it.ID)
@@ -204,20 +204,20 @@
 
 // Head returns the oldest request of a line, or nil.
 func (s *Set) Head(k Key) *Item {
-	t := s.tenants[tenantKey{k.Service, k.Workspace}]
-	if t == nil || t.lines[k.Model] == nil {
+	q := s.workspaces[workspaceKey{k.Service, k.Workspace}]
+	if q == nil || q.byModel[k.Model] == nil {
 		return nil
 	}
-	return t.lines[k.Model].Front().Value.(*Item)
+	return q.byModel[k.Model].Front().Value.(*Item)
 }
 
 // Len counts the requests of a line.
 func (s *Set) Len(k Key) int {
-	t := s.tenants[tenantKey{k.Service, k.Workspace}]
-	if t == nil || t.lines[k.Model] == nil {
+	q := s.workspaces[workspaceKey{k.Service, k.Workspace}]
+	if q == nil || q.byModel[k.Model] == nil {
 		return 0
 	}
-	return t.lines[k.Model].Len()
+	return q.byModel[k.Model].Len()
 }
 
 // Take removes the request to run next on an upstream, or returns nil. A
@@ -235,18 +235,18 @@
 		return nil
 	}
 	s.remove(it)
-	t := s.tenants[tenantKey{k.Service, k.Workspace}]
-	t.pace.served(now)
-	if t.requests == 0 {
+	q := s.workspaces[workspaceKey{k.Service, k.Workspace}]
+	q.pace.recordDeparture(now)
+	if q.requests == 0 {
 		// The rush is over. Its pace would refuse the next burst for waits
 		// that nobody has any more.
-		t.pace.interval = 0
+		q.pace.interval = 0
 	}
 	return it
 }
 
 func (it *Item) avoids(now time.Time, upstream state.Upstream) bool {
-	return it.Last == upstream && now.Before(it.avoidUntil)
+	return it.LastUpstream == upstream && now.Before(it.avoidUntil)
 }
 
 // Remove takes a request out, or returns nil if it does not wait.
@@ -258,8 +258,8 @@
 	return it
 }
 
-// Expired removes and returns the requests whose deadline has come.
-func (s *Set) Expired(now time.Time) []*Item {
+// TakeExpired removes and returns the requests whose deadline has come.
+func (s *Set) TakeExpired(now time.Time) []*Item {
 	var expired []*Item
 	for {
 		it, ok := s.deadlines.Min()
@@ -271,22 +271,22 @@
 	}
 }
 
-// Wait estimates how long a request of a workspace arriving now would wait.
-func (s *Set) Wait(now time.Time, service state.Service, workspace state.Workspace) time.Duration {
-	t := s.tenants[tenantKey{service, workspace}]
-	if t == nil {
+// EstimatedWait estimates how long a request of a workspace arriving now would wait.
+func (s *Set) EstimatedWait(now time.Time, service state.Service, workspace state.Workspace) time.Duration {
+	q := s.workspaces[workspaceKey{service, workspace}]
+	if q == nil {
 		return 0
 	}
-	return t.wait(now)
+	return q.estimatedWait(now)
 }
 
 // Waiting counts the requests of a workspace for a service.
 func (s *Set) Waiting(service state.Service, workspace state.Workspace) int {
-	t := s.tenants[tenantKey{service, workspace}]
-	if t == nil {
+	q := s.workspaces[workspaceKey{service, workspace}]
+	if q == nil {
 		return 0
 	}
-	return t.requests
+	return q.requests
 }
 
 // Total counts all waiting requests.
@@ -294,12 +294,12 @@
 	return s.requests
 }
 
-// Trim forgets workspaces that have had nothing waiting for a while, so that
+// ForgetIdle forgets workspaces that have had nothing waiting for a while, so that
 // memory follows the active ones.
-func (s *Set) Trim(now time.Time) {
-	for k, t := range s.tenants {
-		if t.requests == 0 && now.Sub(t.pace.last) > paceMemory {
-			delete(s.tenants, k)
+func (s *Set) ForgetIdle(now time.Time) {
+	for k, q := range s.workspaces {
+		if q.requests == 0 && now.Sub(q.pace.lastDeparture) > paceMemory {
+			delete(s.workspaces, k)
 		}
 	}
 }
--- a/coordination/queue/queue_test.go
+++ b/coordination/queue/queue_test.go
@@ -35,7 +35,7 @@
 
 // A caller waits in vain: its deadline is shorter than the queue is long. It
 // is refused on arrival; with nothing waiting before it, never.
-func TestDeadlineBelowEstimatedWait(t *testing.T) {
+func TestDeadlineShorterThanEstimatedWait(t *testing.T) {
 	now := now
 	s := New(Limits{})
 	for id := range state.RequestID(20) {
@@ -45,11 +45,11 @@
 		now = now.Add(time.Second)
 		require.NotNil(t, s.Take(now, Key{Service: "s", Workspace: "w"}, "u"))
 	}
-	require.Equal(t, 10*time.Second, s.Wait(now, "s", "w"))
+	require.Equal(t, 10*time.Second, s.EstimatedWait(now, "s", "w"))
 	require.Equal(t, result.DeadlineTooShort, s.Admit(now, item(30, 1, 19*time.Second), Limits{}))
 	require.Equal(t, result.OK, s.Admit(now, item(30, 1, 21*time.Second), Limits{}))
-	require.Len(t, s.Expired(now.Add(11*time.Second)), 1)
-	require.Greater(t, s.Wait(now.Add(time.Minute), "s", "w"), time.Minute, "a queue that stopped")
+	require.Len(t, s.TakeExpired(now.Add(11*time.Second)), 1)
+	require.Greater(t, s.EstimatedWait(now.Add(time.Minute), "s", "w"), time.Minute, "a queue that stopped")
 	for s.Take(now, Key{Service: "s", Workspace: "w"}, "u") != nil {
 		require.LessOrEqual(t, s.Total(), 9)
 	}
@@ -57,17 +57,17 @@
 	require.Equal(t, result.OK, s.Admit(now, item(41, 1, 20*time.Second), Limits{}), "the rush is over")
 }
 
-func TestRetryAvoidsItsUpstreamForAWhile(t *testing.T) {
+func TestRetryAvoidsFailedUpstream(t *testing.T) {
 	s := New(Limits{})
 	k := Key{Service: "s", Workspace: "w"}
 	s.Admit(now, item(1, 1, time.Hour), Limits{})
 	failed := s.Take(now, k, "u")
-	failed.Last = "u"
+	failed.LastUpstream = "u"
 	s.Requeue(now, failed)
 	require.Nil(t, s.Take(now, k, "u"))
 	s.Admit(now, item(2, 1, time.Hour), Limits{})
 	require.Equal(t, state.RequestID(2), s.Take(now, k, "u").ID)
-	require.Equal(t, state.RequestID(1), s.Take(now.Add(avoidLast), k, "u").ID)
+	require.Equal(t, state.RequestID(1), s.Take(now.Add(avoidanceTime), k, "u").ID)
 }
 
 // TestCountsMatchContent checks that counts and bytes never drift.
--- a/coordination/scheduler/baseline_test.go
+++ b/coordination/scheduler/baseline_test.go
@@ -27,15 +27,15 @@
 	return nil
 }
 
-// alone queues fairly, but for the requests and engines of one router: each
+// isolatedScheduler queues fairly, but for the requests and engines of one router: each
 // owner is a Scheduler that hears of no peers' demand or counters.
-type alone struct{ *Scheduler }
+type isolatedScheduler struct{ *Scheduler }
 
-func newAlone(self Peer, seed uint64) stepper {
-	return alone{New(Options{Self: self, Seed: seed})}
+func newIsolatedScheduler(self Peer, seed uint64) stepper {
+	return isolatedScheduler{New(Options{Self: self, Seed: seed})}
 }
 
-func (r alone) Step(now time.Time, ev Event) []Action {
+func (r isolatedScheduler) Step(now time.Time, ev Event) []Action {
 	switch ev.(type) {
 	case DemandHeard, UsageHeard, GrantHeard:
 		return nil
--- a/coordination/scheduler/demand.go
+++ b/coordination/scheduler/demand.go
@@ -14,23 +14,23 @@
 func (s *Scheduler) setDemand(svc *service, k demand.Key, e demand.Entry) {
 	backlogged := svc.demand.Set(k, e)
 	svc.ledger.SetBacklog(s.now, k.Workspace, k.Model, backlogged)
-	s.touch(svc.name)
+	s.markForGranting(svc.name)
 }
 
-// syncOwn brings the demand book up to the router's own queue.
-func (s *Scheduler) syncOwn(svc *service, k demand.Key) {
+// syncOwnDemand brings the demand book up to the router's own queue.
+func (s *Scheduler) syncOwnDemand(svc *service, k demand.Key) {
 	e := demand.Entry{Router: s.self.Router, Waiting: s.queues.Len(svc.queueKey(k))}
 	if head := s.queues.Head(svc.queueKey(k)); head != nil {
 		e.OldestArrival = head.Arrived
-		e.OldestCost = s.estimates.Estimate(estimate.Key{Service: svc.name, Workspace: k.Workspace}, head.Hint)
+		e.OldestCost = s.estimates.Estimate(estimate.Key{Service: svc.name, Workspace: k.Workspace}, head.CostHint)
 	}
 	s.setDemand(svc, k, e)
-	svc.changed[k] = struct{}{}
-	svc.urgent[k] = struct{}{}
+	svc.changedKeys[k] = struct{}{}
+	svc.urgentKeys[k] = struct{}{}
 }
 
-// entry describes a line of the router's own queue for others.
-func (s *Scheduler) entry(svc *service, k demand.Key) DemandEntry {
+// ownDemandEntry describes a line of the router's own queue for others.
+func (s *Scheduler) ownDemandEntry(svc *service, k demand.Key) DemandEntry {
 	d := DemandEntry{Workspace: k.Workspace, Model: k.Model}
 	head := s.queues.Head(svc.queueKey(k))
 	if head == nil {
@@ -38,7 +38,7 @@
 	}
 	d.Waiting = s.queues.Len(svc.queueKey(k))
 	d.HeadAge = s.now.Sub(head.Arrived)
-	d.HeadCost = s.estimates.Estimate(estimate.Key{Service: svc.name, Workspace: k.Workspace}, head.Hint)
+	d.HeadCost = s.estimates.Estimate(estimate.Key{Service: svc.name, Workspace: k.Workspace}, head.CostHint)
 	return d
 }
 
@@ -50,83 +50,83 @@
 // for a round trip their slots stand idle. So only firstAsked owners hear of
 // it at once, and the others at the next tick if it still waits.
 func (s *Scheduler) announceDemand() {
-	for _, svc := range s.sortedTouched() {
-		if len(svc.urgent) == 0 {
+	for _, svc := range s.sortedServicesToGrant() {
+		if len(svc.urgentKeys) == 0 {
 			continue
 		}
-		keys := sortedKeys(svc.urgent)
-		clear(svc.urgent)
-		s.sendDemand(svc, s.firstOwners(svc), keys, isNews)
+		keys := sortedKeys(svc.urgentKeys)
+		clear(svc.urgentKeys)
+		s.sendDemand(svc, s.pickUrgentOwners(svc), keys, isNewDemand)
 		for _, k := range keys {
-			svc.unanswered[k] = struct{}{}
+			svc.partlyAnnouncedKeys[k] = struct{}{}
 		}
 	}
 }
 
-func isNews(believed, waiting int) bool {
-	return believed == 0 && waiting > 0
+func isNewDemand(announced, waiting int) bool {
+	return announced == 0 && waiting > 0
 }
 
-// firstOwners picks owners in turn.
-func (s *Scheduler) firstOwners(svc *service) []state.Router {
-	if len(svc.owners) <= firstAsked {
+// pickUrgentOwners picks owners in turn.
+func (s *Scheduler) pickUrgentOwners(svc *service) []state.Router {
+	if len(svc.owners) <= urgentDemandOwners {
 		return svc.owners
 	}
-	svc.turn++
+	svc.ownerRotation++
 	var chosen []state.Router
-	for i := range firstAsked {
-		chosen = append(chosen, svc.owners[(svc.turn*firstAsked+i)%len(svc.owners)])
+	for i := range urgentDemandOwners {
+		chosen = append(chosen, svc.owners[(svc.ownerRotation*urgentDemandOwners+i)%len(svc.owners)])
 	}
 	return chosen
 }
 
-// askOthers tells the remaining owners of urgent demand that still waits.
-func (s *Scheduler) askOthers() {
+// announceToRemainingOwners tells the remaining owners of urgent demand that still waits.
+func (s *Scheduler) announceToRemainingOwners() {
 	for _, svc := range s.sortedServices() {
-		if len(svc.unanswered) == 0 {
+		if len(svc.partlyAnnouncedKeys) == 0 {
 			continue
 		}
-		keys := sortedKeys(svc.unanswered)
-		clear(svc.unanswered)
-		s.sendDemand(svc, svc.owners, keys, isNews)
+		keys := sortedKeys(svc.partlyAnnouncedKeys)
+		clear(svc.partlyAnnouncedKeys)
+		s.sendDemand(svc, svc.owners, keys, isNewDemand)
 	}
 }
 
-// batchDemand tells owners of lines that changed by much since they last
+// sendDemandBatch tells owners of lines that changed by much since they last
 // heard.
-func (s *Scheduler) batchDemand() {
+func (s *Scheduler) sendDemandBatch() {
 	for _, svc := range s.sortedServices() {
-		if len(svc.changed) == 0 {
+		if len(svc.changedKeys) == 0 {
 			continue
 		}
-		keys := sortedKeys(svc.changed)
-		clear(svc.changed)
-		s.sendDemand(svc, svc.owners, keys, differsMuch)
+		keys := sortedKeys(svc.changedKeys)
+		clear(svc.changedKeys)
+		s.sendDemand(svc, svc.owners, keys, differsBeyondTolerance)
 	}
 }
 
-func differsMuch(believed, waiting int) bool {
-	if believed == waiting {
+func differsBeyondTolerance(announced, waiting int) bool {
+	if announced == waiting {
 		return false
 	}
-	difference := max(believed-waiting, waiting-believed)
-	return difference*demandSlack > min(believed, waiting)
+	difference := max(announced-waiting, waiting-announced)
+	return difference*demandTolerance > min(announced, waiting)
 }
 
-func (s *Scheduler) sendDemand(svc *service, owners []state.Router, keys []demand.Key, needed func(believed, waiting int) bool) {
+func (s *Scheduler) sendDemand(svc *service, owners []state.Router, keys []demand.Key, needed func(announced, waiting int) bool) {
 	for _, owner := range owners {
-		believed := svc.believed[owner]
+		announced := svc.announcedDemand[owner]
 		var entries []DemandEntry
 		for _, k := range keys {
 			waiting := s.queues.Len(svc.queueKey(k))
-			if !needed(believed[k], waiting) {
+			if !needed(announced[k], waiting) {
 				continue
 			}
-			entries = append(entries, s.entry(svc, k))
-			believe(believed, k, waiting)
+			entries = append(entries, s.ownDemandEntry(svc, k))
+			setAnnounced(announced, k, waiting)
 		}
 		if len(entries) > 0 {
-			s.do(SendDemand{To: owner, Demand: Demand{Service: svc.name, Entries: entries}})
+			s.emit(SendDemand{To: owner, Demand: Demand{Service: svc.name, Entries: entries}})
 		}
 	}
 }
@@ -135,7 +135,7 @@
 func (s *Scheduler) refreshDemand() {
 	for _, svc := range s.sortedServices() {
 		for _, owner := range svc.owners {
-			if len(svc.believed[owner]) > 0 {
+			if len(svc.announcedDemand[owner]) > 0 {
 				s.sendAllDemand(svc, owner)
 			}
 		}
@@ -144,40 +144,40 @@
 
 func (s *Scheduler) sendAllDemand(svc *service, owner state.Router) {
 	d := Demand{Service: svc.name, Full: true}
-	believed := make(map[demand.Key]int)
+	announced := make(map[demand.Key]int)
 	for _, k := range svc.demand.Keys(s.self.Router) {
-		d.Entries = append(d.Entries, s.entry(svc, k))
-		believe(believed, k, s.queues.Len(svc.queueKey(k)))
+		d.Entries = append(d.Entries, s.ownDemandEntry(svc, k))
+		setAnnounced(announced, k, s.queues.Len(svc.queueKey(k)))
 	}
-	svc.believed[owner] = believed
-	s.do(SendDemand{To: owner, Demand: d})
+	svc.announcedDemand[owner] = announced
+	s.emit(SendDemand{To: owner, Demand: d})
 }
 
-// refreshBelieved follows a change of owners: new ones hear everything.
-func (s *Scheduler) refreshBelieved(svc *service) {
-	for r := range svc.believed {
+// refreshAnnouncedDemand follows a change of owners: new ones hear everything.
+func (s *Scheduler) refreshAnnouncedDemand(svc *service) {
+	for r := range svc.announcedDemand {
 		if _, ok := slices.BinarySearch(svc.owners, r); !ok {
-			delete(svc.believed, r)
+			delete(svc.announcedDemand, r)
 		}
 	}
 	for _, r := range svc.owners {
-		if _, ok := svc.believed[r]; !ok {
+		if _, ok := svc.announcedDemand[r]; !ok {
 			s.sendAllDemand(svc, r)
 		}
 	}
 }
 
-func believe(believed map[demand.Key]int, k demand.Key, waiting int) {
+func setAnnounced(announced map[demand.Key]int, k demand.Key, waiting int) {
 	if waiting <= 0 {
-		delete(believed, k)
+		delete(announced, k)
 		return
 	}
-	believed[k] = waiting
+	announced[k] = waiting
 }
 
-// hearDemand takes in a peer's demand. Nothing is kept of routers that are
+// receiveDemand takes in a peer's demand. Nothing is kept of routers that are
 // not live: no later event would take it away again.
-func (s *Scheduler) hearDemand(from state.Router, d Demand) {
+func (s *Scheduler) receiveDemand(from state.Router, d Demand) {
 	if _, live := s.peers[from]; !live {
 		return
 	}
@@ -185,23 +185,23 @@
 	if svc == nil {
 		return
 	}
-	heard := make(map[demand.Key]struct{}, len(d.Entries))
+	listed := make(map[demand.Key]struct{}, len(d.Entries))
 	for _, e := range d.Entries {
 		k := demand.Key{Workspace: e.Workspace, Model: e.Model}
-		heard[k] = struct{}{}
-		s.hearEntry(svc, from, e)
+		listed[k] = struct{}{}
+		s.applyDemandEntry(svc, from, e)
 	}
 	if !d.Full {
 		return
 	}
 	for _, k := range svc.demand.Keys(from) {
-		if _, ok := heard[k]; !ok {
+		if _, ok := listed[k]; !ok {
 			s.setDemand(svc, k, demand.Entry{Router: from})
 		}
 	}
 }
 
-func (s *Scheduler) hearEntry(svc *service, from state.Router, e DemandEntry) {
+func (s *Scheduler) applyDemandEntry(svc *service, from state.Router, e DemandEntry) {
 	k := demand.Key{Workspace: e.Workspace, Model: e.Model}
 	s.setDemand(svc, k, demand.Entry{
 		Router:        from,
--- a/coordination/scheduler/engine_test.go
+++ b/coordination/scheduler/engine_test.go
@@ -9,12 +9,12 @@
 
 // engine runs requests in its slots and queues what comes beyond them.
 type engine struct {
-	name        state.Upstream
-	side, slots int
-	slow        float64
-	running     map[*job]struct{}
-	waiting     []*job
-	models      []state.Model
+	name             state.Upstream
+	partition, slots int
+	slowdown         float64
+	running          map[*job]struct{}
+	waiting          []*job
+	models           []state.Model
 }
 
 func (f *fleet) sendReport(e *engine) {
@@ -23,7 +23,7 @@
 		for _, r := range f.routers {
 			switch {
 			case !slices.Contains(r.owned, e.name):
-			case r.side == e.side:
+			case r.partition == e.partition:
 				f.deliver(r, report)
 			default:
 				f.deliver(r, Unreachable{Upstream: e.name})
@@ -33,8 +33,8 @@
 }
 
 func (f *fleet) connect(e *engine, j *job) {
-	outcome := f.broken()
-	if e.side != j.home.side {
+	outcome := f.dispatchFailure()
+	if e.partition != j.entryRouter.partition {
 		outcome = OutcomeNotSent
 	}
 	if outcome == 0 {
@@ -42,7 +42,7 @@
 		return
 	}
 	j.running = false
-	f.deliver(j.home, Ended{ID: j.id, Outcome: outcome})
+	f.deliver(j.entryRouter, Ended{ID: j.id, Outcome: outcome})
 }
 
 func (f *fleet) admit(e *engine, j *job) {
@@ -51,25 +51,25 @@
 		return
 	}
 	e.running[j] = struct{}{}
-	f.inUse++
+	f.slotsInUse++
 	j.started, j.reported = f.now, f.now
 	f.advance(e, j)
 }
 
 // advance reports a second of progress or the end.
 func (f *fleet) advance(e *engine, j *job) {
-	left := time.Duration(float64(j.cost)*e.slow) - f.now.Sub(j.started)
+	left := time.Duration(float64(j.cost)*e.slowdown) - f.now.Sub(j.started)
 	f.after(min(left, time.Second), func() {
 		spent := f.now.Sub(j.reported)
 		j.reported = f.now
 		f.served[j.ws] += spent
 		if left > time.Second {
-			f.deliver(j.home, Progressed{ID: j.id, Cost: state.Cost(spent.Milliseconds())})
+			f.deliver(j.entryRouter, Progressed{ID: j.id, Cost: state.Cost(spent.Milliseconds())})
 			f.advance(e, j)
 			return
 		}
 		delete(e.running, j)
-		f.inUse--
+		f.slotsInUse--
 		if len(e.waiting) > 0 {
 			next := e.waiting[0]
 			e.waiting = e.waiting[1:]
@@ -77,7 +77,7 @@
 		}
 		f.after(netDelay, func() {
 			j.running = false
-			f.deliver(j.home, Ended{ID: j.id, Cost: state.Cost(spent.Milliseconds()), Outcome: OutcomeServed})
+			f.deliver(j.entryRouter, Ended{ID: j.id, Cost: state.Cost(spent.Milliseconds()), Outcome: OutcomeServed})
 			f.finish(j)
 		})
 	})
--- a/coordination/scheduler/faults_test.go
+++ b/coordination/scheduler/faults_test.go
@@ -11,82 +11,82 @@
 	"github.com/figstile/figstile/state"
 )
 
-// loaded returns a fleet of 4 routers and 32 slots with 8 equal workspaces,
+// newLoadedFleet returns a fleet of 4 routers and 32 slots with 8 equal workspaces,
 // each always with work at two routers: six of them at one half of the fleet.
-func loaded(seed uint64) (*fleet, map[state.Workspace]float64) {
-	f := newFleet(4, 8, 32, seed, realRouter(time.Second))
+func newLoadedFleet(seed uint64) (*fleet, map[state.Workspace]float64) {
+	f := newFleet(4, 8, 32, seed, newScheduler(time.Second))
 	shares := map[state.Workspace]float64{}
 	for i := range 8 {
-		shares[tenant(i)] = 1.0 / 8
+		shares[workspaceName(i)] = 1.0 / 8
 	}
-	f.boot(f.settings(shares))
+	f.start(f.settings(shares))
 	f.run(time.Second)
-	f.onFinal = f.again
+	f.onEnd = f.resubmit
 	for n := range 40 {
 		for i := range 8 {
-			f.submit(f.routers[n%2+2*(i/6)], tenant(i))
+			f.submit(f.routers[n%2+2*(i/6)], workspaceName(i))
 		}
 	}
 	return f, shares
 }
 
-// again submits a request of the same workspace, after a pause if the last one
+// resubmit submits a request of the same workspace, after a pause if the last one
 // was refused.
-func (f *fleet) again(j *job) {
-	f.after(time.Duration(j.refused)*time.Second, func() { f.submit(j.home, j.ws) })
+func (f *fleet) resubmit(j *job) {
+	f.after(time.Duration(j.refusals)*time.Second, func() { f.submit(j.entryRouter, j.ws) })
 }
 
-func (f *fleet) cut(apart bool) {
+func (f *fleet) setPartition(partitioned bool) {
 	for i, r := range f.routers {
-		r.side = 0
-		if apart {
-			r.side = i / 2 % 2
+		r.partition = 0
+		if partitioned {
+			r.partition = i / 2 % 2
 		}
 	}
 	for i, e := range f.engines {
-		e.side = 0
-		if apart {
-			e.side = i % 4 / 2
+		e.partition = 0
+		if partitioned {
+			e.partition = i % 4 / 2
 		}
 	}
-	f.spread()
+	f.sendPeers()
 }
 
-// gapOver returns the gap of weighted service that grows within d.
-func (f *fleet) gapOver(shares map[state.Workspace]float64, d time.Duration) float64 {
-	base := f.weighted(shares)
+// gapGrowth returns the gap of weighted service that grows within d.
+func (f *fleet) gapGrowth(shares map[state.Workspace]float64, d time.Duration) float64 {
+	base := f.weightedService(shares)
 	f.run(d)
-	return spreadOf(f.weighted(shares), base)
+	return gapSince(f.weightedService(shares), base)
 }
 
 // A workspace starves after a network partition: its half of the fleet had few
 // others and served it more than the other half served the rest. Healed,
 // everyone sees it far ahead. It must still get a floor.
 func TestHealedPartition(t *testing.T) {
-	f, shares := loaded(1)
+	f, shares := newLoadedFleet(1)
 	f.run(2 * time.Minute)
-	f.cut(true)
-	apart := f.gapOver(shares, 10*time.Minute)
-	f.cut(false)
-	waited := f.longestPause(shares, 5*time.Minute)
-	t.Logf("gap grown while apart %.0f slot-seconds; longest time without service afterwards %v", apart, waited)
-	require.Greater(t, apart, 1000.0)
-	require.LessOrEqual(t, waited, 90*time.Second)
+	f.setPartition(true)
+	gapDuringPartition := f.gapGrowth(shares, 10*time.Minute)
+	f.setPartition(false)
+	unserved := f.longestUnservedTime(shares, 5*time.Minute)
+	t.Logf("gap grown while apart %.0f slot-seconds; longest time without service afterwards %v", gapDuringPartition, unserved)
+	require.Greater(t, gapDuringPartition, 1000.0)
+	require.LessOrEqual(t, unserved, 90*time.Second)
 	f.run(10 * time.Minute)
-	require.Less(t, f.gapOver(shares, 5*time.Minute), 150.0)
+	require.Less(t, f.gapGrowth(shares, 5*time.Minute), 150.0)
 }
 
-// longestPause returns the longest time that any workspace got no service.
-func (f *fleet) longestPause(shares map[state.Workspace]float64, d time.Duration) time.Duration {
+// longestUnservedTime returns the longest time that any workspace got no service.
+func (f *fleet) longestUnservedTime(shares map[state.Workspace]float64, d time.Duration) time.Duration {
 	last := make([]time.Time, len(shares))
 	for i := range last {
 		last[i] = f.now
 	}
 	var longest time.Duration
-	before := f.weighted(shares)
+	before := f.weightedService(shares)
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.run(time.Second)
-		now := f.weighted(shares)
+		now := f.weightedService(shares)
 		for i := range now {
 			if now[i] > before[i] {
 				last[i] = f.now
@@ -100,21 +100,21 @@
 
 // Shares are off for minutes after a router is replaced: the new one knows no
 // counters and grants to whoever it thinks is behind.
-func TestColdRouterJoinsWithoutUpset(t *testing.T) {
-	f, shares := loaded(2)
+func TestReplacedRouterKeepsShares(t *testing.T) {
+	f, shares := newLoadedFleet(2)
 	f.run(5 * time.Minute)
 	r := f.routers[1]
-	r.run++
-	r.step = New(Options{Self: Peer{Router: r.name, DataCentre: centre(1), Incarnation: r.run}})
+	r.incarnation++
+	r.scheduler = New(Options{Self: Peer{Router: r.name, DataCentre: dataCentreName(1), Incarnation: r.incarnation}})
 	r.owned = nil
 	f.deliver(r, Configured{Settings: f.settings(shares)})
-	f.spread()
+	f.sendPeers()
 	for i := range 8 {
 		for range 20 {
-			f.submit(r, tenant(i))
+			f.submit(r, workspaceName(i))
 		}
 	}
-	gap := f.gapOver(shares, 5*time.Minute)
+	gap := f.gapGrowth(shares, 5*time.Minute)
 	t.Logf("gap grown after the restart %.0f slot-seconds", gap)
 	require.Less(t, gap, 150.0)
 }
@@ -123,39 +123,39 @@
 // the fleet and every slot is taken. Coming back from idle, it is served as
 // soon as slots end, and what it left unused earns it no burst later.
 func TestRareWorkspaceUnderFlood(t *testing.T) {
-	f, shares := loaded(3)
+	f, shares := newLoadedFleet(3)
 	f.run(2 * time.Minute)
-	f.onFinal = func(j *job) {
-		if j.ws != tenant(7) {
-			f.again(j)
+	f.onEnd = func(j *job) {
+		if j.ws != workspaceName(7) {
+			f.resubmit(j)
 		}
 	}
 	for range 2000 {
-		f.submit(f.routers[f.rng.IntN(4)], tenant(0))
+		f.submit(f.routers[f.rng.IntN(4)], workspaceName(0))
 	}
 	f.run(20 * time.Minute)
-	f.waits[tenant(7)] = nil
+	f.waits[workspaceName(7)] = nil
 	for range 100 {
-		f.submit(f.routers[f.rng.IntN(4)], tenant(7))
+		f.submit(f.routers[f.rng.IntN(4)], workspaceName(7))
 		f.run(3 * time.Second)
 	}
 	var longest, sum time.Duration
-	for _, w := range f.waits[tenant(7)] {
+	for _, w := range f.waits[workspaceName(7)] {
 		longest = max(longest, w)
 		sum += w / 100
 	}
 	t.Logf("rare workspace waits %v on average, %v at most", sum, longest)
-	require.Len(t, f.waits[tenant(7)], 100)
+	require.Len(t, f.waits[workspaceName(7)], 100)
 	require.Less(t, sum, 2*time.Second)
 	// One request of a minute puts its workspace ahead by as much as the
 	// others of equal share need a quarter of a minute to make up.
 	require.Less(t, longest, 20*time.Second)
 	for range 200 {
-		f.submit(f.routers[0], tenant(7))
+		f.submit(f.routers[0], workspaceName(7))
 	}
-	before := f.weighted(shares)
+	before := f.weightedService(shares)
 	f.run(30 * time.Second)
-	burst := (f.weighted(shares)[7] - before[7]) / (32.0 * 30 / 8)
+	burst := (f.weightedService(shares)[7] - before[7]) / (32.0 * 30 / 8)
 	t.Logf("back with a backlog it gets %.2f of its share", burst)
 	require.Less(t, burst, 1.5)
 }
@@ -163,55 +163,55 @@
 // Whatever fails, a caller gets exactly one final answer, one grant starts at
 // most one request, counters never fall, no slot or reservation leaks, and a
 // replay of the same events gives the same actions.
-func TestFaultsKeepThePromises(t *testing.T) {
-	rapid.Check(t, faultsKeepThePromises)
+func TestInvariantsUnderFaults(t *testing.T) {
+	rapid.Check(t, checkInvariantsUnderFaults)
 }
 
 // FuzzFaults looks for faults in which the promises do not hold, guided by
 // coverage.
 func FuzzFaults(f *testing.F) {
-	f.Fuzz(rapid.MakeFuzz(faultsKeepThePromises))
+	f.Fuzz(rapid.MakeFuzz(checkInvariantsUnderFaults))
 }
 
-func faultsKeepThePromises(t *rapid.T) {
+func checkInvariantsUnderFaults(t *rapid.T) {
 	seed := rapid.Uint64().Draw(t, "seed")
-	f := newFleet(4, 8, 32, seed, realRouter(time.Second))
-	f.broken = func() Outcome {
+	f := newFleet(4, 8, 32, seed, newScheduler(time.Second))
+	f.dispatchFailure = func() Outcome {
 		return []Outcome{0, 0, 0, 0, 0, 0, OutcomeNotSent, OutcomeLost}[f.rng.IntN(8)]
 	}
-	replay := realRouter(time.Second)(Peer{Router: "router-0", DataCentre: centre(0), Incarnation: 1}, seed)
-	c := &checks{charged: map[string]state.Cost{}, started: map[uint64]int{}}
+	replay := newScheduler(time.Second)(Peer{Router: "router-0", DataCentre: dataCentreName(0), Incarnation: 1}, seed)
+	c := &invariants{charged: map[string]state.Cost{}, started: map[uint64]int{}}
 	f.onStep = func(r *router, ev Event, actions []Action) {
-		c.step(t, r, ev, actions)
+		c.checkStep(t, r, ev, actions)
 		if r == f.routers[0] && !reflect.DeepEqual(actions, replay.Step(f.now, ev)) {
 			t.Fatalf("a replay differs at %#v", ev)
 		}
 	}
-	f.boot(f.settings(map[state.Workspace]float64{tenant(0): 0.5, tenant(1): 0.3, tenant(2): 0.2}))
+	f.start(f.settings(map[state.Workspace]float64{workspaceName(0): 0.5, workspaceName(1): 0.3, workspaceName(2): 0.2}))
 	var jobs []*job
 	for _, fault := range rapid.SliceOfN(rapid.IntRange(0, 4), 2, 12).Draw(t, "faults") {
 		for range 20 {
-			jobs = append(jobs, f.submit(f.routers[f.rng.IntN(3)], tenant(f.rng.IntN(3))))
+			jobs = append(jobs, f.submit(f.routers[f.rng.IntN(3)], workspaceName(f.rng.IntN(3))))
 		}
 		switch fault {
 		case 0:
-			f.cut(true)
+			f.setPartition(true)
 		case 1:
-			f.cut(false)
+			f.setPartition(false)
 		case 2:
 			f.deliver(f.routers[3], Drain{})
 		}
 		f.run(time.Duration(f.rng.Int64N(int64(10 * time.Second))))
 	}
-	f.cut(false)
+	f.setPartition(false)
 	f.run(10 * time.Minute)
 	for _, j := range jobs {
-		if j.finals != 1 {
-			t.Fatalf("request %d of %s got %d final answers", j.id, j.home.name, j.finals)
+		if j.finalAnswers != 1 {
+			t.Fatalf("request %d of %s got %d final answers", j.id, j.entryRouter.name, j.finalAnswers)
 		}
 	}
 	for _, r := range f.routers {
-		st := r.step.(*Scheduler).Status(f.now)
+		st := r.scheduler.(*Scheduler).Status(f.now)
 		reserved := state.Cost(0)
 		for _, w := range st.Services[0].Workspaces {
 			reserved += w.Reserved
@@ -222,20 +222,20 @@
 	}
 }
 
-// checks remembers what must never fall or happen twice.
-type checks struct {
+// invariants remembers what must never fall or happen twice.
+type invariants struct {
 	charged map[string]state.Cost
 	started map[uint64]int
 }
 
-func (c *checks) step(t *rapid.T, r *router, ev Event, actions []Action) {
-	for _, d := range only[Dispatch](actions) {
-		if j := r.jobs[d.ID]; j.running || j.finals > 0 {
+func (c *invariants) checkStep(t *rapid.T, r *router, ev Event, actions []Action) {
+	for _, d := range actionsOf[Dispatch](actions) {
+		if j := r.jobs[d.ID]; j.running || j.finalAnswers > 0 {
 			t.Fatalf("request %d dispatched while it runs or after its end", d.ID)
 		}
 	}
 	if g, ok := ev.(GrantHeard); ok {
-		for _, d := range only[Dispatch](actions) {
+		for _, d := range actionsOf[Dispatch](actions) {
 			if d.Upstream == g.Grant.Upstream {
 				c.started[g.Grant.Sequence]++
 			}
@@ -244,7 +244,7 @@
 			t.Fatalf("grant %d started %d requests", g.Grant.Sequence, c.started[g.Grant.Sequence])
 		}
 	}
-	for _, u := range only[SendUsage](actions) {
+	for _, u := range actionsOf[SendUsage](actions) {
 		for _, e := range u.Entries {
 			k := string(u.Origin) + string(e.Workspace)
 			if u.Origin == r.name && e.Charged < c.charged[k] {
--- a/coordination/scheduler/fleet_test.go
+++ b/coordination/scheduler/fleet_test.go
@@ -17,58 +17,58 @@
 	Step(now time.Time, ev Event) []Action
 }
 
-type timed struct {
+type timedCall struct {
 	at  time.Time
 	seq int
 	run func()
 }
 
-func (t timed) before(o timed) bool {
+func (t timedCall) before(o timedCall) bool {
 	return t.at.Before(o.at) || t.at.Equal(o.at) && t.seq < o.seq
 }
 
 type job struct {
 	id                         state.RequestID
-	home                       *router
+	entryRouter                *router
 	ws                         state.Workspace
 	cost                       time.Duration
 	arrived, started, reported time.Time
 	running                    bool
-	refused, finals            int
+	refusals, finalAnswers     int
 }
 
 type router struct {
-	name  state.Router
-	step  stepper
-	run   state.Incarnation
-	side  int
-	owned []state.Upstream
-	jobs  map[state.RequestID]*job
-	last  state.RequestID
+	name        state.Router
+	scheduler   stepper
+	incarnation state.Incarnation
+	partition   int
+	owned       []state.Upstream
+	jobs        map[state.RequestID]*job
+	lastRequest state.RequestID
 }
 
 // fleet is an in-memory network of routers and engines with a clock of its
 // own. Costs are slot-seconds. Only the seed decides what happens.
 type fleet struct {
-	now      time.Time
-	seq      int
-	pending  *btree.BTreeG[timed]
-	rng      *rand.Rand
-	routers  []*router
-	engines  []*engine
-	byName   map[state.Upstream]*engine
-	served   map[state.Workspace]time.Duration
-	waits    map[state.Workspace][]time.Duration
-	busy     time.Duration
-	inUse    int
-	messages int
+	now          time.Time
+	seq          int
+	pending      *btree.BTreeG[timedCall]
+	rng          *rand.Rand
+	routers      []*router
+	engines      []*engine
+	byName       map[state.Upstream]*engine
+	served       map[state.Workspace]time.Duration
+	waits        map[state.Workspace][]time.Duration
+	busySlotTime time.Duration
+	slotsInUse   int
+	messages     int
 	// cost draws a request's cost; onFinal follows each request's end; onStep
 	// sees every step; broken says how a dispatch fails, if it does.
-	cost    func(ws state.Workspace) time.Duration
-	model   func(ws state.Workspace) state.Model
-	onFinal func(j *job)
-	onStep  func(r *router, ev Event, actions []Action)
-	broken  func() Outcome
+	cost            func(ws state.Workspace) time.Duration
+	model           func(ws state.Workspace) state.Model
+	onEnd           func(j *job)
+	onStep          func(r *router, ev Event, actions []Action)
+	dispatchFailure func() Outcome
 }
 
 const (
@@ -79,13 +79,13 @@
 
 func newFleet(routers, engines, slots int, seed uint64, build func(self Peer, seed uint64) stepper) *fleet {
 	f := &fleet{
-		now: time.Unix(1_700_000_000, 0), pending: btree.NewG(8, timed.before), rng: rand.New(rand.NewPCG(seed, 1)), byName: map[state.Upstream]*engine{},
+		now: time.Unix(1_700_000_000, 0), pending: btree.NewG(8, timedCall.before), rng: rand.New(rand.NewPCG(seed, 1)), byName: map[state.Upstream]*engine{},
 		served: map[state.Workspace]time.Duration{}, waits: map[state.Workspace][]time.Duration{},
-		model: func(state.Workspace) state.Model { return "" }, onFinal: func(*job) {}, onStep: func(*router, Event, []Action) {}, broken: func() Outcome { return 0 },
+		model: func(state.Workspace) state.Model { return "" }, onEnd: func(*job) {}, onStep: func(*router, Event, []Action) {}, dispatchFailure: func() Outcome { return 0 },
 	}
 	f.cost = func(state.Workspace) time.Duration { return f.lognormal(4*time.Second, 1) }
 	for i := range engines {
-		e := &engine{name: state.Upstream(fmt.Sprintf("engine-%02d", i)), slots: slots / engines, slow: 1, running: map[*job]struct{}{}}
+		e := &engine{name: state.Upstream(fmt.Sprintf("engine-%02d", i)), slots: slots / engines, slowdown: 1, running: map[*job]struct{}{}}
 		if i < slots%engines {
 			e.slots++
 		}
@@ -93,31 +93,31 @@
 		f.byName[e.name] = e
 	}
 	for i := range routers {
-		self := Peer{Router: state.Router(fmt.Sprintf("router-%d", i)), DataCentre: centre(i), Incarnation: 1}
-		f.routers = append(f.routers, &router{name: self.Router, run: 1, step: build(self, seed), jobs: map[state.RequestID]*job{}})
+		self := Peer{Router: state.Router(fmt.Sprintf("router-%d", i)), DataCentre: dataCentreName(i), Incarnation: 1}
+		f.routers = append(f.routers, &router{name: self.Router, incarnation: 1, scheduler: build(self, seed), jobs: map[state.RequestID]*job{}})
 	}
 	return f
 }
 
-func centre(i int) state.DataCentre { return state.DataCentre(fmt.Sprintf("dc-%d", i%4)) }
+func dataCentreName(i int) state.DataCentre { return state.DataCentre(fmt.Sprintf("dc-%d", i%4)) }
 
 func (f *fleet) settings(shares map[state.Workspace]float64) config.Settings {
 	svc := config.Service{Name: "draft", Kind: config.KindEngine, Limits: config.Limits{QueueRequests: 10_000, DeadlineMillis: 3_600_000}}
 	for i, e := range f.engines {
-		svc.Upstreams = append(svc.Upstreams, config.Upstream{Name: e.name, DataCentre: centre(i)})
+		svc.Upstreams = append(svc.Upstreams, config.Upstream{Name: e.name, DataCentre: dataCentreName(i)})
 	}
 	out := config.Settings{Services: []config.Service{svc}}
 	for i := range len(shares) {
-		out.Workspaces = append(out.Workspaces, config.WorkspaceSettings{Name: tenant(i), Share: shares[tenant(i)]})
+		out.Workspaces = append(out.Workspaces, config.WorkspaceSettings{Name: workspaceName(i), Share: shares[workspaceName(i)]})
 	}
 	return out
 }
 
-func tenant(i int) state.Workspace { return state.Workspace(fmt.Sprintf("w%02d", i)) }
+func workspaceName(i int) state.Workspace { return state.Workspace(fmt.Sprintf("w%02d", i)) }
 
-// boot starts every router and the periodic work.
-func (f *fleet) boot(settings config.Settings) {
-	f.spread()
+// start starts every router and the periodic work.
+func (f *fleet) start(settings config.Settings) {
+	f.sendPeers()
 	for _, r := range f.routers {
 		f.deliver(r, Configured{Settings: settings})
 		f.every(TickInterval, func() { f.deliver(r, Tick{}) })
@@ -127,13 +127,13 @@
 	}
 }
 
-// spread tells every router which others it can reach.
-func (f *fleet) spread() {
+// sendPeers tells every router which others it can reach.
+func (f *fleet) sendPeers() {
 	for _, r := range f.routers {
 		var peers []Peer
 		for i, p := range f.routers {
-			if p.side == r.side {
-				peers = append(peers, Peer{Router: p.name, DataCentre: centre(i), Incarnation: p.run})
+			if p.partition == r.partition {
+				peers = append(peers, Peer{Router: p.name, DataCentre: dataCentreName(i), Incarnation: p.incarnation})
 			}
 		}
 		f.deliver(r, PeersChanged{Peers: peers})
@@ -142,7 +142,7 @@
 
 func (f *fleet) after(d time.Duration, run func()) {
 	f.seq++
-	f.pending.ReplaceOrInsert(timed{at: f.now.Add(d), seq: f.seq, run: run})
+	f.pending.ReplaceOrInsert(timedCall{at: f.now.Add(d), seq: f.seq, run: run})
 }
 
 func (f *fleet) every(d time.Duration, run func()) {
@@ -161,7 +161,7 @@
 			return
 		}
 		f.pending.DeleteMin()
-		f.busy += time.Duration(f.inUse) * next.at.Sub(f.now)
+		f.busySlotTime += time.Duration(f.slotsInUse) * next.at.Sub(f.now)
 		f.now = next.at
 		next.run()
 	}
@@ -172,8 +172,8 @@
 }
 
 func (f *fleet) submit(r *router, ws state.Workspace) *job {
-	r.last++
-	j := &job{id: r.last, home: r, ws: ws, cost: f.cost(ws), arrived: f.now}
+	r.lastRequest++
+	j := &job{id: r.lastRequest, entryRouter: r, ws: ws, cost: f.cost(ws), arrived: f.now}
 	r.jobs[j.id] = j
 	f.deliver(r, Arrived{Request: Request{ID: j.id, Service: "draft", Workspace: ws, Model: f.model(ws), Repeatable: true}})
 	return j
@@ -184,7 +184,7 @@
 		if r != from && (to == "" || r.name == to) {
 			f.messages++
 			f.after(netDelay, func() {
-				if r.side == from.side {
+				if r.partition == from.partition {
 					f.deliver(r, ev)
 				}
 			})
@@ -193,7 +193,7 @@
 }
 
 func (f *fleet) deliver(r *router, ev Event) {
-	actions := r.step.Step(f.now, ev)
+	actions := r.scheduler.Step(f.now, ev)
 	f.onStep(r, ev, actions)
 	for _, a := range actions {
 		f.perform(r, a)
@@ -208,7 +208,7 @@
 		f.waits[j.ws] = append(f.waits[j.ws], f.now.Sub(j.arrived))
 		f.after(netDelay, func() { f.connect(f.byName[a.Upstream], j) })
 	case Refuse:
-		r.jobs[a.ID].refused++
+		r.jobs[a.ID].refusals++
 		f.finish(r.jobs[a.ID])
 	case SendCrash, SendLeaving, Drained:
 	case SendDemand:
@@ -232,6 +232,6 @@
 }
 
 func (f *fleet) finish(j *job) {
-	j.finals++
-	f.onFinal(j)
+	j.finalAnswers++
+	f.onEnd(j)
 }
--- a/coordination/scheduler/large_test.go
+++ b/coordination/scheduler/large_test.go
@@ -40,7 +40,7 @@
 	all := largePeers(largeRouters)
 	s := New(Options{Self: all[0]})
 	s.Step(now, PeersChanged{Peers: all})
-	owned := only[Owned](s.Step(now, largeSettings(upstreams)))
+	owned := actionsOf[Owned](s.Step(now, largeSettings(upstreams)))
 	return s, owned[0].Upstreams
 }
 
@@ -114,7 +114,7 @@
 	starting := Peer{Router: "b"}
 	for b.Loop() {
 		starting.Incarnation++
-		for _, m := range only[SendUsage](s.Step(now, PeersChanged{Peers: []Peer{starting}})) {
+		for _, m := range actionsOf[SendUsage](s.Step(now, PeersChanged{Peers: []Peer{starting}})) {
 			longest = max(longest, len(m.Entries))
 		}
 	}
--- a/coordination/scheduler/options.go
+++ b/coordination/scheduler/options.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	// wakeGrace is how long after a pause what arrives may still have been
+	// resumeGrace is how long after a pause what arrives may still have been
 	// sent before it: socket buffers are read within it.
-	wakeGrace = 200 * time.Millisecond
+	resumeGrace = 200 * time.Millisecond
 	// demandRefresh and usageRefresh repeat everything, so that a message
 	// lost with a connection is made up for.
 	demandRefresh = 5 * time.Second
@@ -41,18 +41,18 @@
 	// service and workspace and five numbers take 580 bytes, a control frame
 	// of the routers' protocol 256 KiB, and a longer one is not sent at all.
 	maxUsageEntries = 400
-	// leaveRepeat keeps other routers' memory of a draining upstream alive.
-	leaveRepeat = 10 * time.Second
+	// leavingRepeat keeps other routers' memory of a draining upstream alive.
+	leavingRepeat = 10 * time.Second
 	// trimInterval is the period of housekeeping.
 	trimInterval = 10 * time.Second
-	// adoptWithin is how long after the start virtual times are taken over
+	// adoptionPeriod is how long after the start virtual times are taken over
 	// from peers: each peer tells them once, when it first sees this router.
-	adoptWithin = 5 * time.Second
-	// lookAheadWait is how old work must be to wait inside a full upstream:
+	adoptionPeriod = 5 * time.Second
+	// minLookAheadAge is how old work must be to wait inside a full upstream:
 	// two round trips between data centres, in which an owner with a free
 	// slot would have granted it. With four times as much, workers of 20 ms
 	// requests idled twice as long while work waited.
-	lookAheadWait = 5 * time.Millisecond
+	minLookAheadAge = 5 * time.Millisecond
 	// minRetryAfter and maxRetryAfter bound what callers are told: nobody
 	// should come back within a second, and an estimate of more than a
 	// minute is too rough to send a caller away for.
@@ -61,13 +61,13 @@
 	// maxServices bounds services that only peers speak of, such as before
 	// the first settings arrive.
 	maxServices = 256
-	// firstAsked is how many owners hear of urgent demand at once: two, so
+	// urgentDemandOwners is how many owners hear of urgent demand at once: two, so
 	// that one full or slow owner delays nothing.
-	firstAsked = 2
-	// demandSlack is the part by which a long queue may differ from what its
+	urgentDemandOwners = 2
+	// demandTolerance is the part by which a long queue may differ from what its
 	// owners believe without a new message: an eighth delays nothing, since
 	// owners run short of known demand long after the next batch.
-	demandSlack = 8
+	demandTolerance = 8
 )
 
 // Options configure a scheduler. Zero fields take their defaults.
--- a/coordination/scheduler/peers.go
+++ b/coordination/scheduler/peers.go
@@ -11,7 +11,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-func (s *Scheduler) changePeers(list []Peer) {
+func (s *Scheduler) setPeers(list []Peer) {
 	before := s.peers
 	s.peers = make(map[state.Router]Peer, len(list))
 	for _, p := range list {
@@ -22,7 +22,7 @@
 	var appeared []state.Router
 	for _, old := range sortedPeers(before) {
 		if p, ok := s.peers[old.Router]; !ok || p.Incarnation != old.Incarnation {
-			s.losePeer(old.Router)
+			s.removePeer(old.Router)
 		}
 	}
 	for _, p := range sortedPeers(s.peers) {
@@ -32,7 +32,7 @@
 	}
 	s.refreshOwners()
 	for _, r := range appeared {
-		s.introduce(r)
+		s.sendCountersTo(r)
 	}
 }
 
@@ -42,13 +42,13 @@
 	return list
 }
 
-// losePeer forgets a router that is gone. Its demand would draw grants that
+// removePeer forgets a router that is gone. Its demand would draw grants that
 // nobody uses, and the slots of its unstarted grants are free at once. Work
 // it had started may go on in the upstream: only the load report tells.
-func (s *Scheduler) losePeer(r state.Router) {
-	s.seen.Forget(r)
-	for _, g := range s.given.Lose(r) {
-		s.chargeService(g.Service, g.Workspace, 0, -g.Remaining())
+func (s *Scheduler) removePeer(r state.Router) {
+	s.seenGrants.ForgetOwner(r)
+	for _, g := range s.issuedGrants.RemoveRouter(r) {
+		s.chargeWorkspace(g.Service, g.Workspace, 0, -g.Remaining())
 		u := s.upstreams[g.Upstream]
 		if u == nil {
 			continue
@@ -58,51 +58,51 @@
 		} else {
 			u.tracker.ReleaseGrant(s.now)
 		}
-		s.touch(g.Service)
+		s.markForGranting(g.Service)
 	}
 	for _, svc := range s.sortedServices() {
-		delete(svc.believed, r)
+		delete(svc.announcedDemand, r)
 		for _, k := range svc.demand.Keys(r) {
 			s.setDemand(svc, k, demand.Entry{Router: r})
-			svc.ledger.Lost(k.Workspace)
+			svc.ledger.DemandLost(k.Workspace)
 		}
 	}
 }
 
 // refreshOwners follows a change of routers or of upstreams.
 func (s *Scheduler) refreshOwners() {
-	moved := s.reassign()
+	moved := s.reassignUpstreams()
 	s.sendOwned()
 	for _, svc := range s.sortedServices() {
 		if moved {
-			s.sortOut(svc)
+			s.partitionUpstreams(svc)
 		}
 		svc.sharesStale = true
 		s.refreshShares(svc)
-		s.refreshBelieved(svc)
-		s.noteUsable(svc)
-		s.touch(svc.name)
+		s.refreshAnnouncedDemand(svc)
+		s.updateUnusableSince(svc)
+		s.markForGranting(svc.name)
 	}
 }
 
-// reassign works out who owns what and reports whether that may have changed.
+// reassignUpstreams works out who owns what and reports whether that may have changed.
 //
 // Made for large fleets, where hundreds of routers restart or end every day: a
 // restart that is seen as one change moves no upstream, and any other change
 // few of them.
-func (s *Scheduler) reassign() bool {
-	before := s.table
+func (s *Scheduler) reassignUpstreams() bool {
+	before := s.ownerTable
 	candidates := s.ownerCandidates()
 	if before != nil && slices.Equal(candidates, s.candidates) {
 		return false
 	}
 	s.candidates = candidates
-	s.table = ownership.New(candidates)
+	s.ownerTable = ownership.New(candidates)
 	if before == nil {
 		s.assignAll()
 		return true
 	}
-	return s.follow(ownership.NewChange(before, s.table))
+	return s.reassignChanged(ownership.NewChange(before, s.ownerTable))
 }
 
 func (s *Scheduler) ownerCandidates() []ownership.Candidate {
@@ -114,23 +114,23 @@
 }
 
 func (s *Scheduler) assignAll() {
-	for _, u := range s.listed {
-		u.assign(s.table.Owner(u.name, u.settings.DataCentre))
+	for _, u := range s.orderedUpstreams {
+		u.setOwner(s.ownerTable.Owner(u.name, u.settings.DataCentre))
 	}
 }
 
-// follow moves the upstreams whose owner left or lost to one that joined.
-func (s *Scheduler) follow(change *ownership.Change) bool {
-	if change.None() {
+// reassignChanged moves the upstreams whose owner left or lost to one that joined.
+func (s *Scheduler) reassignChanged(change *ownership.Change) bool {
+	if change.IsEmpty() {
 		return false
 	}
-	for _, u := range s.listed {
-		u.assign(change.Owner(u.name, u.settings.DataCentre, u.owner))
+	for _, u := range s.orderedUpstreams {
+		u.setOwner(change.Owner(u.name, u.settings.DataCentre, u.owner))
 	}
 	return true
 }
 
-func (u *upstream) assign(owner state.Router) {
+func (u *upstream) setOwner(owner state.Router) {
 	if owner == u.owner {
 		return
 	}
@@ -141,7 +141,7 @@
 // sendOwned tells the host whose load reports to fetch.
 func (s *Scheduler) sendOwned() {
 	var owned []state.Upstream
-	for _, u := range s.listed {
+	for _, u := range s.orderedUpstreams {
 		if u.owner == s.self.Router {
 			owned = append(owned, u.name)
 		}
@@ -151,7 +151,7 @@
 	}
 	s.owned = owned
 	s.ownedSent = true
-	s.do(Owned{Upstreams: owned})
+	s.emit(Owned{Upstreams: owned})
 }
 
 // refreshShares tells the ledger which part of the slots each router has.
@@ -162,11 +162,11 @@
 	svc.sharesStale = false
 	total := 0.0
 	byOwner := make(map[state.Router]float64)
-	usual := usualSlots(svc.upstreams)
+	assumedSlots := meanSlots(svc.upstreams)
 	for _, u := range svc.upstreams {
 		n := float64(u.tracker.Slots())
 		if n == 0 {
-			n = usual
+			n = assumedSlots
 		}
 		if u.settings.Draining {
 			n = 0
@@ -177,7 +177,7 @@
 	for r := range byOwner {
 		byOwner[r] /= max(total, 1)
 	}
-	if maps.Equal(byOwner, svc.shares) && svc.ledger.Knows(s.origins()) {
+	if maps.Equal(byOwner, svc.shares) && svc.ledger.HasPeers(s.origins()) {
 		return
 	}
 	svc.shares = byOwner
@@ -188,9 +188,9 @@
 	svc.ledger.SetPeers(byOwner[s.self.Router], peers)
 }
 
-// usualSlots is the mean of the known figures: of upstreams that others own,
+// meanSlots is the mean of the known figures: of upstreams that others own,
 // this router sees no report.
-func usualSlots(upstreams []*upstream) float64 {
+func meanSlots(upstreams []*upstream) float64 {
 	sum, known := 0, 0
 	for _, u := range upstreams {
 		if n := u.tracker.Slots(); n > 0 {
@@ -216,24 +216,24 @@
 	return list
 }
 
-// introduce tells a router that newly appeared what it cannot know: first the
+// sendCountersTo tells a router that newly appeared what it cannot know: first the
 // counters of incarnations that are gone, then this router's own, with the
 // virtual times that result from all of them.
-func (s *Scheduler) introduce(r state.Router) {
-	relayed := make(map[fairness.Origin][]UsageEntry)
-	var order []fairness.Origin
+func (s *Scheduler) sendCountersTo(r state.Router) {
+	removedEntries := make(map[fairness.Origin][]UsageEntry)
+	var removedOrigins []fairness.Origin
 	var own []UsageEntry
 	for _, svc := range s.sortedServices() {
-		for _, relay := range svc.ledger.Dead() {
-			if _, ok := relayed[relay.Origin]; !ok {
-				order = append(order, relay.Origin)
+		for _, removed := range svc.ledger.RemovedOrigins() {
+			if _, ok := removedEntries[removed.Origin]; !ok {
+				removedOrigins = append(removedOrigins, removed.Origin)
 			}
-			relayed[relay.Origin] = append(relayed[relay.Origin], usageEntries(svc.name, relay.Entries)...)
+			removedEntries[removed.Origin] = append(removedEntries[removed.Origin], usageEntries(svc.name, removed.Entries)...)
 		}
-		own = append(own, usageEntries(svc.name, svc.ledger.Own())...)
+		own = append(own, usageEntries(svc.name, svc.ledger.OwnEntries())...)
 	}
-	for _, o := range order {
-		s.sendUsage(SendUsage{To: r, Origin: o.Router, Incarnation: o.Incarnation, Entries: relayed[o]})
+	for _, o := range removedOrigins {
+		s.sendUsage(SendUsage{To: r, Origin: o.Router, Incarnation: o.Incarnation, Entries: removedEntries[o]})
 	}
 	s.sendUsage(SendUsage{To: r, Origin: s.self.Router, Incarnation: s.self.Incarnation, Entries: own, Full: true})
 }
