--- a/coordination/scheduler/request.go
+++ b/coordination/scheduler/request.go
@@ -11,8 +11,8 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// run is a dispatched request.
-type run struct {
+// dispatchedRequest is a dispatched request.
+type dispatchedRequest struct {
 	item *queue.Item
 	// sequence is the grant's number at its owner.
 	sequence uint64
@@ -23,40 +23,40 @@
 	unreported state.Cost
 	// reserved is what the owner has set aside; it doubles there as here.
 	reserved state.Cost
-	// announced says that the owner knows that the grant is in use.
-	announced bool
+	// startAnnounced says that the owner knows that the grant is in use.
+	startAnnounced bool
 }
 
-// arrive admits a request or refuses it at once.
-func (s *Scheduler) arrive(r Request) {
+// handleArrival admits a request or refuses it at once.
+func (s *Scheduler) handleArrival(r Request) {
 	it := queue.Item{
 		Key:         queue.Key{Service: r.Service, Workspace: r.Workspace, Model: r.Model},
 		ID:          r.ID,
 		Bytes:       r.Bytes,
-		Hint:        r.CostHint,
+		CostHint:    r.CostHint,
 		Arrived:     s.now,
 		Deadline:    r.Deadline,
 		Repeatable:  r.Repeatable,
 		Fingerprint: r.Fingerprint,
 	}
-	if reason, ok := s.inadmissible(r); ok {
+	if reason, ok := s.refusalReason(r); ok {
 		s.refuse(&it, reason)
 		return
 	}
 	svc := s.services[r.Service]
 	if it.Deadline.IsZero() {
-		it.Deadline = s.now.Add(s.deadline(svc))
+		it.Deadline = s.now.Add(s.defaultDeadline(svc))
 	}
 	limits := queue.Limits{Requests: svc.settings.Limits.QueueRequests, Bytes: svc.settings.Limits.QueueBytes}
 	if code := s.queues.Admit(s.now, it, limits); code != result.OK {
 		s.refuse(&it, result.New(code, ""))
 		return
 	}
-	s.syncOwn(svc, demandKey(it.Key))
+	s.syncOwnDemand(svc, demandKey(it.Key))
 }
 
-// inadmissible names the reason why a request cannot be queued at all.
-func (s *Scheduler) inadmissible(r Request) (result.Result, bool) {
+// refusalReason names the reason why a request cannot be queued at all.
+func (s *Scheduler) refusalReason(r Request) (result.Result, bool) {
 	svc := s.services[r.Service]
 	switch {
 	case s.draining:
@@ -65,43 +65,43 @@
 		return result.New(result.NotReady, ""), true
 	case svc == nil || !svc.configured:
 		return result.New(result.UnknownService, ""), true
-	case !svc.offers(r.Model):
+	case !svc.offersModel(r.Model):
 		return result.New(result.UnknownModel, ""), true
 	case s.quarantine.Blocked(s.now, r.Fingerprint):
-		return quarantined(), true
-	case s.onHold(r.Fingerprint):
-		return suspected(), true
-	case s.outOfUpstreams(svc):
+		return quarantinedResult(), true
+	case s.isSuspected(r.Fingerprint):
+		return suspectedResult(), true
+	case s.lacksUpstreams(svc):
 		return result.New(result.NoUpstream, ""), true
 	}
 	return result.Result{}, false
 }
 
-// outOfUpstreams reports whether a service has had no usable upstream for
+// lacksUpstreams reports whether a service has had no usable upstream for
 // longer than the grace. Then queueing would only turn a refusal now into one
 // at the deadline.
-func (s *Scheduler) outOfUpstreams(svc *service) bool {
+func (s *Scheduler) lacksUpstreams(svc *service) bool {
 	return !svc.unusableSince.IsZero() && s.now.Sub(svc.unusableSince) > s.opts.NoUpstreamGrace
 }
 
-func (s *Scheduler) deadline(svc *service) time.Duration {
+func (s *Scheduler) defaultDeadline(svc *service) time.Duration {
 	if d := svc.settings.Limits.Deadline(); d > 0 {
 		return d
 	}
 	return s.opts.Deadline
 }
 
-func quarantined() result.Result {
+func quarantinedResult() result.Result {
 	return result.New(result.Quarantined, "")
 }
 
-func suspected() result.Result {
+func suspectedResult() result.Result {
 	return result.New(result.Suspected, "")
 }
 
-// onHold reports whether a request may have taken down as many upstreams as
+// isSuspected reports whether a request may have taken down as many upstreams as
 // quarantine allows, some of it still unconfirmed.
-func (s *Scheduler) onHold(f state.Fingerprint) bool {
+func (s *Scheduler) isSuspected(f state.Fingerprint) bool {
 	unsettled := s.losses.Count(s.now, f)
 	return unsettled > 0 && unsettled+s.quarantine.CrashCount(f) >= quarantine.BlockThreshold
 }
@@ -113,52 +113,52 @@
 	if r.Detail == "" {
 		r.Detail = entry.Meaning
 	}
-	if it.Sent && r.Ran == result.RanNo {
+	if it.MaybeSent && r.Ran == result.RanNo {
 		r = r.WithRan(result.RanUnknown)
 	}
 	if entry.Retry {
-		wait := s.queues.Wait(s.now, it.Service, it.Workspace)
+		wait := s.queues.EstimatedWait(s.now, it.Service, it.Workspace)
 		r = r.After(min(max(wait, minRetryAfter), maxRetryAfter))
 	}
-	s.do(Refuse{ID: it.ID, Result: r})
+	s.emit(Refuse{ID: it.ID, Result: r})
 }
 
-// leave forgets a waiting request whose caller went away.
-func (s *Scheduler) leave(id state.RequestID) {
+// handleCallerLeft forgets a waiting request whose caller went away.
+func (s *Scheduler) handleCallerLeft(id state.RequestID) {
 	if it := s.queues.Remove(id); it != nil {
-		s.dequeued(it)
+		s.syncAfterRemoval(it)
 	}
 }
 
-func (s *Scheduler) dequeued(it *queue.Item) {
+func (s *Scheduler) syncAfterRemoval(it *queue.Item) {
 	if svc := s.services[it.Service]; svc != nil {
-		s.syncOwn(svc, demandKey(it.Key))
+		s.syncOwnDemand(svc, demandKey(it.Key))
 	}
 }
 
 // expire answers requests whose deadline has come and frees unused grants.
 func (s *Scheduler) expire() {
-	for _, it := range s.queues.Expired(s.now) {
-		s.dequeued(it)
+	for _, it := range s.queues.TakeExpired(s.now) {
+		s.syncAfterRemoval(it)
 		code := result.DeadlinePassed
-		if it.Sent {
+		if it.MaybeSent {
 			code = result.UpstreamLost
 		}
 		s.refuse(it, result.New(code, ""))
 	}
-	for _, g := range s.given.Expired(s.now) {
+	for _, g := range s.issuedGrants.TakeExpired(s.now) {
 		if g.Started && s.mayStillRun(g) {
-			s.given.Reopen(s.now, g)
+			s.issuedGrants.Reinsert(s.now, g)
 			continue
 		}
-		s.withdraw(g)
+		s.withdrawGrant(g)
 	}
 }
 
 // mayStillRun reports whether the load of an upstream accounts for all its
 // outstanding grants. Long requests are silent until they outgrow their
 // reservation, so silence alone proves nothing.
-func (s *Scheduler) mayStillRun(g *grants.Given) bool {
+func (s *Scheduler) mayStillRun(g *grants.Grant) bool {
 	u := s.upstreams[g.Upstream]
 	if u == nil {
 		return false
@@ -169,27 +169,27 @@
 
 func (s *Scheduler) dispatch(it *queue.Item, sequence uint64, owner Peer, u state.Upstream) {
 	it.Dispatches++
-	it.Last = u
-	s.running[it.ID] = &run{item: it, sequence: sequence, owner: owner, upstream: u}
-	s.do(Dispatch{ID: it.ID, Upstream: u, Attempt: it.Dispatches})
+	it.LastUpstream = u
+	s.running[it.ID] = &dispatchedRequest{item: it, sequence: sequence, owner: owner, upstream: u}
+	s.emit(Dispatch{ID: it.ID, Upstream: u, Attempt: it.Dispatches})
 }
 
-// progress notes cost of a running request. An owner elsewhere hears of it
+// handleProgressed notes cost of a running request. An owner elsewhere hears of it
 // once the request has outgrown its reservation: until then the reservation
 // counts in full whatever was served of it, so that a message would change
 // nobody's turn. Reported every second, progress was the largest part of the
 // control traffic. What a router that dies had not reported is lost, at most
 // the reservation of each of its requests.
-func (s *Scheduler) progress(id state.RequestID, cost state.Cost) {
+func (s *Scheduler) handleProgressed(id state.RequestID, cost state.Cost) {
 	r := s.running[id]
 	if r == nil {
 		return
 	}
 	r.cost += cost
 	r.unreported += cost
-	to, sequence := s.reportTo(r)
+	to, sequence := s.reportTarget(r)
 	if to == s.self.Router {
-		s.hearProgress(ProgressHeard{
+		s.receiveProgress(ProgressHeard{
 			From: to, Sequence: sequence, Upstream: r.upstream,
 			Service: r.item.Service, Workspace: r.item.Workspace, Cost: r.takeUnreported(),
 		})
@@ -204,52 +204,52 @@
 	s.sendProgress(r, to, sequence)
 }
 
-func (r *run) takeUnreported() state.Cost {
+func (r *dispatchedRequest) takeUnreported() state.Cost {
 	cost := r.unreported
 	r.unreported = 0
 	return cost
 }
 
-func (s *Scheduler) sendProgress(r *run, to state.Router, sequence uint64) {
-	r.announced = true
-	s.do(SendProgress{
+func (s *Scheduler) sendProgress(r *dispatchedRequest, to state.Router, sequence uint64) {
+	r.startAnnounced = true
+	s.emit(SendProgress{
 		To: to, Sequence: sequence, Upstream: r.upstream,
 		Service: r.item.Service, Workspace: r.item.Workspace, Cost: r.takeUnreported(), Started: true,
 	})
 }
 
-// announcement is a grant in use that its owner may not know of yet.
-type announcement struct {
+// startAnnouncement is a grant in use that its owner may not know of yet.
+type startAnnouncement struct {
 	id      state.RequestID
 	attempt int
 	due     time.Time
 }
 
-// announceAfter is when an owner hears that its grant is in use: early enough
+// announceStartAfter is when an owner hears that its grant is in use: early enough
 // that the grant does not expire, late enough that short requests have ended
 // and need no message but that.
-const announceAfter = grants.Lifetime / 2
+const announceStartAfter = grants.Lifetime / 2
 
 // announceStarts tells owners of requests that run for longer than a moment.
 func (s *Scheduler) announceStarts() {
-	for len(s.unannounced) > 0 && !s.now.Before(s.unannounced[0].due) {
-		next := s.unannounced[0]
-		s.unannounced = s.unannounced[1:]
+	for len(s.unannouncedStarts) > 0 && !s.now.Before(s.unannouncedStarts[0].due) {
+		next := s.unannouncedStarts[0]
+		s.unannouncedStarts = s.unannouncedStarts[1:]
 		r := s.running[next.id]
-		if r == nil || r.announced || r.item.Dispatches != next.attempt {
+		if r == nil || r.startAnnounced || r.item.Dispatches != next.attempt {
 			continue
 		}
-		if to, sequence := s.reportTo(r); to != s.self.Router {
+		if to, sequence := s.reportTarget(r); to != s.self.Router {
 			s.sendProgress(r, to, sequence)
 		}
 	}
 }
 
-// reportTo names the router to charge a run to: the granting one, or if that
+// reportTarget names the router to charge a run to: the granting one, or if that
 // incarnation is gone, the present owner of the upstream, which knows no such
 // grant. With neither, this router charges the cost itself, or it would count
 // for nobody.
-func (s *Scheduler) reportTo(r *run) (state.Router, uint64) {
+func (s *Scheduler) reportTarget(r *dispatchedRequest) (state.Router, uint64) {
 	if r.owner.Router == s.self.Router {
 		return s.self.Router, r.sequence
 	}
@@ -262,9 +262,9 @@
 	return s.self.Router, 0
 }
 
-// end settles a dispatch with the owner and, if the caller has no answer yet,
+// handleEnded settles a dispatch with the owner and, if the caller has no answer yet,
 // tries again or refuses.
-func (s *Scheduler) end(e Ended) {
+func (s *Scheduler) handleEnded(e Ended) {
 	r := s.running[e.ID]
 	if r == nil {
 		return
@@ -273,7 +273,7 @@
 	it := r.item
 	s.estimates.Learn(estimate.Key{Service: it.Service, Workspace: it.Workspace}, r.cost+e.Cost)
 	s.reportEnd(r, e)
-	s.suspect(r, e.Outcome)
+	s.reportSuspicion(r, e.Outcome)
 	switch e.Outcome {
 	case OutcomeServed:
 		s.quarantine.ForgetUnblocked(it.Fingerprint)
@@ -281,23 +281,23 @@
 	case OutcomeNotSent:
 		s.retry(it, result.UpstreamUnreachable)
 	case OutcomeLost:
-		it.Sent = true
+		it.MaybeSent = true
 		s.retry(it, result.UpstreamLost)
 	}
-	s.touch(it.Service)
+	s.markForGranting(it.Service)
 }
 
-func (s *Scheduler) reportEnd(r *run, e Ended) {
-	to, sequence := s.reportTo(r)
+func (s *Scheduler) reportEnd(r *dispatchedRequest, e Ended) {
+	to, sequence := s.reportTarget(r)
 	cost := r.takeUnreported() + e.Cost
 	if to == s.self.Router {
-		s.ended(EndedHeard{
+		s.settleGrant(EndedHeard{
 			From: to, Sequence: sequence, Upstream: r.upstream,
 			Service: r.item.Service, Workspace: r.item.Workspace, Cost: cost, Outcome: e.Outcome,
 		})
 		return
 	}
-	s.do(SendEnded{
+	s.emit(SendEnded{
 		To: to, Sequence: sequence, Upstream: r.upstream,
 		Service: r.item.Service, Workspace: r.item.Workspace, Cost: cost, Outcome: e.Outcome,
 	})
@@ -309,13 +309,13 @@
 	svc := s.services[it.Service]
 	switch {
 	case s.quarantine.Blocked(s.now, it.Fingerprint):
-		s.refuse(it, quarantined())
-	case s.onHold(it.Fingerprint):
+		s.refuse(it, quarantinedResult())
+	case s.isSuspected(it.Fingerprint):
 		s.refuse(it, result.New(code, ""))
 	case svc != nil && it.Deadline.After(s.now) && s.retries.Allow(s.now, it.Workspace, it.Repeatable, it.Dispatches):
 		s.queues.Requeue(s.now, it)
-		s.syncOwn(svc, demandKey(it.Key))
-	case it.Sent:
+		s.syncOwnDemand(svc, demandKey(it.Key))
+	case it.MaybeSent:
 		s.refuse(it, result.New(result.UpstreamLost, ""))
 	default:
 		s.refuse(it, result.New(code, ""))
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -27,53 +27,53 @@
 
 	now     time.Time
 	actions []Action
-	// touched are the services that this step may have made ready to grant.
-	touched map[state.Service]struct{}
+	// servicesToGrant are the services that this step may have made ready to grant.
+	servicesToGrant map[state.Service]struct{}
 
 	configured bool
 	settings   config.Settings
 	services   map[state.Service]*service
 	upstreams  map[state.Upstream]*upstream
-	// listed are the upstreams in order of name.
-	listed []*upstream
-	peers  map[state.Router]Peer
+	// orderedUpstreams are the upstreams in order of name.
+	orderedUpstreams []*upstream
+	peers            map[state.Router]Peer
 	// candidates and table are what the present owners follow from; table is
 	// nil if upstreams changed since.
 	candidates []ownership.Candidate
-	table      *ownership.Table
+	ownerTable *ownership.Table
 	owned      []state.Upstream
 	ownedSent  bool
 
 	queues  *queue.Set
-	running map[state.RequestID]*run
-	// unannounced are peers' grants in use, the oldest first.
-	unannounced []announcement
-	estimates   *estimate.Estimator
-	retries     *retry.Budget
-	quarantine  *quarantine.List
-	suspicions  quarantine.Suspicions
-	losses      *quarantine.Losses
-	given       *grants.Book
-	seen        *grants.Seen
+	running map[state.RequestID]*dispatchedRequest
+	// unannouncedStarts are peers' grants in use, the oldest first.
+	unannouncedStarts []startAnnouncement
+	estimates         *estimate.Estimator
+	retries           *retry.Budget
+	quarantine        *quarantine.List
+	suspicions        quarantine.Suspicions
+	losses            *quarantine.Losses
+	issuedGrants      *grants.Table
+	seenGrants        *grants.SeenSequences
 
 	timers timers
-	// voidUntil ends the time in which what arrives may be from before a
+	// discardUntil ends the time in which what arrives may be from before a
 	// pause of the process.
-	voidUntil time.Time
-	draining  bool
-	drained   bool
+	discardUntil time.Time
+	draining     bool
+	drained      bool
 }
 
 // timers are the times of the last or next periodic work.
 type timers struct {
-	started      time.Time
-	lastTick     time.Time
-	lastExchange time.Time
-	lastRefresh  time.Time
-	nextDemand   time.Time
-	nextRepeat   time.Time
-	nextTrim     time.Time
-	nextLeaving  time.Time
+	started           time.Time
+	lastTick          time.Time
+	lastExchange      time.Time
+	lastUsageRefresh  time.Time
+	nextDemandBatch   time.Time
+	nextDemandRefresh time.Time
+	nextTrim          time.Time
+	nextLeavingRepeat time.Time
 }
 
 // New returns the scheduler of a router that knows nothing yet.
@@ -82,21 +82,21 @@
 	identity := string(opts.Self.Router) + "." + strconv.FormatUint(uint64(opts.Self.Incarnation), 10)
 	seed := xxhash.Sum64String(identity) ^ opts.Seed
 	return &Scheduler{
-		opts:       opts,
-		self:       opts.Self,
-		seed:       seed,
-		touched:    make(map[state.Service]struct{}),
-		services:   make(map[state.Service]*service),
-		upstreams:  make(map[state.Upstream]*upstream),
-		peers:      make(map[state.Router]Peer),
-		queues:     queue.New(opts.Queues),
-		running:    make(map[state.RequestID]*run),
-		estimates:  estimate.New(estimate.DefaultCapacity),
-		retries:    retry.NewBudget(),
-		quarantine: quarantine.New(quarantine.DefaultCapacity),
-		losses:     quarantine.NewLosses(),
-		given:      grants.NewBook(seed),
-		seen:       grants.NewSeen(),
+		opts:            opts,
+		self:            opts.Self,
+		seed:            seed,
+		servicesToGrant: make(map[state.Service]struct{}),
+		services:        make(map[state.Service]*service),
+		upstreams:       make(map[state.Upstream]*upstream),
+		peers:           make(map[state.Router]Peer),
+		queues:          queue.New(opts.Queues),
+		running:         make(map[state.RequestID]*dispatchedRequest),
+		estimates:       estimate.New(estimate.DefaultCapacity),
+		retries:         retry.NewBudget(),
+		quarantine:      quarantine.New(quarantine.DefaultCapacity),
+		losses:          quarantine.NewLosses(),
+		issuedGrants:    grants.NewTable(seed),
+		seenGrants:      grants.NewSeenSequences(),
 	}
 }
 
@@ -105,7 +105,7 @@
 func (s *Scheduler) Step(now time.Time, ev Event) []Action {
 	s.now = now
 	s.actions = nil
-	s.noticePause()
+	s.detectPause()
 	// Time-outs come first, so that no grant of this step starts a request
 	// whose deadline has passed.
 	s.expire()
@@ -113,7 +113,7 @@
 	s.grantAll()
 	s.announceDemand()
 	s.finishDrain()
-	clear(s.touched)
+	clear(s.servicesToGrant)
 	return s.actions
 }
 
@@ -122,107 +122,107 @@
 	case Configured:
 		s.configure(e.Settings)
 	case PeersChanged:
-		s.changePeers(e.Peers)
+		s.setPeers(e.Peers)
 	case Arrived:
-		s.arrive(e.Request)
+		s.handleArrival(e.Request)
 	case Left:
-		s.leave(e.ID)
+		s.handleCallerLeft(e.ID)
 	case Reported:
-		s.report(e.Report)
+		s.handleReport(e.Report)
 	case Unreachable:
-		s.unreachable(e.Upstream)
+		s.handleUnreachable(e.Upstream)
 	case UpstreamLeaving:
-		s.upstreamLeaving(e)
+		s.handleUpstreamLeaving(e)
 	case DemandHeard:
-		s.hearDemand(e.From, e.Demand)
+		s.receiveDemand(e.From, e.Demand)
 	case GrantHeard:
-		s.hearGrant(e.Grant)
+		s.receiveGrant(e.Grant)
 	case DeclineHeard:
-		s.hearDecline(e)
+		s.receiveDecline(e)
 	case ProgressHeard:
-		s.hearProgress(e)
+		s.receiveProgress(e)
 	case EndedHeard:
-		s.hearEnded(e)
+		s.receiveEnded(e)
 	case UsageHeard:
-		s.hearUsage(e)
+		s.receiveUsage(e)
 	case CrashHeard:
-		s.hearCrash(e)
+		s.receiveCrash(e)
 	case Progressed:
-		s.progress(e.ID, e.Cost)
+		s.handleProgressed(e.ID, e.Cost)
 	case Ended:
-		s.end(e)
+		s.handleEnded(e)
 	case Drain:
-		s.drain()
+		s.startDrain()
 	case Tick:
-		s.tick()
+		s.handleTick()
 	}
 }
 
-func (s *Scheduler) do(a Action) {
+func (s *Scheduler) emit(a Action) {
 	s.actions = append(s.actions, a)
 }
 
-func (s *Scheduler) touch(name state.Service) {
-	s.touched[name] = struct{}{}
+func (s *Scheduler) markForGranting(name state.Service) {
+	s.servicesToGrant[name] = struct{}{}
 }
 
-// noticePause guards against a process that was stopped and resumed. It shows
+// detectPause guards against a process that was stopped and resumed. It shows
 // as a gap between ticks. Grants and load reports read from the sockets now
 // may be older than the pause: the grants have expired at their owners and
 // were given away again, and the reports would earn grants for upstreams that
 // are gone. Both are refused until the buffers must have been read.
-func (s *Scheduler) noticePause() {
+func (s *Scheduler) detectPause() {
 	if s.timers.started.IsZero() {
 		s.timers.started = s.now
 		s.timers.lastTick = s.now
 		s.timers.lastExchange = s.now
-		s.timers.lastRefresh = s.now
+		s.timers.lastUsageRefresh = s.now
 	}
 	if s.now.Sub(s.timers.lastTick) <= s.opts.FreezeAfter {
 		return
 	}
 	s.timers.lastTick = s.now
-	s.voidUntil = s.now.Add(wakeGrace)
+	s.discardUntil = s.now.Add(resumeGrace)
 	for _, u := range s.upstreams {
 		u.tracker.DistrustReport()
 	}
 }
 
-func (s *Scheduler) justWoke() bool {
-	return s.now.Before(s.voidUntil)
+func (s *Scheduler) resumedRecently() bool {
+	return s.now.Before(s.discardUntil)
 }
 
-func (s *Scheduler) tick() {
+func (s *Scheduler) handleTick() {
 	s.timers.lastTick = s.now
 	s.announceStarts()
 	for _, svc := range s.services {
-		svc.ledger.Refold()
-		s.noteUsable(svc)
-		s.touch(svc.name)
+		svc.ledger.Reindex()
+		s.updateUnusableSince(svc)
+		s.markForGranting(svc.name)
 	}
-	s.askOthers()
+	s.announceToRemainingOwners()
 	if s.now.Sub(s.timers.lastExchange) >= s.opts.ExchangeInterval {
 		s.exchange()
 	}
-	if !s.now.Before(s.timers.nextDemand) {
-		s.timers.nextDemand = s.now.Add(s.opts.DemandInterval)
-		s.batchDemand()
+	if !s.now.Before(s.timers.nextDemandBatch) {
+		s.timers.nextDemandBatch = s.now.Add(s.opts.DemandInterval)
+		s.sendDemandBatch()
 	}
-	if !s.now.Before(s.timers.nextRepeat) {
-		s.timers.nextRepeat = s.now.Add(demandRefresh)
+	if !s.now.Before(s.timers.nextDemandRefresh) {
+		s.timers.nextDemandRefresh = s.now.Add(demandRefresh)
 		s.refreshDemand()
 	}
 	if !s.now.Before(s.timers.nextTrim) {
 		s.timers.nextTrim = s.now.Add(trimInterval)
-		s.queues.Trim(s.now)
+		s.queues.ForgetIdle(s.now)
 	}
-	if !s.now.Before(s.timers.nextLeaving) {
-		s.timers.nextLeaving = s.now.Add(leaveRepeat)
+	if !s.now.Before(s.timers.nextLeavingRepeat) {
+		s.timers.nextLeavingRepeat = s.now.Add(leavingRepeat)
 		s.repeatLeaving()
 	}
 }
 
-func (s *Scheduler) drain() {
+func (s *Scheduler) startDrain() {
 	if s.draining {
 		return
 	}
@@ -237,7 +237,7 @@
 	}
 	s.drained = true
 	s.exchange()
-	s.do(Drained{})
+	s.emit(Drained{})
 }
 
 // sortedServices lists the services in order of name, so that the same events
@@ -248,9 +248,9 @@
 	return list
 }
 
-func (s *Scheduler) sortedTouched() []*service {
-	list := make([]*service, 0, len(s.touched))
-	for name := range s.touched {
+func (s *Scheduler) sortedServicesToGrant() []*service {
+	list := make([]*service, 0, len(s.servicesToGrant))
+	for name := range s.servicesToGrant {
 		if svc := s.services[name]; svc != nil {
 			list = append(list, svc)
 		}
--- a/coordination/scheduler/script_test.go
+++ b/coordination/scheduler/script_test.go
@@ -20,10 +20,10 @@
 // testdata. Its peers live in data centre y, so that a owns the upstreams of
 // x. The golden file beside it shows every line with the actions that follow.
 type script struct {
-	s     *Scheduler
-	now   time.Time
-	given []uint64
-	out   strings.Builder
+	s              *Scheduler
+	now            time.Time
+	grantSequences []uint64
+	out            strings.Builder
 }
 
 func TestScripts(t *testing.T) {
@@ -37,23 +37,23 @@
 			require.NoError(t, err)
 			s := script{now: time.Unix(1000, 0)}
 			for line := range strings.Lines(string(text)) {
-				s.line(t, strings.TrimSpace(line))
+				s.runLine(t, strings.TrimSpace(line))
 			}
 			goldie.New(t).Assert(t, name, []byte(s.out.String()))
 		})
 	}
 }
 
-func (s *script) line(t *testing.T, line string) {
-	fmt.Fprintln(&s.out, line)
-	if line == "" || strings.HasPrefix(line, "#") {
+func (s *script) runLine(t *testing.T, runLine string) {
+	fmt.Fprintln(&s.out, runLine)
+	if runLine == "" || strings.HasPrefix(runLine, "#") {
 		return
 	}
-	words := strings.Fields(line)
+	words := strings.Fields(runLine)
 	switch words[0] {
 	case "new":
 		s.s = New(Options{ExchangeInterval: time.Second, Self: Peer{Router: "a", DataCentre: "x", Incarnation: 7}})
-		s.given = nil
+		s.grantSequences = nil
 		s.step(PeersChanged{Peers: peers(words[1:])})
 	case "pass":
 		for end := s.now.Add(duration(t, words[1])); s.now.Before(end); {
@@ -80,13 +80,13 @@
 				continue
 			}
 		case SendGrant:
-			s.given = append(s.given, a.Grant.Sequence)
+			s.grantSequences = append(s.grantSequences, a.Grant.Sequence)
 		case Refuse:
 			fmt.Fprintf(&s.out, "  refuse %d: %v; retry after %v\n", a.ID, a.Result, a.Result.RetryAfter)
 			continue
 		}
 		text := fmt.Sprintf("%T%+v", action, action)
-		for i, sequence := range s.given {
+		for i, sequence := range s.grantSequences {
 			text = strings.Replace(text, fmt.Sprint("Sequence:", sequence), fmt.Sprint("Sequence:#", i+1), 1)
 		}
 		fmt.Fprintln(&s.out, " ", strings.TrimPrefix(text, "scheduler."))
@@ -113,7 +113,7 @@
 	n, err := strconv.ParseUint(nth, 10, 64)
 	require.NoError(t, err)
 	if isGrant {
-		return s.given[n-1]
+		return s.grantSequences[n-1]
 	}
 	return n
 }
@@ -183,8 +183,8 @@
 	}}
 }
 
-// only returns the actions of one type.
-func only[T Action](actions []Action) []T {
+// actionsOf returns the actions of one type.
+func actionsOf[T Action](actions []Action) []T {
 	var out []T
 	for _, a := range actions {
 		if x, ok := a.(T); ok {
--- a/coordination/scheduler/settings.go
+++ b/coordination/scheduler/settings.go
@@ -23,30 +23,30 @@
 	upstreams  []*upstream
 	// owned are the upstreams of this router, in the order of upstreams.
 	owned []*upstream
-	// elsewhere counts the upstreams of other owners that are to get work, and
+	// remoteUpstreams counts the upstreams of other owners that are to get work, and
 	// departed holds those of them that announced a departure. One whose
 	// announcement has grown old stays in it until usableElsewhere looks.
-	elsewhere int
-	departed  map[*upstream]struct{}
-	ledger    *fairness.Ledger
-	demand    *demand.Table
+	remoteUpstreams int
+	departedRemote  map[*upstream]struct{}
+	ledger          *fairness.Ledger
+	demand          *demand.Table
 	// shares are the routers' parts of the service's slots.
 	shares map[state.Router]float64
 	// sharesStale says that owners, peers or slots changed since shares were
 	// worked out.
 	sharesStale bool
-	// believed is what other owners take to be waiting here.
-	believed map[state.Router]map[demand.Key]int
+	// announcedDemand is what other owners take to be waiting here.
+	announcedDemand map[state.Router]map[demand.Key]int
 	// owners are the other owners in order of name.
 	owners []state.Router
-	// changed are lines to compare with believed at the next batch, urgent
+	// changedKeys are lines to compare with believed at the next batch, urgent
 	// those of this step.
-	changed map[demand.Key]struct{}
-	urgent  map[demand.Key]struct{}
-	// unanswered are urgent lines that not all owners have heard of, and turn
+	changedKeys map[demand.Key]struct{}
+	urgentKeys  map[demand.Key]struct{}
+	// partlyAnnouncedKeys are urgent lines that not all owners have heard of, and turn
 	// chooses who hears first.
-	unanswered map[demand.Key]struct{}
-	turn       int
+	partlyAnnouncedKeys map[demand.Key]struct{}
+	ownerRotation       int
 	// unusableSince is when the last usable upstream went; zero if there is
 	// one.
 	unusableSince time.Time
@@ -60,10 +60,10 @@
 	owner    state.Router
 	tracker  slots.Tracker
 	outlier  outlier.Detector
-	// fell is when the upstream was last seen gone or restarted, and which
+	// lastFailure is when the upstream was last seen gone or restarted, and which
 	// run of it that ended.
-	fell     time.Time
-	fellBoot string
+	lastFailure time.Time
+	failedBoot  string
 }
 
 // service returns a service's state, or nil beyond the bound.
@@ -75,16 +75,16 @@
 		return nil
 	}
 	svc := &service{
-		name:        name,
-		departed:    make(map[*upstream]struct{}),
-		ledger:      fairness.New(s.seed),
-		demand:      demand.New(),
-		shares:      make(map[state.Router]float64),
-		sharesStale: true,
-		believed:    make(map[state.Router]map[demand.Key]int),
-		changed:     make(map[demand.Key]struct{}),
-		urgent:      make(map[demand.Key]struct{}),
-		unanswered:  make(map[demand.Key]struct{}),
+		name:                name,
+		departedRemote:      make(map[*upstream]struct{}),
+		ledger:              fairness.New(s.seed),
+		demand:              demand.New(),
+		shares:              make(map[state.Router]float64),
+		sharesStale:         true,
+		announcedDemand:     make(map[state.Router]map[demand.Key]int),
+		changedKeys:         make(map[demand.Key]struct{}),
+		urgentKeys:          make(map[demand.Key]struct{}),
+		partlyAnnouncedKeys: make(map[demand.Key]struct{}),
 	}
 	s.services[name] = svc
 	return svc
@@ -108,8 +108,8 @@
 	for _, cs := range settings.Services {
 		s.configureService(cs, known)
 	}
-	s.listed = sortedUpstreams(s.upstreams)
-	s.table = nil
+	s.orderedUpstreams = sortedUpstreams(s.upstreams)
+	s.ownerTable = nil
 	s.refreshOwners()
 }
 
@@ -135,7 +135,7 @@
 	for _, ws := range s.settings.Workspaces {
 		svc.ledger.SetShare(ws.Name, ws.Share)
 	}
-	s.touch(cs.Name)
+	s.markForGranting(cs.Name)
 }
 
 // removeService gives requests of a service that is gone their answer.
@@ -161,57 +161,57 @@
 	return demand.Key{Workspace: k.Workspace, Model: k.Model}
 }
 
-func (svc *service) offers(m state.Model) bool {
+func (svc *service) offersModel(m state.Model) bool {
 	return m == "" || len(svc.settings.Models) == 0 || slices.Contains(svc.settings.Models, m)
 }
 
-// sortOut tells own upstreams from those of others.
+// partitionUpstreams tells own upstreams from those of others.
 //
 // Made for large fleets: a router owns some fourteen of thousands of
 // upstreams, and a choice on each request and tick must not walk all of them.
-func (s *Scheduler) sortOut(svc *service) {
+func (s *Scheduler) partitionUpstreams(svc *service) {
 	owners := make(map[state.Router]struct{})
 	svc.owned = nil
-	svc.elsewhere = 0
-	clear(svc.departed)
+	svc.remoteUpstreams = 0
+	clear(svc.departedRemote)
 	for _, u := range svc.upstreams {
 		if u.owner == s.self.Router {
 			svc.owned = append(svc.owned, u)
 		} else if u.owner != "" {
 			owners[u.owner] = struct{}{}
 		}
-		if s.countsElsewhere(u) {
-			svc.elsewhere++
+		if s.isRemote(u) {
+			svc.remoteUpstreams++
 		}
-		s.noteDeparture(svc, u)
+		s.updateDeparture(svc, u)
 	}
 	svc.owners = sortedRouters(owners)
 }
 
-func (s *Scheduler) countsElsewhere(u *upstream) bool {
+func (s *Scheduler) isRemote(u *upstream) bool {
 	return u.owner != "" && u.owner != s.self.Router && !u.settings.Draining
 }
 
-// noteDeparture follows what is announced of an upstream.
-func (s *Scheduler) noteDeparture(svc *service, u *upstream) {
-	if s.countsElsewhere(u) && u.tracker.DepartedRecently(s.now) {
-		svc.departed[u] = struct{}{}
+// updateDeparture follows what is announced of an upstream.
+func (s *Scheduler) updateDeparture(svc *service, u *upstream) {
+	if s.isRemote(u) && u.tracker.DepartedRecently(s.now) {
+		svc.departedRemote[u] = struct{}{}
 		return
 	}
-	delete(svc.departed, u)
+	delete(svc.departedRemote, u)
 }
 
-// usableElsewhere reports whether some other owner may have a usable upstream.
+// hasUsableRemote reports whether some other owner may have a usable upstream.
 // Of those, this router only knows announced departures. It walks them only
 // when every single one is announced.
-func (s *Scheduler) usableElsewhere(svc *service) bool {
-	if svc.elsewhere > len(svc.departed) {
+func (s *Scheduler) hasUsableRemote(svc *service) bool {
+	if svc.remoteUpstreams > len(svc.departedRemote) {
 		return true
 	}
-	for u := range svc.departed {
+	for u := range svc.departedRemote {
 		if !u.tracker.DepartedRecently(s.now) {
-			delete(svc.departed, u)
+			delete(svc.departedRemote, u)
 		}
 	}
-	return svc.elsewhere > len(svc.departed)
+	return svc.remoteUpstreams > len(svc.departedRemote)
 }
--- a/coordination/scheduler/split_test.go
+++ b/coordination/scheduler/split_test.go
@@ -14,24 +14,24 @@
 // knows is longer than one frame, so the message was never sent and the new
 // router gave slots to whoever it thought was behind. It must hear of every
 // counter, and no part may pass for the whole.
-func TestManyCountersReachColdRouter(t *testing.T) {
+func TestManyCountersReachNewRouter(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const workspaces = 2*maxUsageEntries + 1
 	a, b := Peer{Router: "a", Incarnation: 1}, Peer{Router: "b", Incarnation: 1}
-	old, cold := New(Options{Self: a}), New(Options{Self: b})
+	old, restarted := New(Options{Self: a}), New(Options{Self: b})
 	served := UsageHeard{Origin: "gone", Incarnation: 1}
 	for i := range workspaces {
 		w := state.Workspace(fmt.Sprint("w", i))
 		served.Entries = append(served.Entries, UsageEntry{Service: "draft", Workspace: w, Charged: state.Cost(1 + i)})
 	}
 	old.Step(now, served)
-	cold.Step(now, PeersChanged{Peers: []Peer{a, b}})
-	for _, m := range only[SendUsage](old.Step(now, PeersChanged{Peers: []Peer{a, b}})) {
+	restarted.Step(now, PeersChanged{Peers: []Peer{a, b}})
+	for _, m := range actionsOf[SendUsage](old.Step(now, PeersChanged{Peers: []Peer{a, b}})) {
 		require.LessOrEqual(t, len(m.Entries), maxUsageEntries)
 		require.False(t, m.Full)
-		cold.Step(now, UsageHeard{Origin: m.Origin, Incarnation: m.Incarnation, Entries: m.Entries, Full: m.Full})
+		restarted.Step(now, UsageHeard{Origin: m.Origin, Incarnation: m.Incarnation, Entries: m.Entries, Full: m.Full})
 	}
-	heard := cold.Status(now).Services[0].Workspaces
+	heard := restarted.Status(now).Services[0].Workspaces
 	require.Len(t, heard, workspaces)
 	require.Equal(t, old.Status(now).Services[0].Workspaces, heard)
 }
--- a/coordination/scheduler/status.go
+++ b/coordination/scheduler/status.go
@@ -66,7 +66,7 @@
 		Draining: s.draining,
 		Waiting:  s.queues.Total(),
 		Running:  len(s.running),
-		Granted:  s.given.Len(),
+		Granted:  s.issuedGrants.Len(),
 		Services: []ServiceStatus{},
 		Owned:    []UpstreamStatus{},
 		Peers:    []PeerStatus{},
@@ -85,7 +85,7 @@
 
 func (s *Scheduler) serviceStatus(svc *service) ServiceStatus {
 	status := ServiceStatus{Name: svc.name, Share: svc.shares[s.self.Router], Workspaces: []WorkspaceStatus{}}
-	for _, f := range svc.ledger.Figures() {
+	for _, f := range svc.ledger.AccountStatuses() {
 		status.Workspaces = append(status.Workspaces, WorkspaceStatus{
 			Name:     f.Workspace,
 			Waiting:  s.queues.Waiting(svc.name, f.Workspace),
--- a/coordination/scheduler/usable_test.go
+++ b/coordination/scheduler/usable_test.go
@@ -13,7 +13,7 @@
 // A whole service is restarted by its operator: every upstream of other owners
 // announces its departure, some of them twice. Callers must be refused only
 // while all of them are gone, although no report tells of their return here.
-func TestDeparturesElsewhereAreForgotten(t *testing.T) {
+func TestRemoteDeparturesAreForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New(Options{Self: Peer{Router: "a", DataCentre: "x", Incarnation: 7}})
 	s.Step(now, PeersChanged{Peers: peers([]string{"b"})})
@@ -21,23 +21,23 @@
 	id := state.RequestID(0)
 	refused := func() bool {
 		id++
-		return len(only[Refuse](s.Step(now, Arrived{Request: Request{ID: id, Service: "draft", Workspace: "w"}}))) > 0
+		return len(actionsOf[Refuse](s.Step(now, Arrived{Request: Request{ID: id, Service: "draft", Workspace: "w"}}))) > 0
 	}
-	leave := func(u state.Upstream) { s.Step(now, UpstreamLeaving{Upstream: u}) }
-	pass := func(d time.Duration) {
+	announceDeparture := func(u state.Upstream) { s.Step(now, UpstreamLeaving{Upstream: u}) }
+	advance := func(d time.Duration) {
 		now = now.Add(d)
 		s.Step(now, Tick{})
 	}
-	leave("u1")
-	pass(2 * DefaultNoUpstreamGrace)
+	announceDeparture("u1")
+	advance(2 * DefaultNoUpstreamGrace)
 	require.False(t, refused(), "u2 is left")
-	leave("u2")
-	leave("u1")
-	pass(2 * DefaultNoUpstreamGrace)
+	announceDeparture("u2")
+	announceDeparture("u1")
+	advance(2 * DefaultNoUpstreamGrace)
 	require.True(t, refused(), "both are gone")
-	pass(slots.DepartureExpiry)
+	advance(slots.DepartureExpiry)
 	require.False(t, refused(), "the announcements are too old to go by")
-	leave("u1")
-	pass(2 * DefaultNoUpstreamGrace)
+	announceDeparture("u1")
+	advance(2 * DefaultNoUpstreamGrace)
 	require.False(t, refused(), "u2 was forgotten to have left")
 }
--- a/coordination/scheduler/usage.go
+++ b/coordination/scheduler/usage.go
@@ -11,20 +11,20 @@
 func (s *Scheduler) exchange() {
 	period := max(s.now.Sub(s.timers.lastExchange), TickInterval)
 	s.timers.lastExchange = s.now
-	full := s.now.Sub(s.timers.lastRefresh) >= usageRefresh
+	full := s.now.Sub(s.timers.lastUsageRefresh) >= usageRefresh
 	if full {
-		s.timers.lastRefresh = s.now
+		s.timers.lastUsageRefresh = s.now
 	}
 	var entries []UsageEntry
 	serving := false
 	for _, svc := range s.sortedServices() {
 		s.refreshShares(svc)
-		changed := svc.ledger.Exchange(period)
+		changed := svc.ledger.EndPeriod(period)
 		if full {
-			changed = withoutVirtual(svc.ledger.Own())
+			changed = withoutVirtual(svc.ledger.OwnEntries())
 		}
 		entries = append(entries, usageEntries(svc.name, changed)...)
-		serving = serving || svc.ledger.Backlogged() > 0 && svc.shares[s.self.Router] > 0
+		serving = serving || svc.ledger.BackloggedCount() > 0 && svc.shares[s.self.Router] > 0
 	}
 	if len(s.peers) == 0 || len(entries) == 0 && !serving {
 		return
@@ -40,16 +40,16 @@
 // a frame and never left, so that a lost counter was never made up for and a
 // cold router heard of none. No part claims to be full, or a receiver could
 // take the counters of the other parts for zero.
-func (s *Scheduler) sendUsage(all SendUsage) {
-	if len(all.Entries) <= maxUsageEntries {
-		s.do(all)
+func (s *Scheduler) sendUsage(usage SendUsage) {
+	if len(usage.Entries) <= maxUsageEntries {
+		s.emit(usage)
 		return
 	}
-	for entries := range slices.Chunk(all.Entries, maxUsageEntries) {
-		part := all
-		part.Entries = entries
-		part.Full = false
-		s.do(part)
+	for entries := range slices.Chunk(usage.Entries, maxUsageEntries) {
+		message := usage
+		message.Entries = entries
+		message.Full = false
+		s.emit(message)
 	}
 }
 
@@ -71,7 +71,7 @@
 	return list
 }
 
-func (s *Scheduler) hearUsage(e UsageHeard) {
+func (s *Scheduler) receiveUsage(e UsageHeard) {
 	origin := fairness.Origin{Router: e.Origin, Incarnation: e.Incarnation}
 	if origin == originOf(s.self) {
 		return
@@ -86,15 +86,15 @@
 			Virtual:   u.Virtual,
 		})
 	}
-	cold := s.now.Sub(s.timers.started) <= adoptWithin
+	recentlyStarted := s.now.Sub(s.timers.started) <= adoptionPeriod
 	for name, svc := range s.services {
 		entries := byService[name]
 		if len(entries) == 0 && !s.isLive(origin) {
 			continue
 		}
-		svc.ledger.Hear(origin, entries)
-		if cold {
-			svc.ledger.Adopt(entries)
+		svc.ledger.ReceiveCounters(origin, entries)
+		if recentlyStarted {
+			svc.ledger.AdoptVirtualTimes(entries)
 		}
 	}
 }
@@ -104,8 +104,8 @@
 	return ok && p.Incarnation == o.Incarnation
 }
 
-// chargeService counts served cost and a change of what is set aside.
-func (s *Scheduler) chargeService(name state.Service, w state.Workspace, served, reserved state.Cost) {
+// chargeWorkspace counts served cost and a change of what is set aside.
+func (s *Scheduler) chargeWorkspace(name state.Service, w state.Workspace, served, reserved state.Cost) {
 	if svc := s.service(name); svc != nil {
 		svc.ledger.Charge(w, served, reserved)
 	}
--- a/transport/claims/host.go
+++ b/transport/claims/host.go
@@ -102,19 +102,19 @@
 	case res := <-answer:
 		return res
 	case <-ctx.Done():
-		h.send(claims.Withdrawn{Request: req})
+		h.send(claims.ClaimWithdrawn{Request: req})
 		return result.New(result.ClaimUnavailable, "")
 	}
 }
 
 // Complete records what became of a claimed request. It does not block.
 func (h *Host) Complete(req claims.Request, ran result.Ran) {
-	h.send(claims.Finished{Request: req, Ran: ran})
+	h.send(claims.RequestFinished{Request: req, Ran: ran})
 }
 
 // Resize says how many routers share the platform.
 func (h *Host) Resize(routers int) {
-	h.send(claims.FleetSized{Routers: routers})
+	h.send(claims.FleetResized{Routers: routers})
 }
 
 // Close takes no more claims, writes what is pending and stops. It returns the
@@ -183,13 +183,13 @@
 	switch m := message.(type) {
 	case ask:
 		h.waiting[m.request.Attempt] = m.answer
-		h.step(claims.Wanted{Request: m.request})
-	case claims.Withdrawn:
+		h.step(claims.ClaimWanted{Request: m.request})
+	case claims.ClaimWithdrawn:
 		delete(h.waiting, m.Request.Attempt)
 		h.step(m)
 	case flush:
 		h.flushed = m.done
-		h.step(claims.Flushed{})
+		h.step(claims.FlushRequested{})
 	case claims.Event:
 		h.step(m)
 	case *actor.Stopping:
@@ -222,7 +222,7 @@
 }
 
 func readTimeout(a claims.Read) time.Duration {
-	if a.Whole {
+	if a.WholeChain {
 		return wholeTimeout
 	}
 	return callTimeout
--- a/transport/claims/ledger.go
+++ b/transport/claims/ledger.go
@@ -61,7 +61,7 @@
 
 // Claim asks for the right to run a request.
 func (l *Ledger) Claim(ctx context.Context, req claims.Request) result.Result {
-	if !minted.Is(req.Key) {
+	if !minted.IsMinted(req.Key) {
 		return l.host.Claim(ctx, req)
 	}
 	l.mu.Lock()
@@ -71,7 +71,7 @@
 
 // Complete records what became of a claimed request. It does not block.
 func (l *Ledger) Complete(req claims.Request, ran result.Ran) {
-	if !minted.Is(req.Key) {
+	if !minted.IsMinted(req.Key) {
 		l.host.Complete(req, ran)
 		return
 	}
--- a/transport/claims/store.go
+++ b/transport/claims/store.go
@@ -33,7 +33,7 @@
 
 func (h *Host) read(ctx context.Context, a claims.Read) claims.ReadDone {
 	get := h.get
-	if a.Whole {
+	if a.WholeChain {
 		get = h.list
 	}
 	done, err := get(ctx, a)
@@ -63,7 +63,7 @@
 	}
 	for _, object := range objects {
 		slot := slotOf(a.Shard, object.Key)
-		stored := claims.Stored{Slot: slot, Version: claims.Version(object.Version), Value: object.Value}
+		stored := claims.StoredSegment{Slot: slot, Version: claims.Version(object.Version), Value: object.Value}
 		if slot == 0 {
 			done.Version, done.Value = stored.Version, stored.Value
 			continue
