--- a/capacity/failure.go
+++ b/capacity/failure.go
@@ -36,7 +36,7 @@
 }
 
 // silence is the seconds until a silent peer is given up.
-var silence = (membership.LostAfter + membership.TickInterval).Seconds()
+var silence = (membership.SessionTimeout + membership.TickInterval).Seconds()
 
 func (c *calc) events() []Event {
 	centre := c.neighbours()
--- a/capacity/measure_deciders.go
+++ b/capacity/measure_deciders.go
@@ -268,7 +268,7 @@
 func newMembers(routers int) *members {
 	m := &members{now: time.Unix(1_800_000_000, 0), Machine: membership.New(membership.Config{Self: helloOf(0), Seed: 1})}
 	for i := 1; i < routers; i++ {
-		m.Step(m.now, membership.Greeted{Session: membership.SessionID(i), Hello: helloOf(i)})
+		m.Step(m.now, membership.HelloReceived{Session: membership.SessionID(i), Hello: helloOf(i)})
 	}
 	return m
 }
@@ -285,7 +285,7 @@
 func (m *members) tick(routers int) []membership.Action {
 	m.now = m.now.Add(membership.TickInterval)
 	for i := 1; i < routers; i++ {
-		m.Step(m.now, membership.Heard{Session: membership.SessionID(i)})
+		m.Step(m.now, membership.MessageReceived{Session: membership.SessionID(i)})
 	}
 	return m.Step(m.now, membership.Tick{})
 }
@@ -297,7 +297,7 @@
 
 func membershipBeat(routers int) func() {
 	m := newMembers(routers)
-	return func() { m.Step(m.now, membership.HeartbeatHeard{Session: 1}) }
+	return func() { m.Step(m.now, membership.HeartbeatReceived{Session: 1}) }
 }
 
 func decodingVMs(n int) func() {
--- a/cmd/figstile/internal/cli/config.go
+++ b/cmd/figstile/internal/cli/config.go
@@ -152,7 +152,7 @@
 		return 0, usageError("the file has no change_id, so the version it replaces is not known: give --expect, --create or --force")
 	}
 	changes, _ := config.HistoryOf(present.Key, present.Value)
-	_, repeated := config.Find(changes, c.ChangeID)
+	_, repeated := config.FindChange(changes, c.ChangeID)
 	if read == changeIDOf(present.Value) || repeated {
 		return present.Version, nil
 	}
--- a/coordination/claims/minted/mint.go
+++ b/coordination/claims/minted/mint.go
@@ -106,7 +106,7 @@
 	m.forgetExpired(now)
 	if len(m.records) >= MaxKeys || m.keysPerWorkspace[ws] >= MaxPerWorkspace {
 		refusal := result.New(result.TooManyRequests, "The router holds as many keys as it may.")
-		return Key{}, time.Time{}, refusal.After(fullRetry)
+		return Key{}, time.Time{}, refusal.WithRetryAfter(fullRetry)
 	}
 	m.sequence++
 	key := Key{
@@ -152,7 +152,7 @@
 		m.used = append(m.used, expiry{sequence, rec.expiresAt})
 		return result.New(result.OK, "")
 	case statusRunning:
-		return result.New(result.KeyInProgress, "").After(progressRetry)
+		return result.New(result.KeyInProgress, "").WithRetryAfter(progressRetry)
 	case statusCompleted:
 		return result.New(result.KeyCompleted, "")
 	default:
--- a/coordination/claims/pump.go
+++ b/coordination/claims/pump.go
@@ -97,7 +97,7 @@
 
 func (m *Machine) unavailableResult(now time.Time, s *shardState) result.Result {
 	retryAfter := latest(m.unavailableUntil, s.notBefore).Sub(now)
-	return result.New(result.ClaimUnavailable, "").After(max(retryAfter, progressRetry))
+	return result.New(result.ClaimUnavailable, "").WithRetryAfter(max(retryAfter, progressRetry))
 }
 
 // startRound begins with a read where the copy is missing or likely stale.
@@ -263,6 +263,6 @@
 
 func (m *Machine) refuseFull(now time.Time, s *shardState, o *op) {
 	res := result.New(result.ClaimUnavailable, "The shard of this key is full.")
-	m.decide(o, res.After(unavailableRetry))
+	m.decide(o, res.WithRetryAfter(unavailableRetry))
 	m.releaseIfFenced(now, s, o)
 }
--- a/coordination/claims/round.go
+++ b/coordination/claims/round.go
@@ -64,7 +64,7 @@
 	case e.Status == StatusUnknown, m.isOwnEarlierClaim(e), now.Sub(e.ClaimedAt) > maxInProgressTime:
 		return result.New(result.KeyUnknown, "")
 	default:
-		return result.New(result.KeyInProgress, "").After(progressRetry)
+		return result.New(result.KeyInProgress, "").WithRetryAfter(progressRetry)
 	}
 }
 
--- a/coordination/exchange/fetch.go
+++ b/coordination/exchange/fetch.go
@@ -17,55 +17,55 @@
 // so that it crosses the links of a router once. The zero value is usable. It is
 // not safe for concurrent use.
 type Fetch struct {
-	// offers are the newest revisions that peers announced.
-	offers map[state.Router]uint64
-	// asked is the peer that was asked last, empty once it has answered.
-	asked state.Router
-	at    time.Time
+	// offeredRevisions are the newest revisions that peers announced.
+	offeredRevisions map[state.Router]uint64
+	// askedPeer is the peer that was asked last, empty once it has answered.
+	askedPeer state.Router
+	askedAt   time.Time
 }
 
 // Announced takes that a peer holds a revision.
-func (f *Fetch) Announced(from state.Router, revision, held uint64) {
-	if revision <= held || revision <= f.offers[from] {
+func (f *Fetch) Announced(from state.Router, revision, storedRevision uint64) {
+	if revision <= storedRevision || revision <= f.offeredRevisions[from] {
 		return
 	}
-	if f.offers == nil {
-		f.offers = make(map[state.Router]uint64)
+	if f.offeredRevisions == nil {
+		f.offeredRevisions = make(map[state.Router]uint64)
 	}
-	f.offers[from] = revision
+	f.offeredRevisions[from] = revision
 }
 
-// Next returns the peer to ask now, if any: one that announced the newest
+// NextPeer returns the peer to ask now, if any: one that announced the newest
 // revision.
-func (f *Fetch) Next(now time.Time, held uint64) (state.Router, bool) {
-	if f.asked != "" {
-		if now.Sub(f.at) < fetchTimeout {
+func (f *Fetch) NextPeer(now time.Time, storedRevision uint64) (state.Router, bool) {
+	if f.askedPeer != "" {
+		if now.Sub(f.askedAt) < fetchTimeout {
 			return "", false
 		}
-		delete(f.offers, f.asked)
-		f.asked = ""
+		delete(f.offeredRevisions, f.askedPeer)
+		f.askedPeer = ""
 	}
-	maps.DeleteFunc(f.offers, func(_ state.Router, revision uint64) bool { return revision <= held })
-	if len(f.offers) == 0 {
+	maps.DeleteFunc(f.offeredRevisions, func(_ state.Router, revision uint64) bool { return revision <= storedRevision })
+	if len(f.offeredRevisions) == 0 {
 		return "", false
 	}
-	f.asked = slices.MaxFunc(slices.Sorted(maps.Keys(f.offers)), func(a, b state.Router) int {
-		return cmp.Compare(f.offers[a], f.offers[b])
+	f.askedPeer = slices.MaxFunc(slices.Sorted(maps.Keys(f.offeredRevisions)), func(a, b state.Router) int {
+		return cmp.Compare(f.offeredRevisions[a], f.offeredRevisions[b])
 	})
-	f.at = now
-	return f.asked, true
+	f.askedAt = now
+	return f.askedPeer, true
 }
 
-// Expected returns the revision that was asked for, 0 if none was.
-func (f *Fetch) Expected() uint64 {
-	if f.asked == "" {
+// ExpectedRevision returns the revision that was asked for, 0 if none was.
+func (f *Fetch) ExpectedRevision() uint64 {
+	if f.askedPeer == "" {
 		return 0
 	}
-	return f.offers[f.asked]
+	return f.offeredRevisions[f.askedPeer]
 }
 
-// Taken notes that a revision was received.
-func (f *Fetch) Taken(revision uint64) {
-	f.asked = ""
-	maps.DeleteFunc(f.offers, func(_ state.Router, offered uint64) bool { return offered <= revision })
+// RevisionReceived notes that a revision was received.
+func (f *Fetch) RevisionReceived(revision uint64) {
+	f.askedPeer = ""
+	maps.DeleteFunc(f.offeredRevisions, func(_ state.Router, offered uint64) bool { return offered <= revision })
 }
--- a/coordination/exchange/fetch_test.go
+++ b/coordination/exchange/fetch_test.go
@@ -15,12 +15,12 @@
 	for _, peer := range []state.Router{"a", "b", "c"} {
 		f.Announced(peer, 5, 4)
 	}
-	_, ok := f.Next(start, 4)
+	_, ok := f.NextPeer(start, 4)
 	require.True(t, ok)
-	_, ok = f.Next(after(fetchTimeout-1), 4)
+	_, ok = f.NextPeer(after(fetchTimeout-1), 4)
 	require.False(t, ok)
-	f.Taken(5)
-	_, ok = f.Next(after(fetchTimeout), 5)
+	f.RevisionReceived(5)
+	_, ok = f.NextPeer(after(fetchTimeout), 5)
 	require.False(t, ok)
 }
 
@@ -29,11 +29,11 @@
 	var f Fetch
 	f.Announced("a", 5, 4)
 	f.Announced("b", 5, 4)
-	first, _ := f.Next(start, 4)
-	second, ok := f.Next(after(fetchTimeout), 4)
+	first, _ := f.NextPeer(start, 4)
+	second, ok := f.NextPeer(after(fetchTimeout), 4)
 	require.True(t, ok)
 	require.NotEqual(t, first, second)
-	_, ok = f.Next(after(2*fetchTimeout), 4)
+	_, ok = f.NextPeer(after(2*fetchTimeout), 4)
 	require.False(t, ok, "both were asked in vain")
 }
 
@@ -41,17 +41,17 @@
 func TestNewestVersionIsFetched(t *testing.T) {
 	var f Fetch
 	f.Announced("a", 5, 4)
-	_, _ = f.Next(start, 4)
+	_, _ = f.NextPeer(start, 4)
 	f.Announced("b", 6, 4)
 	f.Announced("a", 7, 4)
-	_, ok := f.Next(after(1), 4)
+	_, ok := f.NextPeer(after(1), 4)
 	require.False(t, ok)
-	f.Taken(5)
-	peer, ok := f.Next(after(2), 5)
+	f.RevisionReceived(5)
+	peer, ok := f.NextPeer(after(2), 5)
 	require.True(t, ok)
 	require.EqualValues(t, "a", peer)
 	f.Announced("b", 7, 7)
-	f.Taken(7)
-	_, ok = f.Next(after(3), 7)
+	f.RevisionReceived(7)
+	_, ok = f.NextPeer(after(3), 7)
 	require.False(t, ok)
 }
--- a/coordination/fencing/action.go
+++ b/coordination/fencing/action.go
@@ -32,7 +32,7 @@
 // can be paused between the decision and the send: the order would then reach
 // an engine that another router has been giving orders to.
 func (s SendOrder) Late(now Instant) bool {
-	return s.Within > 0 && now.AtMostSince(s.Since) >= s.Within
+	return s.Within > 0 && now.MaxElapsedSince(s.Since) >= s.Within
 }
 
 func (ReadLease) action()  {}
--- a/coordination/fencing/backoff.go
+++ b/coordination/fencing/backoff.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// attempts remembers the orders that were given and did not show their effect
+// orderAttempts remembers the orders that were given and did not show their effect
 // yet. Each order backs off on its own: a model that cannot be loaded must
 // neither be loaded over and over, which uses up the weight store's rate, nor
 // hold up the orders behind it.
-type attempts struct {
-	timing Timing
-	given  map[Order]attempt
+type orderAttempts struct {
+	timing  Timing
+	byOrder map[Order]orderAttempt
 }
 
-// attempt is how often an order was given and when it may be given again.
-type attempt struct {
-	times int
-	after time.Duration
+// orderAttempt is how often an order was given and when it may be given again.
+type orderAttempt struct {
+	count     int
+	notBefore time.Duration
 }
 
 // maxDoublings keeps the shift far from overflow.
 const maxDoublings = 10
 
-// ended notes the end of an order.
-func (a *attempts) ended(order Order, now time.Duration) {
+// orderEnded notes the end of an order.
+func (a *orderAttempts) orderEnded(order Order, now time.Duration) {
 	order.Number = 0
-	last := a.given[order]
-	delay := a.timing.FirstBackoff << min(last.times, maxDoublings)
-	a.given[order] = attempt{times: last.times + 1, after: now + min(delay, a.timing.LastBackoff)}
+	previous := a.byOrder[order]
+	delay := a.timing.MinBackoff << min(previous.count, maxDoublings)
+	a.byOrder[order] = orderAttempt{count: previous.count + 1, notBefore: now + min(delay, a.timing.MaxBackoff)}
 }
 
-// due returns the first of the missing orders that may be given now, and
+// nextDue returns the first of the missing orders that may be given now, and
 // forgets those that are no longer missing.
-func (a *attempts) due(missing []Order, now time.Duration) (Order, bool) {
-	maps.DeleteFunc(a.given, func(order Order, _ attempt) bool { return !slices.Contains(missing, order) })
+func (a *orderAttempts) nextDue(missing []Order, now time.Duration) (Order, bool) {
+	maps.DeleteFunc(a.byOrder, func(order Order, _ orderAttempt) bool { return !slices.Contains(missing, order) })
 	for _, order := range missing {
-		if now >= a.given[order].after {
+		if now >= a.byOrder[order].notBefore {
 			return order, true
 		}
 	}
--- a/coordination/fencing/event.go
+++ b/coordination/fencing/event.go
@@ -5,14 +5,14 @@
 // Event is something that happened. Events are plain data.
 type Event interface{ event() }
 
-// Wanted replaces what the engine is to hold; nil if this router has no say
+// DesiredChanged replaces what the engine is to hold; nil if this router has no say
 // over it any more.
-type Wanted struct {
-	Wish *Wish
+type DesiredChanged struct {
+	Desired *DesiredState
 }
 
-// Reported is a load report as it was read just now.
-type Reported struct {
+// ReportReceived is a load report as it was read just now.
+type ReportReceived struct {
 	Report state.LoadReport
 }
 
@@ -51,14 +51,14 @@
 // did not send it.
 type OrderLate struct{}
 
-func (Wanted) event()        {}
-func (Reported) event()      {}
-func (Tick) event()          {}
-func (LeaseRead) event()     {}
-func (LeaseWritten) event()  {}
-func (LeaseConflict) event() {}
-func (LeaseFailed) event()   {}
-func (OrderDone) event()     {}
-func (OrderStale) event()    {}
-func (OrderFailed) event()   {}
-func (OrderLate) event()     {}
+func (DesiredChanged) event() {}
+func (ReportReceived) event() {}
+func (Tick) event()           {}
+func (LeaseRead) event()      {}
+func (LeaseWritten) event()   {}
+func (LeaseConflict) event()  {}
+func (LeaseFailed) event()    {}
+func (OrderDone) event()      {}
+func (OrderStale) event()     {}
+func (OrderFailed) event()    {}
+func (OrderLate) event()      {}
--- a/coordination/fencing/lease.go
+++ b/coordination/fencing/lease.go
@@ -14,16 +14,16 @@
 	Wall      time.Time
 }
 
-// AtMostSince is the longest time that may have passed since an earlier
+// MaxElapsedSince is the longest time that may have passed since an earlier
 // instant. A holder counts its lease by it: a clock that stood still must not
 // make a lease last longer.
-func (i Instant) AtMostSince(earlier Instant) time.Duration {
+func (i Instant) MaxElapsedSince(earlier Instant) time.Duration {
 	return max(i.Monotonic-earlier.Monotonic, i.Wall.Sub(earlier.Wall))
 }
 
-// AtLeastSince is the shortest time that may have passed. A contender counts
+// MinElapsedSince is the shortest time that may have passed. A contender counts
 // another's lease by it: a clock set forward must not end a lease early.
-func (i Instant) AtLeastSince(earlier Instant) time.Duration {
+func (i Instant) MinElapsedSince(earlier Instant) time.Duration {
 	return min(i.Monotonic-earlier.Monotonic, i.Wall.Sub(earlier.Wall))
 }
 
@@ -44,26 +44,26 @@
 
 // Timing holds the durations that orders go by.
 type Timing struct {
-	// Lease is how long a lease lasts after its latest write.
-	Lease time.Duration
-	// Margin is kept free at the lease's end: an order that is not handed to
+	// LeaseDuration is how long a lease lasts after its latest write.
+	LeaseDuration time.Duration
+	// SafetyMargin is kept free at the lease's end: an order that is not handed to
 	// the network before it is not sent.
-	Margin time.Duration
-	// Renew is the age at which the lease is renewed while an order runs.
-	Renew time.Duration
-	// Poll is the time between looks at a lease that another router holds.
-	Poll time.Duration
-	// Retry is the time before a failed call to the store is repeated.
-	Retry time.Duration
-	// Jump is the longest gap between two events of a process that runs, and
+	SafetyMargin time.Duration
+	// RenewAfter is the age at which the lease is renewed while an order runs.
+	RenewAfter time.Duration
+	// PollInterval is the time between looks at a lease that another router holds.
+	PollInterval time.Duration
+	// RetryDelay is the time before a failed call to the store is repeated.
+	RetryDelay time.Duration
+	// MaxStepGap is the longest gap between two events of a process that runs, and
 	// the largest difference between its clocks over such a gap.
-	Jump time.Duration
-	// ReportLag is how old a load report may be when it is read.
-	ReportLag time.Duration
-	// FirstBackoff and LastBackoff bound the time between orders while the
+	MaxStepGap time.Duration
+	// MaxReportAge is how old a load report may be when it is read.
+	MaxReportAge time.Duration
+	// MinBackoff and LastBackoff bound the time between orders while the
 	// engine does not come to hold what is wanted.
-	FirstBackoff time.Duration
-	LastBackoff  time.Duration
+	MinBackoff time.Duration
+	MaxBackoff time.Duration
 }
 
 // DefaultTiming is for a platform that answers in milliseconds and hosts that
@@ -80,14 +80,14 @@
 // it has failed some times.
 func DefaultTiming() Timing {
 	return Timing{
-		Lease:        15 * time.Second,
-		Margin:       5 * time.Second,
-		Renew:        4 * time.Second,
-		Poll:         3 * time.Second,
-		Retry:        2 * time.Second,
-		Jump:         3 * time.Second,
-		ReportLag:    3 * time.Second,
-		FirstBackoff: 4 * time.Second,
-		LastBackoff:  30 * time.Second,
+		LeaseDuration: 15 * time.Second,
+		SafetyMargin:  5 * time.Second,
+		RenewAfter:    4 * time.Second,
+		PollInterval:  3 * time.Second,
+		RetryDelay:    2 * time.Second,
+		MaxStepGap:    3 * time.Second,
+		MaxReportAge:  3 * time.Second,
+		MinBackoff:    4 * time.Second,
+		MaxBackoff:    30 * time.Second,
 	}
 }
--- a/coordination/fencing/wish.go
+++ b/coordination/fencing/wish.go
@@ -6,8 +6,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Wish is what an engine is to hold and to be.
-type Wish struct {
+// DesiredState is what an engine is to hold and to be.
+type DesiredState struct {
 	Models []state.Model
 	// Role is empty if the engine's role does not matter.
 	Role string
@@ -32,29 +32,29 @@
 	Number uint64
 }
 
-// roleSet is the role an engine confirmed, and in which run. Load reports do
+// confirmedRole is the role an engine confirmed, and in which run. Load reports do
 // not tell the role, so that a confirmation is all there is to go by.
-type roleSet struct {
+type confirmedRole struct {
 	boot string
 	role string
 }
 
 // missingOrders compares what the engine reports with what is wanted. What
 // must go is unloaded first, for the memory that the loads need.
-func missingOrders(wish Wish, report state.LoadReport, confirmed roleSet) []Order {
+func missingOrders(desired DesiredState, report state.LoadReport, confirmed confirmedRole) []Order {
 	var orders []Order
-	for _, held := range report.Models {
-		if !slices.Contains(wish.Models, held) {
-			orders = append(orders, Order{Kind: UnloadModel, Model: held})
+	for _, loaded := range report.Models {
+		if !slices.Contains(desired.Models, loaded) {
+			orders = append(orders, Order{Kind: UnloadModel, Model: loaded})
 		}
 	}
-	for _, wanted := range wish.Models {
+	for _, wanted := range desired.Models {
 		if !slices.Contains(report.Models, wanted) {
 			orders = append(orders, Order{Kind: LoadModel, Model: wanted})
 		}
 	}
-	if wish.Role != "" && confirmed != (roleSet{boot: report.Boot, role: wish.Role}) {
-		orders = append(orders, Order{Kind: SetRole, Role: wish.Role})
+	if desired.Role != "" && confirmed != (confirmedRole{boot: report.Boot, role: desired.Role}) {
+		orders = append(orders, Order{Kind: SetRole, Role: desired.Role})
 	}
 	return orders
 }
--- a/coordination/membership/action.go
+++ b/coordination/membership/action.go
@@ -59,19 +59,19 @@
 	Address string
 }
 
-// Accept keeps a greeted session and answers its hello.
-type Accept struct {
+// AcceptSession keeps a greeted session and answers its hello.
+type AcceptSession struct {
 	Session SessionID
 }
 
-// Refuse answers a greeted session with the reason and closes it.
-type Refuse struct {
+// RefuseSession answers a greeted session with the reason and closes it.
+type RefuseSession struct {
 	Session SessionID
 	Refusal Refusal
 }
 
-// Close ends an accepted session. The host reports no Closed for it.
-type Close struct {
+// CloseSession ends an accepted session. The host reports no Closed for it.
+type CloseSession struct {
 	Session SessionID
 	Reason  CloseReason
 }
@@ -82,22 +82,22 @@
 	Members []Member
 }
 
-// Publish replaces the set of live routers, this one included, in the order
+// PublishPeers replaces the set of live routers, this one included, in the order
 // of their names.
-type Publish struct {
+type PublishPeers struct {
 	Peers []scheduler.Peer
 }
 
-// Resumed says that this process stood still for the given time, so that
+// ProcessResumed says that this process stood still for the given time, so that
 // whatever it believes about others is that old.
-type Resumed struct {
+type ProcessResumed struct {
 	Gap time.Duration
 }
 
-func (Dial) action()          {}
-func (Accept) action()        {}
-func (Refuse) action()        {}
-func (Close) action()         {}
-func (SendHeartbeat) action() {}
-func (Publish) action()       {}
-func (Resumed) action()       {}
+func (Dial) action()           {}
+func (AcceptSession) action()  {}
+func (RefuseSession) action()  {}
+func (CloseSession) action()   {}
+func (SendHeartbeat) action()  {}
+func (PublishPeers) action()   {}
+func (ProcessResumed) action() {}
--- a/coordination/membership/event.go
+++ b/coordination/membership/event.go
@@ -33,17 +33,17 @@
 // Event is something that happened to the sessions of this router.
 type Event interface{ event() }
 
-// Seeded adds addresses from the settings or the platform's list of VMs.
-type Seeded struct {
+// SeedsAdded adds addresses from the settings or the platform's list of VMs.
+type SeedsAdded struct {
 	Addresses []string
 }
 
-// Greeted says that a peer's hello was read on a new session.
-type Greeted struct {
+// HelloReceived says that a peer's hello was read on a new session.
+type HelloReceived struct {
 	Session SessionID
-	// Dialled is the address this router dialled; empty if the peer did.
-	Dialled string
-	Hello   Hello
+	// DialledAddress is the address this router dialled; empty if the peer did.
+	DialledAddress string
+	Hello          Hello
 }
 
 // DialFailed says that no session came of a Dial. Every Dial is answered by
@@ -57,58 +57,58 @@
 	Incarnation state.Incarnation
 }
 
-// Closed says that an accepted session ended, for whatever reason.
-type Closed struct {
+// SessionClosed says that an accepted session ended, for whatever reason.
+type SessionClosed struct {
 	Session SessionID
 }
 
-// Heard says that any message arrived on a session since the last Heard.
-type Heard struct {
+// MessageReceived says that any message arrived on a session since the last Heard.
+type MessageReceived struct {
 	Session SessionID
 }
 
-// HeartbeatHeard is a peer's heartbeat.
-type HeartbeatHeard struct {
+// HeartbeatReceived is a peer's heartbeat.
+type HeartbeatReceived struct {
 	Session  SessionID
 	Draining bool
 	Members  []Member
 }
 
-// Raised gives this router a greater incarnation.
-type Raised struct {
+// IncarnationRaised gives this router a greater incarnation.
+type IncarnationRaised struct {
 	Incarnation state.Incarnation
 }
 
-// DrainingSet changes whether this router announces that it drains.
-type DrainingSet struct {
+// DrainingChanged changes whether this router announces that it drains.
+type DrainingChanged struct {
 	Draining bool
 }
 
-// Selected replaces what a selective machine dials.
-type Selected struct {
+// SelectionChanged replaces what a selective machine dials.
+type SelectionChanged struct {
 	Members []Member
-	// Seeds says that seeds are dialled, but for those that lead to one of
+	// DialSeeds says that seeds are dialled, but for those that lead to one of
 	// Fleet.
-	Seeds bool
-	Fleet []state.Router
+	DialSeeds   bool
+	LiveRouters []state.Router
 }
 
-// Dropped ends the session with a peer.
-type Dropped struct {
+// SessionUnneeded ends the session with a peer.
+type SessionUnneeded struct {
 	Router state.Router
 }
 
 // Tick lets limits pass. The host sends one every TickInterval.
 type Tick struct{}
 
-func (Seeded) event()         {}
-func (Greeted) event()        {}
-func (DialFailed) event()     {}
-func (Closed) event()         {}
-func (Heard) event()          {}
-func (HeartbeatHeard) event() {}
-func (Raised) event()         {}
-func (DrainingSet) event()    {}
-func (Selected) event()       {}
-func (Dropped) event()        {}
-func (Tick) event()           {}
+func (SeedsAdded) event()        {}
+func (HelloReceived) event()     {}
+func (DialFailed) event()        {}
+func (SessionClosed) event()     {}
+func (MessageReceived) event()   {}
+func (HeartbeatReceived) event() {}
+func (IncarnationRaised) event() {}
+func (DrainingChanged) event()   {}
+func (SelectionChanged) event()  {}
+func (SessionUnneeded) event()   {}
+func (Tick) event()              {}
--- a/coordination/membership/member.go
+++ b/coordination/membership/member.go
@@ -9,12 +9,12 @@
 // session is an accepted session with a member.
 type session struct {
 	id SessionID
-	// byUs says that this router dialled.
-	byUs bool
-	// heard is when anything last arrived.
-	heard time.Duration
-	// nextBeat is when the next heartbeat is due.
-	nextBeat time.Duration
+	// dialledLocally says that this router dialled.
+	dialledLocally bool
+	// lastReceived is when anything last arrived.
+	lastReceived time.Duration
+	// nextHeartbeat is when the next heartbeat is due.
+	nextHeartbeat time.Duration
 }
 
 // member is a router that is or was live.
@@ -23,27 +23,27 @@
 	draining bool
 	// session is nil while the member is suspect or gone.
 	session *session
-	// lost is when the last session closed.
-	lost time.Duration
-	gone bool
+	// sessionLostAt is when the last session closed.
+	sessionLostAt time.Duration
+	departed      bool
 }
 
-func (m *member) live() bool { return !m.gone }
+func (m *member) live() bool { return !m.departed }
 
 // Status tells how a member is seen.
 type Status string
 
 // The statuses of a member.
 const (
-	StatusLive    Status = "live"
-	StatusSuspect Status = "suspect"
-	StatusGone    Status = "gone"
+	StatusLive     Status = "live"
+	StatusSuspect  Status = "suspect"
+	StatusDeparted Status = "gone"
 )
 
 func (m *member) status() Status {
 	switch {
-	case m.gone:
-		return StatusGone
+	case m.departed:
+		return StatusDeparted
 	case m.session == nil:
 		return StatusSuspect
 	default:
@@ -51,14 +51,14 @@
 	}
 }
 
-// View is a member as an operator sees it.
-type View struct {
+// MemberView is a member as an operator sees it.
+type MemberView struct {
 	Member
 	Draining bool
 	Status   Status
 }
 
-// prefers decides which of two sessions with the same incarnation of a peer
+// isPreferredOver decides which of two sessions with the same incarnation of a peer
 // stays. Both sides must come to the same answer from what each of them knows,
 // or two simultaneous dials would close each other for ever.
 //
@@ -68,9 +68,9 @@
 // session that has been silent for DoubtAfter: after a connection broke for
 // the peer alone, a router that dialled it first would otherwise defend the
 // dead session against the peer's new one until LostAfter.
-func (s *session) prefers(newByUs bool, self, peer state.Router, now time.Duration) bool {
-	if s.byUs == newByUs || now-s.heard > DoubtAfter {
+func (s *session) isPreferredOver(newDialledLocally bool, self, peer state.Router, now time.Duration) bool {
+	if s.dialledLocally == newDialledLocally || now-s.lastReceived > StaleSessionAfter {
 		return false
 	}
-	return s.byUs == (self < peer)
+	return s.dialledLocally == (self < peer)
 }
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -16,42 +16,42 @@
 	Self Hello
 	// Seed of the jitter.
 	Seed uint64
-	// Selective machines dial only what Selected names, and spread no addresses.
-	Selective bool
+	// SelectiveDialing machines dial only what Selected names, and spread no addresses.
+	SelectiveDialing bool
 }
 
 // Machine is the membership state machine of one router. It is not safe for
 // concurrent use.
 type Machine struct {
-	self     Hello
-	clock    runClock
-	members  map[state.Router]*member
-	sessions map[SessionID]*member
-	targets  targets
-	// selective is Config.Selective, selected the last Selected.
-	selective bool
-	selected  selection
-	// gossip is when the next peer is told all members, told the last one.
-	gossip time.Duration
-	told   state.Router
-	// changed says that Peers may differ from published.
-	changed   bool
-	published []scheduler.Peer
-	actions   []Action
+	self      Hello
+	clock     runClock
+	members   map[state.Router]*member
+	sessions  map[SessionID]*member
+	addresses addressBook
+	// selectiveDialing is Config.Selective, selected the last Selected.
+	selectiveDialing bool
+	selection        selection
+	// nextGossip is when the next peer is told all members, told the last one.
+	nextGossip     time.Duration
+	lastGossipPeer state.Router
+	// peersChanged says that Peers may differ from published.
+	peersChanged bool
+	published    []scheduler.Peer
+	actions      []Action
 }
 
 // New returns a machine that knows only its own router.
 func New(cfg Config) *Machine {
 	cfg.Self.Draining = false
 	return &Machine{
-		self:      cfg.Self,
-		members:   make(map[state.Router]*member),
-		sessions:  make(map[SessionID]*member),
-		targets:   newTargets(cfg.Seed),
-		selective: cfg.Selective,
-		selected:  selection{seeds: true},
-		gossip:    GossipInterval,
-		changed:   true,
+		self:             cfg.Self,
+		members:          make(map[state.Router]*member),
+		sessions:         make(map[SessionID]*member),
+		addresses:        newAddressBook(cfg.Seed),
+		selectiveDialing: cfg.SelectiveDialing,
+		selection:        selection{dialSeeds: true},
+		nextGossip:       GossipInterval,
+		peersChanged:     true,
 	}
 }
 
@@ -60,13 +60,13 @@
 func (m *Machine) Step(now time.Time, event Event) []Action {
 	m.actions = nil
 	if gap := m.clock.advance(now); gap > FreezeThreshold {
-		m.do(Resumed{Gap: gap})
+		m.emit(ProcessResumed{Gap: gap})
 	}
 	m.apply(event)
 	if mayDial(event) {
-		m.dialDue()
+		m.dialDueAddresses()
 	}
-	m.publish()
+	m.publishIfChanged()
 	return m.actions
 }
 
@@ -74,7 +74,7 @@
 // through all addresses for each of them would cost more than the message.
 func mayDial(event Event) bool {
 	switch event.(type) {
-	case Heard, HeartbeatHeard, DrainingSet:
+	case MessageReceived, HeartbeatReceived, DrainingChanged:
 		return false
 	default:
 		return true
@@ -83,55 +83,55 @@
 
 func (m *Machine) apply(event Event) {
 	switch e := event.(type) {
-	case Seeded:
-		m.seeded(e)
-	case Greeted:
-		m.greeted(e)
+	case SeedsAdded:
+		m.addSeeds(e)
+	case HelloReceived:
+		m.helloReceived(e)
 	case DialFailed:
 		m.dialFailed(e)
-	case Closed:
-		m.closed(e.Session)
-	case Heard:
-		m.heard(e.Session)
-	case HeartbeatHeard:
-		m.heartbeatHeard(e)
-	case Raised:
+	case SessionClosed:
+		m.sessionClosed(e.Session)
+	case MessageReceived:
+		m.messageReceived(e.Session)
+	case HeartbeatReceived:
+		m.heartbeatReceived(e)
+	case IncarnationRaised:
 		m.self.Incarnation = max(m.self.Incarnation, e.Incarnation)
-	case DrainingSet:
-		m.drainingSet(e.Draining)
-	case Selected:
-		m.choose(e)
-	case Dropped:
-		m.dropped(e.Router)
+	case DrainingChanged:
+		m.setDraining(e.Draining)
+	case SelectionChanged:
+		m.setSelection(e)
+	case SessionUnneeded:
+		m.closeUnneededSession(e.Router)
 	case Tick:
 		m.tick()
 	}
 }
 
-func (m *Machine) do(a Action) { m.actions = append(m.actions, a) }
+func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
 func (m *Machine) now() time.Duration { return m.clock.elapsed }
 
-func (m *Machine) seeded(e Seeded) {
+func (m *Machine) addSeeds(e SeedsAdded) {
 	for _, address := range e.Addresses {
-		if to := m.targets.learn(address, m.now()); to != nil {
-			to.seed = true
+		if addr := m.addresses.findOrAdd(address, m.now()); addr != nil {
+			addr.isSeed = true
 		}
 	}
 }
 
-func (m *Machine) greeted(e Greeted) {
-	refusal := m.judge(e)
+func (m *Machine) helloReceived(e HelloReceived) {
+	refusal := m.refusalFor(e)
 	if refusal != RefusalNone {
-		m.do(Refuse{Session: e.Session, Refusal: refusal})
-		m.dialFailed(DialFailed{Address: e.Dialled, Refusal: refusal, Router: e.Hello.Router, Incarnation: e.Hello.Incarnation})
+		m.emit(RefuseSession{Session: e.Session, Refusal: refusal})
+		m.dialFailed(DialFailed{Address: e.DialledAddress, Refusal: refusal, Router: e.Hello.Router, Incarnation: e.Hello.Incarnation})
 		return
 	}
-	m.adopt(e)
+	m.acceptSession(e)
 }
 
-// judge returns why a greeted session is refused, if it is.
-func (m *Machine) judge(e Greeted) Refusal {
+// refusalFor returns why a greeted session is refused, if it is.
+func (m *Machine) refusalFor(e HelloReceived) Refusal {
 	hello := e.Hello
 	switch {
 	case hello.Router == "" || hello.Incarnation == 0:
@@ -150,25 +150,25 @@
 	if hello.Incarnation < known.Incarnation {
 		return RefusalIncarnation
 	}
-	rival := known.session
-	if rival == nil || hello.Incarnation > known.Incarnation {
+	existing := known.session
+	if existing == nil || hello.Incarnation > known.Incarnation {
 		return RefusalNone
 	}
-	if rival.prefers(e.Dialled != "", m.self.Router, hello.Router, m.now()) {
+	if existing.isPreferredOver(e.DialledAddress != "", m.self.Router, hello.Router, m.now()) {
 		return RefusalDuplicate
 	}
 	return RefusalNone
 }
 
-// adopt makes a greeted session the one with its peer.
-func (m *Machine) adopt(e Greeted) {
+// acceptSession makes a greeted session the one with its peer.
+func (m *Machine) acceptSession(e HelloReceived) {
 	hello := e.Hello
 	known, ok := m.members[hello.Router]
 	if !ok {
 		known = &member{}
 		m.members[hello.Router] = known
 	}
-	m.displace(known, hello.Incarnation)
+	m.closeReplacedSession(known, hello.Incarnation)
 	known.Member = Member{
 		Router:      hello.Router,
 		DataCentre:  hello.DataCentre,
@@ -177,17 +177,17 @@
 		Capacity:    hello.Capacity,
 	}
 	known.draining = hello.Draining
-	known.gone = false
-	known.session = &session{id: e.Session, byUs: e.Dialled != "", heard: m.now()}
+	known.departed = false
+	known.session = &session{id: e.Session, dialledLocally: e.DialledAddress != "", lastReceived: m.now()}
 	m.sessions[e.Session] = known
-	m.changed = true
-	m.connected(e.Dialled, hello)
-	m.do(Accept{Session: e.Session})
-	m.beat(known, m.membersFor(known))
+	m.peersChanged = true
+	m.recordAddresses(e.DialledAddress, hello)
+	m.emit(AcceptSession{Session: e.Session})
+	m.sendHeartbeat(known, m.membersFor(known))
 }
 
-// displace closes the session that a new one replaces.
-func (m *Machine) displace(known *member, incarnation state.Incarnation) {
+// closeReplacedSession closes the session that a new one replaces.
+func (m *Machine) closeReplacedSession(known *member, incarnation state.Incarnation) {
 	if known.session == nil {
 		return
 	}
@@ -196,16 +196,16 @@
 		reason = CloseRestarted
 	}
 	delete(m.sessions, known.session.id)
-	m.do(Close{Session: known.session.id, Reason: reason})
+	m.emit(CloseSession{Session: known.session.id, Reason: reason})
 	known.session = nil
 }
 
-// connected notes that the dialled address and the advertised one lead to the
+// recordAddresses notes that the dialled address and the advertised one lead to the
 // peer.
-func (m *Machine) connected(dialled string, hello Hello) {
-	for _, address := range []string{dialled, hello.Address} {
-		if to := m.targets.learn(address, m.now()); to != nil {
-			to.connected(hello.Router, m.now())
+func (m *Machine) recordAddresses(dialledAddress string, hello Hello) {
+	for _, address := range []string{dialledAddress, hello.Address} {
+		if addr := m.addresses.findOrAdd(address, m.now()); addr != nil {
+			addr.markConnected(hello.Router, m.now())
 		}
 	}
 }
@@ -215,168 +215,168 @@
 	if e.Refusal == RefusalFleet {
 		router = ""
 	}
-	m.dialEnded(e.Address, router, e.Incarnation)
+	m.scheduleRedial(e.Address, router, e.Incarnation)
 }
 
-// dialEnded plans the next dial to an address that gave no session, and notes
+// scheduleRedial plans the next dial to an address that gave no session, and notes
 // which router of this fleet answered there, if any.
-func (m *Machine) dialEnded(address string, router state.Router, incarnation state.Incarnation) {
-	to, ok := m.targets.byAddress[address]
+func (m *Machine) scheduleRedial(address string, router state.Router, incarnation state.Incarnation) {
+	addr, ok := m.addresses.byAddress[address]
 	if !ok {
 		return
 	}
-	m.targets.failed(to, m.now())
+	m.addresses.scheduleRetry(addr, m.now())
 	if router == "" {
 		return
 	}
-	to.router = router
-	to.own = router == m.self.Router && incarnation == m.self.Incarnation
+	addr.router = router
+	addr.isSelf = router == m.self.Router && incarnation == m.self.Incarnation
 }
 
-// closed makes the member of a session suspect. A draining member needs no
+// sessionClosed makes the member of a session suspect. A draining member needs no
 // grace: it said that it would go.
-func (m *Machine) closed(id SessionID) {
+func (m *Machine) sessionClosed(id SessionID) {
 	known, ok := m.sessions[id]
 	if !ok {
 		return
 	}
 	delete(m.sessions, id)
 	known.session = nil
-	known.lost = m.now()
+	known.sessionLostAt = m.now()
 	if known.draining {
-		m.bury(known)
+		m.markDeparted(known)
 	}
-	if m.self.Router > known.Router && !m.selective {
-		m.targets.postpone(known.Router, m.now()+DialYield)
+	if m.self.Router > known.Router && !m.selectiveDialing {
+		m.addresses.postponeDials(known.Router, m.now()+DialDelay)
 	}
 }
 
-func (m *Machine) bury(known *member) {
-	known.gone = true
-	m.changed = true
+func (m *Machine) markDeparted(known *member) {
+	known.departed = true
+	m.peersChanged = true
 }
 
-func (m *Machine) heard(id SessionID) {
+func (m *Machine) messageReceived(id SessionID) {
 	if known, ok := m.sessions[id]; ok {
-		known.session.heard = m.now()
+		known.session.lastReceived = m.now()
 	}
 }
 
-func (m *Machine) heartbeatHeard(e HeartbeatHeard) {
+func (m *Machine) heartbeatReceived(e HeartbeatReceived) {
 	known, ok := m.sessions[e.Session]
 	if !ok {
 		return
 	}
-	known.session.heard = m.now()
+	known.session.lastReceived = m.now()
 	if known.draining != e.Draining {
 		known.draining = e.Draining
-		m.changed = true
+		m.peersChanged = true
 	}
-	for _, told := range e.Members {
-		m.learn(told)
+	for _, gossiped := range e.Members {
+		m.addGossipedAddress(gossiped)
 	}
 }
 
-// learn takes an address from gossip. Gossip alone makes nobody live: only a
+// addGossipedAddress takes an address from gossip. Gossip alone makes nobody live: only a
 // session of our own does, so a peer cut off from us is not ours to grant to.
-func (m *Machine) learn(told Member) {
-	if m.selective || told.Router == m.self.Router || told.Address == m.self.Address {
+func (m *Machine) addGossipedAddress(gossiped Member) {
+	if m.selectiveDialing || gossiped.Router == m.self.Router || gossiped.Address == m.self.Address {
 		return
 	}
-	_, known := m.targets.byAddress[told.Address]
-	to := m.targets.learn(told.Address, m.now())
-	if to == nil {
+	_, known := m.addresses.byAddress[gossiped.Address]
+	addr := m.addresses.findOrAdd(gossiped.Address, m.now())
+	if addr == nil {
 		return
 	}
-	to.seen = m.now()
+	addr.lastUseful = m.now()
 	if known {
 		return
 	}
-	to.router = told.Router
-	if m.self.Router > told.Router {
-		to.next = m.now() + DialYield
+	addr.router = gossiped.Router
+	if m.self.Router > gossiped.Router {
+		addr.nextDial = m.now() + DialDelay
 	}
 }
 
-// drainingSet announces the change at once: peers stop granting to and owning
+// setDraining announces the change at once: peers stop granting to and owning
 // through a router that is about to go.
-func (m *Machine) drainingSet(draining bool) {
+func (m *Machine) setDraining(draining bool) {
 	if m.self.Draining == draining {
 		return
 	}
 	m.self.Draining = draining
-	m.changed = true
-	for _, known := range m.inOrder() {
+	m.peersChanged = true
+	for _, known := range m.membersByName() {
 		if known.session != nil {
-			m.beat(known, nil)
+			m.sendHeartbeat(known, nil)
 		}
 	}
 }
 
 func (m *Machine) tick() {
-	for _, known := range m.inOrder() {
+	for _, known := range m.membersByName() {
 		m.expire(known)
-		m.beatDue(known)
+		m.sendHeartbeatIfDue(known)
 	}
-	m.gossipDue()
-	m.targets.forget(m.now())
+	m.gossipIfDue()
+	m.addresses.removeExpired(m.now())
 }
 
 // expire gives up a silent session, buries a suspect member after its grace
 // and forgets one that has been gone for long.
 func (m *Machine) expire(known *member) {
-	if s := known.session; s != nil && m.now()-s.heard >= LostAfter {
+	if s := known.session; s != nil && m.now()-s.lastReceived >= SessionTimeout {
 		delete(m.sessions, s.id)
-		m.do(Close{Session: s.id, Reason: CloseSilent})
+		m.emit(CloseSession{Session: s.id, Reason: CloseSilent})
 		known.session = nil
-		known.lost = m.now()
-		m.bury(known)
+		known.sessionLostAt = m.now()
+		m.markDeparted(known)
 		return
 	}
 	if known.session != nil {
 		return
 	}
-	silence := m.now() - known.lost
-	if known.live() && silence >= SessionGrace {
-		m.bury(known)
+	silence := m.now() - known.sessionLostAt
+	if known.live() && silence >= ReconnectGrace {
+		m.markDeparted(known)
 	}
-	if known.gone && silence > ForgetAfter {
+	if known.departed && silence > ForgetAfter {
 		delete(m.members, known.Router)
 	}
 }
 
-func (m *Machine) beatDue(known *member) {
-	if known.session != nil && m.now() >= known.session.nextBeat {
-		m.beat(known, nil)
+func (m *Machine) sendHeartbeatIfDue(known *member) {
+	if known.session != nil && m.now() >= known.session.nextHeartbeat {
+		m.sendHeartbeat(known, nil)
 	}
 }
 
-func (m *Machine) beat(known *member, members []Member) {
-	known.session.nextBeat = m.now() + HeartbeatInterval
-	m.do(SendHeartbeat{Session: known.session.id, Members: members})
+func (m *Machine) sendHeartbeat(known *member, members []Member) {
+	known.session.nextHeartbeat = m.now() + HeartbeatInterval
+	m.emit(SendHeartbeat{Session: known.session.id, Members: members})
 }
 
-// gossipDue tells the next peer in the order of names all members.
-func (m *Machine) gossipDue() {
-	if m.now() < m.gossip {
+// gossipIfDue tells the next peer in the order of names all members.
+func (m *Machine) gossipIfDue() {
+	if m.now() < m.nextGossip {
 		return
 	}
-	m.gossip = m.now() + GossipInterval
-	next := m.nextToTell()
+	m.nextGossip = m.now() + GossipInterval
+	next := m.nextGossipPeer()
 	if next == nil {
 		return
 	}
-	m.told = next.Router
-	m.beat(next, m.membersFor(next))
+	m.lastGossipPeer = next.Router
+	m.sendHeartbeat(next, m.membersFor(next))
 }
 
-func (m *Machine) nextToTell() *member {
+func (m *Machine) nextGossipPeer() *member {
 	var first *member
-	for _, known := range m.inOrder() {
+	for _, known := range m.membersByName() {
 		if known.session == nil {
 			continue
 		}
-		if known.Router > m.told {
+		if known.Router > m.lastGossipPeer {
 			return known
 		}
 		if first == nil {
@@ -391,11 +391,11 @@
 // neighbour therefore learn of each other: the later of the two to reach it
 // hears of the earlier one.
 func (m *Machine) membersFor(receiver *member) []Member {
-	if m.selective {
+	if m.selectiveDialing {
 		return nil
 	}
 	var list []Member
-	for _, known := range m.inOrder() {
+	for _, known := range m.membersByName() {
 		if known != receiver && known.session != nil {
 			list = append(list, known.Member)
 		}
@@ -403,41 +403,41 @@
 	return list
 }
 
-// dialDue dials every address that is due and leads to nobody we talk to.
-func (m *Machine) dialDue() {
-	for _, to := range m.targets.sorted() {
-		if to.own || to.dialing || m.now() < to.next || to.address == m.self.Address || !m.wants(to) {
+// dialDueAddresses dials every address that is due and leads to nobody we talk to.
+func (m *Machine) dialDueAddresses() {
+	for _, addr := range m.addresses.sortedByAddress() {
+		if addr.isSelf || addr.dialing || m.now() < addr.nextDial || addr.address == m.self.Address || !m.shouldDial(addr) {
 			continue
 		}
-		if m.reached(to.router) {
-			to.seen = m.now()
+		if m.connectedOrDialling(addr.router) {
+			addr.lastUseful = m.now()
 			continue
 		}
-		to.dialing = true
-		m.do(Dial{Address: to.address})
+		addr.dialing = true
+		m.emit(Dial{Address: addr.address})
 	}
 }
 
-// reached reports whether there is a session with the router, or a dial to it.
-func (m *Machine) reached(router state.Router) bool {
+// connectedOrDialling reports whether there is a session with the router, or a dial to it.
+func (m *Machine) connectedOrDialling(router state.Router) bool {
 	if router == "" {
 		return false
 	}
 	known, ok := m.members[router]
-	return ok && known.session != nil || m.targets.dialing(router)
+	return ok && known.session != nil || m.addresses.isDialling(router)
 }
 
-func (m *Machine) publish() {
-	if !m.changed {
+func (m *Machine) publishIfChanged() {
+	if !m.peersChanged {
 		return
 	}
-	m.changed = false
+	m.peersChanged = false
 	peers := m.Peers()
 	if slices.Equal(peers, m.published) {
 		return
 	}
 	m.published = peers
-	m.do(Publish{Peers: slices.Clone(peers)})
+	m.emit(PublishPeers{Peers: slices.Clone(peers)})
 }
 
 // Peers returns the live routers, this one included, in the order of names.
@@ -464,14 +464,14 @@
 }
 
 // Members returns every member that is not forgotten, in the order of names.
-func (m *Machine) Members() []View {
-	views := make([]View, 0, len(m.members))
-	for _, known := range m.inOrder() {
-		views = append(views, View{Member: known.Member, Draining: known.draining, Status: known.status()})
+func (m *Machine) Members() []MemberView {
+	views := make([]MemberView, 0, len(m.members))
+	for _, known := range m.membersByName() {
+		views = append(views, MemberView{Member: known.Member, Draining: known.draining, Status: known.status()})
 	}
 	return views
 }
 
-func (m *Machine) inOrder() []*member {
+func (m *Machine) membersByName() []*member {
 	return slices.SortedFunc(maps.Values(m.members), func(a, b *member) int { return cmp.Compare(a.Router, b.Router) })
 }
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -10,7 +10,7 @@
 // VMs are replaced all day. A peer goes for good: its address is dialled with
 // back-off and forgotten in the end, while a seed is dialled for ever. Without
 // that, every router would dial every address the fleet ever had.
-func TestAddressesOfGoneRoutersAreForgotten(t *testing.T) {
+func TestAddressesOfDepartedRoutersExpire(t *testing.T) {
 	m := New(Config{Self: Hello{Fleet: "f", Version: 1, Router: "a", Incarnation: 1, Address: "10.0.0.1:7"}, Seed: 1})
 	now := epoch
 	dials := make(map[string]int)
@@ -22,28 +22,28 @@
 			}
 		}
 	}
-	step(Seeded{Addresses: []string{"10.0.0.9:7"}})
-	step(Greeted{Session: 1, Hello: Hello{Fleet: "f", Version: 1, Router: "b", Incarnation: 1, Address: "10.0.0.2:7"}})
-	step(Closed{Session: 1})
-	for passed := time.Duration(0); passed <= ForgetAfter+2*maxBackOff; passed += TickInterval {
+	step(SeedsAdded{Addresses: []string{"10.0.0.9:7"}})
+	step(HelloReceived{Session: 1, Hello: Hello{Fleet: "f", Version: 1, Router: "b", Incarnation: 1, Address: "10.0.0.2:7"}})
+	step(SessionClosed{Session: 1})
+	for elapsed := time.Duration(0); elapsed <= ForgetAfter+2*maxBackOff; elapsed += TickInterval {
 		now = now.Add(TickInterval)
 		step(Tick{})
 	}
-	require.Contains(t, m.targets.byAddress, "10.0.0.9:7")
-	require.NotContains(t, m.targets.byAddress, "10.0.0.2:7")
+	require.Contains(t, m.addresses.byAddress, "10.0.0.9:7")
+	require.NotContains(t, m.addresses.byAddress, "10.0.0.2:7")
 	require.Empty(t, m.Members())
-	most := int(ForgetAfter/(maxBackOff/2)) + 10
-	require.Less(t, dials["10.0.0.2:7"], most, "dials back off")
+	maxDials := int(ForgetAfter/(maxBackOff/2)) + 10
+	require.Less(t, dials["10.0.0.2:7"], maxDials, "dials back off")
 }
 
 // A faulty peer gossips addresses without end. They are bounded.
-func TestGossipIsBounded(t *testing.T) {
+func TestGossipedAddressesAreBounded(t *testing.T) {
 	m := New(Config{Self: Hello{Fleet: "f", Version: 1, Router: "a", Incarnation: 1}, Seed: 1})
-	m.Step(epoch, Greeted{Session: 1, Hello: Hello{Fleet: "f", Version: 1, Router: "b", Incarnation: 1}})
-	var told []Member
-	for i := range 2 * MaxTargets {
-		told = append(told, Member{Router: "x", Address: time.Duration(i).String()})
+	m.Step(epoch, HelloReceived{Session: 1, Hello: Hello{Fleet: "f", Version: 1, Router: "b", Incarnation: 1}})
+	var gossiped []Member
+	for i := range 2 * MaxAddresses {
+		gossiped = append(gossiped, Member{Router: "x", Address: time.Duration(i).String()})
 	}
-	m.Step(epoch, HeartbeatHeard{Session: 1, Members: told})
-	require.Len(t, m.targets.byAddress, MaxTargets)
+	m.Step(epoch, HeartbeatReceived{Session: 1, Members: gossiped})
+	require.Len(t, m.addresses.byAddress, MaxAddresses)
 }
--- a/coordination/membership/script_test.go
+++ b/coordination/membership/script_test.go
@@ -30,7 +30,7 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			want, err := os.ReadFile(file)
 			require.NoError(t, err)
-			got := play(t, string(want))
+			got := runScript(t, string(want))
 			if *update {
 				require.NoError(t, os.WriteFile(file, []byte(got), 0o644))
 				return
@@ -40,7 +40,7 @@
 	}
 }
 
-func play(t *testing.T, script string) string {
+func runScript(t *testing.T, script string) string {
 	var out strings.Builder
 	var machine *Machine
 	for _, line := range strings.Split(strings.TrimSuffix(script, "\n"), "\n") {
@@ -56,27 +56,27 @@
 		default:
 			at, err := time.ParseDuration(words[0])
 			require.NoError(t, err, line)
-			step(t, &out, machine, at, words[1:])
+			runLine(t, &out, machine, at, words[1:])
 		}
 	}
 	return out.String()
 }
 
-func step(t *testing.T, out *strings.Builder, m *Machine, at time.Duration, words []string) {
+func runLine(t *testing.T, out *strings.Builder, m *Machine, at time.Duration, words []string) {
 	if words[0] != "run" {
 		for _, a := range m.Step(epoch.Add(at), parseEvent(t, words)) {
 			fmt.Fprintf(out, "    %s\n", describe(a))
 		}
 		return
 	}
-	span, err := time.ParseDuration(words[1])
+	duration, err := time.ParseDuration(words[1])
 	require.NoError(t, err)
-	for passed := time.Duration(0); passed <= span; passed += TickInterval {
-		for _, a := range m.Step(epoch.Add(at+passed), Tick{}) {
-			if beat, ok := a.(SendHeartbeat); ok && beat.Members == nil {
+	for elapsed := time.Duration(0); elapsed <= duration; elapsed += TickInterval {
+		for _, a := range m.Step(epoch.Add(at+elapsed), Tick{}) {
+			if heartbeat, ok := a.(SendHeartbeat); ok && heartbeat.Members == nil {
 				continue
 			}
-			fmt.Fprintf(out, "    %s %s\n", at+passed, describe(a))
+			fmt.Fprintf(out, "    %s %s\n", at+elapsed, describe(a))
 		}
 	}
 }
@@ -114,33 +114,33 @@
 	}
 	switch words[0] {
 	case "seeded":
-		return Seeded{Addresses: words[1:]}
+		return SeedsAdded{Addresses: words[1:]}
 	case "greeted-by":
-		return Greeted{Session: id(), Hello: parseHello(t, words[2:])}
+		return HelloReceived{Session: id(), Hello: parseHello(t, words[2:])}
 	case "dialled":
 		hello := parseHello(t, words[2:])
-		return Greeted{Session: id(), Dialled: hello.Address, Hello: hello}
+		return HelloReceived{Session: id(), DialledAddress: hello.Address, Hello: hello}
 	case "dial-failed":
 		return DialFailed{Address: words[1]}
 	case "reached-itself":
 		return DialFailed{Address: words[1], Refusal: RefusalSelf, Router: "castro-1", Incarnation: 5}
 	case "closed":
-		return Closed{Session: id()}
+		return SessionClosed{Session: id()}
 	case "heard":
-		return Heard{Session: id()}
+		return MessageReceived{Session: id()}
 	case "heartbeat":
-		beat := HeartbeatHeard{Session: id()}
+		heartbeat := HeartbeatReceived{Session: id()}
 		for _, word := range words[2:] {
 			if word == "draining" {
-				beat.Draining = true
+				heartbeat.Draining = true
 				continue
 			}
 			router, address, _ := strings.Cut(word, "@")
-			beat.Members = append(beat.Members, Member{Router: state.Router(router), Address: address, Incarnation: 1})
+			heartbeat.Members = append(heartbeat.Members, Member{Router: state.Router(router), Address: address, Incarnation: 1})
 		}
-		return beat
+		return heartbeat
 	case "drain":
-		return DrainingSet{Draining: true}
+		return DrainingChanged{Draining: true}
 	case "tick":
 		return Tick{}
 	default:
@@ -153,11 +153,11 @@
 	switch a := a.(type) {
 	case Dial:
 		return "dial " + a.Address
-	case Accept:
+	case AcceptSession:
 		return fmt.Sprintf("accept %d", a.Session)
-	case Refuse:
+	case RefuseSession:
 		return fmt.Sprintf("refuse %d %s", a.Session, a.Refusal)
-	case Close:
+	case CloseSession:
 		return fmt.Sprintf("close %d %s", a.Session, a.Reason)
 	case SendHeartbeat:
 		text := fmt.Sprintf("heartbeat %d", a.Session)
@@ -165,7 +165,7 @@
 			text += " " + string(m.Router)
 		}
 		return text
-	case Publish:
+	case PublishPeers:
 		text := "publish"
 		for _, p := range a.Peers {
 			text += fmt.Sprintf(" %s/%d", p.Router, p.Incarnation)
@@ -174,7 +174,7 @@
 			}
 		}
 		return text
-	case Resumed:
+	case ProcessResumed:
 		return "resumed after " + a.Gap.String()
 	default:
 		return fmt.Sprintf("%T", a)
--- a/coordination/membership/target.go
+++ b/coordination/membership/target.go
@@ -11,99 +11,99 @@
 	"github.com/figstile/figstile/state"
 )
 
-// target is an address that may be dialled.
-type target struct {
+// dialAddress is an address that may be dialled.
+type dialAddress struct {
 	address string
-	// seed addresses are never forgotten.
-	seed bool
-	// own is set once the address proved to be this process.
-	own bool
+	// isSeed addresses are never forgotten.
+	isSeed bool
+	// isSelf is set once the address proved to be this process.
+	isSelf bool
 	// router last seen behind the address; empty if unknown.
 	router  state.Router
 	dialing bool
-	// next is when the address may be dialled again.
-	next time.Duration
-	// seen is when the address last proved useful or was learned.
-	seen    time.Duration
-	backOff backoff.ExponentialBackOff
+	// nextDial is when the address may be dialled again.
+	nextDial time.Duration
+	// lastUseful is when the address last proved useful or was learned.
+	lastUseful time.Duration
+	backOff    backoff.ExponentialBackOff
 }
 
-// targets holds the addresses by their text.
-type targets struct {
-	byAddress map[string]*target
+// addressBook holds the addresses by their text.
+type addressBook struct {
+	byAddress map[string]*dialAddress
 	random    *rand.Rand
 }
 
-func newTargets(seed uint64) targets {
-	return targets{
-		byAddress: make(map[string]*target),
+func newAddressBook(seed uint64) addressBook {
+	return addressBook{
+		byAddress: make(map[string]*dialAddress),
 		random:    rand.New(rand.NewPCG(seed, seed)),
 	}
 }
 
-// learn returns the target of an address, which it adds if there is room.
-func (t *targets) learn(address string, now time.Duration) *target {
+// findOrAdd returns the target of an address, which it adds if there is room.
+func (t *addressBook) findOrAdd(address string, now time.Duration) *dialAddress {
 	if known, ok := t.byAddress[address]; ok {
 		return known
 	}
-	if address == "" || len(t.byAddress) >= MaxTargets {
+	if address == "" || len(t.byAddress) >= MaxAddresses {
 		return nil
 	}
-	fresh := &target{address: address, next: now, seen: now}
-	fresh.backOff.InitialInterval = firstBackOff
-	fresh.backOff.Multiplier = backoff.DefaultMultiplier
-	fresh.backOff.MaxInterval = maxBackOff
-	t.byAddress[address] = fresh
-	return fresh
+	added := &dialAddress{address: address, nextDial: now, lastUseful: now}
+	added.backOff.InitialInterval = minBackOff
+	added.backOff.Multiplier = backoff.DefaultMultiplier
+	added.backOff.MaxInterval = maxBackOff
+	t.byAddress[address] = added
+	return added
 }
 
-// failed plans the next dial. The library's own jitter draws from a global
+// scheduleRetry plans the next dial. The library's own jitter draws from a global
 // source, which would break replay, so the jitter is added here.
-func (t *targets) failed(to *target, now time.Duration) {
-	to.dialing = false
-	wait := to.backOff.NextBackOff()
-	spread := 1 + backOffJitter*(2*t.random.Float64()-1)
-	to.next = now + time.Duration(float64(wait)*spread)
+func (t *addressBook) scheduleRetry(addr *dialAddress, now time.Duration) {
+	addr.dialing = false
+	wait := addr.backOff.NextBackOff()
+	jitterFactor := 1 + backOffJitter*(2*t.random.Float64()-1)
+	addr.nextDial = now + time.Duration(float64(wait)*jitterFactor)
 }
 
-func (to *target) connected(router state.Router, now time.Duration) {
-	to.dialing = false
-	to.router = router
-	to.seen = now
-	to.backOff.Reset()
+func (a *dialAddress) markConnected(router state.Router, now time.Duration) {
+	a.dialing = false
+	a.router = router
+	a.lastUseful = now
+	a.backOff.Reset()
 }
 
-// dialing reports whether a dial to the router is under way.
-func (t *targets) dialing(router state.Router) bool {
-	for _, to := range t.byAddress {
-		if to.dialing && to.router == router {
+// isDialling reports whether a dial to the router is under way.
+func (t *addressBook) isDialling(router state.Router) bool {
+	for _, addr := range t.byAddress {
+		if addr.dialing && addr.router == router {
 			return true
 		}
 	}
 	return false
 }
 
-// postpone delays dials to a router until the given time.
-func (t *targets) postpone(router state.Router, until time.Duration) {
-	for _, to := range t.byAddress {
-		if to.router == router {
-			to.next = max(to.next, until)
+// postponeDials delays dials to a router until the given time.
+func (t *addressBook) postponeDials(router state.Router, until time.Duration) {
+	for _, addr := range t.byAddress {
+		if addr.router == router {
+			addr.nextDial = max(addr.nextDial, until)
 		}
 	}
 }
 
-// forget drops addresses that were dialled in vain for ForgetAfter.
-func (t *targets) forget(now time.Duration) {
-	maps.DeleteFunc(t.byAddress, func(_ string, to *target) bool {
-		return !to.seed && !to.dialing && now-to.seen > ForgetAfter
+// removeExpired drops addresses that were dialled in vain for ForgetAfter.
+func (t *addressBook) removeExpired(now time.Duration) {
+	maps.DeleteFunc(t.byAddress, func(_ string, addr *dialAddress) bool {
+		return !addr.isSeed && !addr.dialing && now-addr.lastUseful > ForgetAfter
 	})
 }
 
-// sorted returns the targets in the order of their addresses, so that the
+// sortedByAddress returns the targets in the order of their addresses, so that the
 // order of actions does not depend on the map.
-func (t *targets) sorted() []*target {
+func (t *addressBook) sortedByAddress() []*dialAddress {
 	keys := slices.Sorted(maps.Keys(t.byAddress))
-	list := make([]*target, 0, len(keys))
+	list := make([]*dialAddress, 0, len(keys))
 	for _, key := range keys {
 		list = append(list, t.byAddress[key])
 	}
--- a/coordination/membership/timing.go
+++ b/coordination/membership/timing.go
@@ -9,18 +9,18 @@
 	// second keeps an idle session near twenty bytes a second and lets a
 	// silent peer be found within a few seconds.
 	HeartbeatInterval = time.Second
-	// MissedHeartbeats is how many intervals in a row a peer may stay silent.
+	// MaxMissedHeartbeats is how many intervals in a row a peer may stay silent.
 	// Fewer would take a garbage collection and a lost segment together for
 	// a failure; more would leave grants with a dead owner for longer.
-	MissedHeartbeats = 4
-	// LostAfter is the silence after which a session is given up.
-	LostAfter = MissedHeartbeats * HeartbeatInterval
-	// SessionGrace is how long a member without a session is still taken for
+	MaxMissedHeartbeats = 4
+	// SessionTimeout is the silence after which a session is given up.
+	SessionTimeout = MaxMissedHeartbeats * HeartbeatInterval
+	// ReconnectGrace is how long a member without a session is still taken for
 	// live. It covers one redial at once and one after the first back-off.
-	SessionGrace = 2 * time.Second
-	// DoubtAfter is the silence after which an existing session no longer
+	ReconnectGrace = 2 * time.Second
+	// StaleSessionAfter is the silence after which an existing session no longer
 	// wins against a new one: a live peer would have sent a heartbeat.
-	DoubtAfter = 3 * HeartbeatInterval / 2
+	StaleSessionAfter = 3 * HeartbeatInterval / 2
 	// GossipInterval is the period at which one peer, in turn, is told all
 	// live members again. A new session carries them anyway; this heals
 	// what a dropped session lost.
@@ -29,22 +29,22 @@
 	// and how long the incarnation of a gone member is remembered. VMs are
 	// replaced for good, and their addresses must not be dialled for ever.
 	ForgetAfter = 10 * time.Minute
-	// DialYield is how long the router with the greater name waits before it
+	// DialDelay is how long the router with the greater name waits before it
 	// dials a known peer, so that most pairs dial once only.
-	DialYield = 500 * time.Millisecond
+	DialDelay = 500 * time.Millisecond
 	// FreezeThreshold is the gap between two steps above which the host is
 	// told that this process stood still.
 	FreezeThreshold = 2 * time.Second
 
-	// firstBackOff and maxBackOff bound the wait between dials to one
+	// minBackOff and maxBackOff bound the wait between dials to one
 	// address. The upper bound keeps the dials of a large fleet to a VM that
 	// is gone few, and finds a healed partition within seconds.
-	firstBackOff = 250 * time.Millisecond
-	maxBackOff   = 8 * time.Second
+	minBackOff = 250 * time.Millisecond
+	maxBackOff = 8 * time.Second
 	// backOffJitter spreads each wait by this part in both directions, so
 	// that routers cut off together do not return together.
 	backOffJitter = 0.5
 
-	// MaxTargets bounds the addresses kept, whatever peers gossip.
-	MaxTargets = 4096
+	// MaxAddresses bounds the addresses kept, whatever peers gossip.
+	MaxAddresses = 4096
 )
--- a/coordination/overlay/links.go
+++ b/coordination/overlay/links.go
@@ -9,18 +9,18 @@
 )
 
 func (o *Overlay) onAttach(now time.Time, from state.Router, m Message) {
-	o.becomeTree(now)
+	o.switchToTree(now)
 	child, ok := o.contacts[from]
-	if !ok || !precedes(o.self, child.Member) || o.children() >= maxChildren && o.links[from] == nil {
-		o.do(Send{To: from, Message: Message{Kind: Detach, Tree: true}})
+	if !ok || !precedes(o.self, child.Member) || o.childCount() >= maxChildren && o.links[from] == nil {
+		o.emit(Send{To: from, Message: Message{Kind: KindDetach, TreeMode: true}})
 		return
 	}
-	o.establish(now, from, m)
-	o.do(Send{To: from, Message: Message{Kind: Accept, Present: o.snapshot(from), Tree: true}})
-	o.do(Linked{Router: from})
+	o.addLink(now, from, m)
+	o.emit(Send{To: from, Message: Message{Kind: KindAccept, Present: o.snapshot(from), TreeMode: true}})
+	o.emit(LinkEstablished{Router: from})
 }
 
-func (o *Overlay) children() int {
+func (o *Overlay) childCount() int {
 	if o.parent == "" {
 		return len(o.links)
 	}
@@ -28,92 +28,92 @@
 }
 
 func (o *Overlay) onAccept(now time.Time, from state.Router, m Message) {
-	if from != o.target {
-		o.do(Send{To: from, Message: Message{Kind: Detach, Tree: true}})
+	if from != o.requestedParent {
+		o.emit(Send{To: from, Message: Message{Kind: KindDetach, TreeMode: true}})
 		return
 	}
-	if before := o.parent; before != "" {
-		o.end(now, before)
-		o.do(Send{To: before, Message: Message{Kind: Detach, Tree: true}})
+	if previous := o.parent; previous != "" {
+		o.endLink(now, previous)
+		o.emit(Send{To: previous, Message: Message{Kind: KindDetach, TreeMode: true}})
 	}
-	o.parent, o.target, o.preferred = from, "", ""
-	o.excluded.clear(from)
-	o.establish(now, from, m)
-	o.links[from].sent = o.offered
-	o.do(Linked{Router: from})
+	o.parent, o.requestedParent, o.preferredParent = from, "", ""
+	o.excludedParents.remove(from)
+	o.addLink(now, from, m)
+	o.links[from].sentMembers = o.offeredSubtree
+	o.emit(LinkEstablished{Router: from})
 }
 
-// establish begins a link with what is on the peer's side.
-func (o *Overlay) establish(now time.Time, from state.Router, m Message) {
-	l := &link{behind: make(map[state.Router]membership.Member), lastSeen: now}
+// addLink begins a link with what is on the peer's side.
+func (o *Overlay) addLink(now time.Time, from state.Router, m Message) {
+	l := &link{reachable: make(map[state.Router]membership.Member), lastReceived: now}
 	for _, p := range m.Present {
-		l.behind[p.Router] = p
+		l.reachable[p.Router] = p
 	}
 	o.links[from] = l
-	o.lost = slices.DeleteFunc(o.lost, func(s lostSide) bool { return s.via == from })
-	o.touch()
+	o.lostLinks = slices.DeleteFunc(o.lostLinks, func(s lostLink) bool { return s.via == from })
+	o.markChanged()
 }
 
-// touch notes that the view has changed.
-func (o *Overlay) touch() { o.changed, o.unsent = true, true }
+// markChanged notes that the view has changed.
+func (o *Overlay) markChanged() { o.viewStale, o.changesUnsent = true, true }
 
 func (o *Overlay) onChange(from state.Router, m Message) {
 	l := o.links[from]
 	if l == nil {
-		o.do(Send{To: from, Message: Message{Kind: Detach, Tree: true}})
+		o.emit(Send{To: from, Message: Message{Kind: KindDetach, TreeMode: true}})
 		return
 	}
 	for _, p := range m.Present {
-		l.behind[p.Router] = p
+		l.reachable[p.Router] = p
 	}
-	for _, router := range m.Gone {
-		delete(l.behind, router)
+	for _, router := range m.Removed {
+		delete(l.reachable, router)
 	}
-	o.touch()
+	o.markChanged()
 }
 
 func (o *Overlay) onDetach(now time.Time, from state.Router) {
-	if from == o.target {
-		o.excluded.refused(now, from)
-		o.target = ""
+	if from == o.requestedParent {
+		o.excludedParents.excludeBriefly(now, from)
+		o.requestedParent = ""
 	}
-	o.unlink(now, from)
+	o.loseLink(now, from)
 }
 
-// unlink ends a link that was lost, and looks elsewhere if it was the parent's.
-func (o *Overlay) unlink(now time.Time, router state.Router) {
+// loseLink ends a link that was lost, and looks elsewhere if it was the parent's.
+func (o *Overlay) loseLink(now time.Time, router state.Router) {
 	if o.links[router] == nil {
 		return
 	}
 	if router == o.parent {
-		o.excluded.add(now, router)
+		o.excludedParents.exclude(now, router)
 	}
-	o.end(now, router)
+	o.endLink(now, router)
 }
 
-// end ends a link. What was behind it counts as live for a while.
-func (o *Overlay) end(now time.Time, router state.Router) {
-	above := router == o.parent
-	o.lost = append(o.lost, lostSide{via: router, above: above, behind: o.links[router].behind, until: now.Add(lingerFor)})
+// endLink ends a link. What was behind it counts as live for a while.
+func (o *Overlay) endLink(now time.Time, router state.Router) {
+	fromParent := router == o.parent
+	o.lostLinks = append(o.lostLinks, lostLink{via: router, fromParent: fromParent, reachable: o.links[router].reachable, expiresAt: now.Add(lostLinkGrace)})
 	delete(o.links, router)
-	if above {
+	if fromParent {
 		o.parent = ""
 	}
-	o.touch()
-	o.do(Unlinked{Router: router})
+	o.markChanged()
+	o.emit(LinkEnded{Router: router})
 }
 
-// exclude passes over a router as parent for a while.
-func (o *Overlay) exclude(now time.Time, router state.Router) {
-	o.excluded.add(now, router)
-	if router == o.target {
-		o.target = ""
+// excludeParent passes over a router as parent for a while.
+func (o *Overlay) excludeParent(now time.Time, router state.Router) {
+	o.excludedParents.exclude(now, router)
+	if router == o.requestedParent {
+		o.requestedParent = ""
 	}
 }
 
-// attach asks the target to be the parent.
-func (o *Overlay) attach(now time.Time) {
-	o.requested = now
-	o.offered = o.below()
-	o.do(Send{To: o.target, Message: Message{Kind: Attach, Present: sorted(o.offered), Tree: true}})
+// sendAttach asks the target to be the parent.
+func (o *Overlay) sendAttach(now time.Time) {
+	o.requestedAt = now
+	o.offeredSubtree = o.subtree()
+	o.emit(Send{To: o.requestedParent, Message: Message{Kind: KindAttach, Present: sortedByName(o.offeredSubtree), TreeMode: true}})
 }
--- a/coordination/overlay/message.go
+++ b/coordination/overlay/message.go
@@ -10,20 +10,20 @@
 
 // The kinds of messages.
 const (
-	// Contacts are the live routers that the sender knows; it is the first
+	// KindContacts are the live routers that the sender knows; it is the first
 	// message on every session.
-	Contacts Kind = iota
-	// Attach asks the receiver to be the sender's parent.
-	Attach
-	// Accept makes the sender the receiver's parent.
-	Accept
-	// Change tells what changed on the sender's side of a link.
-	Change
-	// Detach ends a link, or refuses one.
-	Detach
-	// Visit is Contacts from a router that knows of no parent. It is answered by
+	KindContacts Kind = iota
+	// KindAttach asks the receiver to be the sender's parent.
+	KindAttach
+	// KindAccept makes the sender the receiver's parent.
+	KindAccept
+	// KindChange tells what changed on the sender's side of a link.
+	KindChange
+	// KindDetach ends a link, or refuses one.
+	KindDetach
+	// KindIntroduction is Contacts from a router that knows of no parent. It is answered by
 	// Contacts.
-	Visit
+	KindIntroduction
 )
 
 // Message is what two routers tell each other of the fleet. In Attach and
@@ -31,10 +31,10 @@
 type Message struct {
 	Kind    Kind
 	Present []membership.Member
-	// Gone are the routers that are no longer on the sender's side.
-	Gone []state.Router
-	// Tree says that the sender holds links instead of sessions with all.
-	Tree bool
+	// Removed are the routers that are no longer on the sender's side.
+	Removed []state.Router
+	// TreeMode says that the sender holds links instead of sessions with all.
+	TreeMode bool
 }
 
 // Action is something the host must do. Actions are performed in order.
@@ -46,33 +46,33 @@
 	Message Message
 }
 
-// Select replaces the routers that sessions are wanted with.
-type Select struct {
+// SelectPeers replaces the routers that sessions are wanted with.
+type SelectPeers struct {
 	Members []membership.Member
-	// Fleet are the live routers: no seed that leads to one is dialled.
-	Fleet []state.Router
-	// Seeds says that seeds are dialled.
-	Seeds bool
+	// LiveRouters are the live routers: no seed that leads to one is dialled.
+	LiveRouters []state.Router
+	// DialSeeds says that seeds are dialled.
+	DialSeeds bool
 }
 
-// Drop closes the session with a peer.
-type Drop struct {
+// DropSession closes the session with a peer.
+type DropSession struct {
 	Router state.Router
 }
 
-// Linked says that a link was established: the peer knows nothing of this
+// LinkEstablished says that a link was established: the peer knows nothing of this
 // side's sums yet.
-type Linked struct {
+type LinkEstablished struct {
 	Router state.Router
 }
 
-// Unlinked says that a link ended: what came over it no longer counts.
-type Unlinked struct {
+// LinkEnded says that a link ended: what came over it no longer counts.
+type LinkEnded struct {
 	Router state.Router
 }
 
-func (Send) action()     {}
-func (Select) action()   {}
-func (Drop) action()     {}
-func (Linked) action()   {}
-func (Unlinked) action() {}
+func (Send) action()            {}
+func (SelectPeers) action()     {}
+func (DropSession) action()     {}
+func (LinkEstablished) action() {}
+func (LinkEnded) action()       {}
--- a/coordination/overlay/order.go
+++ b/coordination/overlay/order.go
@@ -39,69 +39,69 @@
 
 func hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// candidates returns the routers that may be the parent of one, the preferred
+// parentCandidates returns the routers that may be the parent of one, the preferred
 // first, without those that are passed over. All of them precede it. The list is
 // empty for the first router of the fleet.
-func candidates(self membership.Member, fleet []membership.Member, passed func(state.Router) bool) []state.Router {
-	var own []membership.Member
-	centres := make(map[state.DataCentre][]membership.Member)
+func parentCandidates(self membership.Member, fleet []membership.Member, excluded func(state.Router) bool) []state.Router {
+	var sameCentre []membership.Member
+	otherCentres := make(map[state.DataCentre][]membership.Member)
 	for _, m := range fleet {
 		switch {
 		case m.Router == self.Router || !precedes(m, self):
 		case m.DataCentre != self.DataCentre:
-			centres[m.DataCentre] = append(centres[m.DataCentre], m)
-		case !passed(m.Router):
-			own = append(own, m)
+			otherCentres[m.DataCentre] = append(otherCentres[m.DataCentre], m)
+		case !excluded(m.Router):
+			sameCentre = append(sameCentre, m)
 		}
 	}
-	slices.SortFunc(own, compareRouters)
-	own = climb(own, fanOut, string(self.Router), func(m membership.Member) string { return string(m.Router) })
+	slices.SortFunc(sameCentre, compareRouters)
+	sameCentre = orderByLevel(sameCentre, fanOut, string(self.Router), func(m membership.Member) string { return string(m.Router) })
 
-	order := slices.SortedFunc(maps.Keys(centres), compareCentres)
-	order = climb(order, centreFanOut, string(self.DataCentre), func(dc state.DataCentre) string { return string(dc) })
+	order := slices.SortedFunc(maps.Keys(otherCentres), compareCentres)
+	order = orderByLevel(order, centreFanOut, string(self.DataCentre), func(dc state.DataCentre) string { return string(dc) })
 	var list []state.Router
-	for _, m := range append(own, firstOfEach(order, centres)...) {
-		if !passed(m.Router) {
+	for _, m := range append(sameCentre, interleaveCentres(order, otherCentres)...) {
+		if !excluded(m.Router) {
 			list = append(list, m.Router)
 		}
 	}
 	return list
 }
 
-// firstOfEach lists the first router of each data centre, then the second of
+// interleaveCentres lists the first router of each data centre, then the second of
 // each, and so on: a data centre that is cut off as a whole costs one attempt.
-func firstOfEach(order []state.DataCentre, centres map[state.DataCentre][]membership.Member) []membership.Member {
+func interleaveCentres(order []state.DataCentre, centres map[state.DataCentre][]membership.Member) []membership.Member {
 	var list []membership.Member
 	for _, dc := range order {
 		slices.SortFunc(centres[dc], compareRouters)
 	}
-	for place := range fanOut {
+	for rank := range fanOut {
 		for _, dc := range order {
-			if place < len(centres[dc]) {
-				list = append(list, centres[dc][place])
+			if rank < len(centres[dc]) {
+				list = append(list, centres[dc][rank])
 			}
 		}
 	}
 	return list
 }
 
-// climb orders those before an element, sorted, for the choice of its parent:
+// orderByLevel orders those before an element, sorted, for the choice of its parent:
 // the level just above it first, each level by a rendezvous hash, which spreads
 // the children and moves few of them when the fleet changes. Those before it on
 // its own level come last.
-func climb[T any](before []T, degree int, self string, name func(T) string) []T {
+func orderByLevel[T any](predecessors []T, degree int, self string, name func(T) string) []T {
 	var list []T
-	_, own := levelAbove(len(before), degree)
-	for end := len(before); end > 0; {
+	_, ownLevelStart := levelAbove(len(predecessors), degree)
+	for end := len(predecessors); end > 0; {
 		first, last := levelAbove(end, degree)
-		level := slices.Clone(before[first:last])
+		level := slices.Clone(predecessors[first:last])
 		slices.SortFunc(level, func(a, b T) int {
 			return cmp.Compare(hash(self+"/"+name(b)), hash(self+"/"+name(a)))
 		})
 		list = append(list, level...)
 		end = first
 	}
-	return append(list, before[min(own, len(before)):]...)
+	return append(list, predecessors[min(ownLevelStart, len(predecessors)):]...)
 }
 
 // levelAbove returns the bounds of the level above the one that an index is on.
--- a/coordination/overlay/overlay.go
+++ b/coordination/overlay/overlay.go
@@ -11,53 +11,53 @@
 	"github.com/figstile/figstile/state"
 )
 
-// DirectUpTo is the size of the fleet up to which each router holds a session
+// MaxFullMeshRouters is the size of the fleet up to which each router holds a session
 // with every other.
-const DirectUpTo = 16
+const MaxFullMeshRouters = 16
 
 const (
 	// maxChildren bounds the links that a router accepts.
 	maxChildren = 14
-	// parentSilence and childSilence are how long a link may be silent before
+	// parentTimeout and childSilence are how long a link may be silent before
 	// it is given up. Children look for another parent first.
-	parentSilence = 1200 * time.Millisecond
-	childSilence  = 2500 * time.Millisecond
-	// lingerFor is how long routers behind a lost link count as live: most are
+	parentTimeout = 1200 * time.Millisecond
+	childTimeout  = 2500 * time.Millisecond
+	// lostLinkGrace is how long routers behind a lost link count as live: most are
 	// back within some round trips, over another link.
-	lingerFor = time.Second
-	// settleFor is how long another parent must have been preferable before a
+	lostLinkGrace = time.Second
+	// parentSwitchDelay is how long another parent must have been preferable before a
 	// router moves to it.
-	settleFor = 500 * time.Millisecond
-	// reviewEvery is the period at which the parent is compared with others.
-	reviewEvery = 250 * time.Millisecond
-	// dialWait is how long a session or the answer to Attach may take.
-	dialWait = 400 * time.Millisecond
-	// visitWait is how long a visited router may take to join.
-	visitWait = 300 * time.Millisecond
-	// visitFor is how long a session is kept that is no link, by the side that
+	parentSwitchDelay = 500 * time.Millisecond
+	// reviewInterval is the period at which the parent is compared with others.
+	reviewInterval = 250 * time.Millisecond
+	// attachTimeout is how long a session or the answer to Attach may take.
+	attachTimeout = 400 * time.Millisecond
+	// introductionTimeout is how long a visited router may take to join.
+	introductionTimeout = 300 * time.Millisecond
+	// dialledSessionLimit is how long a session is kept that is no link, by the side that
 	// dialled; the other one keeps it for acceptFor.
-	visitFor  = time.Second
-	acceptFor = 5 * time.Second
-	// contactFor is how long a router that is no longer live is looked for.
-	contactFor = 10 * time.Minute
-	// stallGap is the time between two ticks from which this process itself
+	dialledSessionLimit  = time.Second
+	acceptedSessionLimit = 5 * time.Second
+	// contactLifetime is how long a router that is no longer live is looked for.
+	contactLifetime = 10 * time.Minute
+	// stallThreshold is the time between two ticks from which this process itself
 	// counts as having stood still.
-	stallGap = 500 * time.Millisecond
+	stallThreshold = 500 * time.Millisecond
 )
 
 // link is an established link of the tree.
 type link struct {
-	// behind are the routers on the peer's side, sent those that were last sent
+	// reachable are the routers on the peer's side, sent those that were last sent
 	// to the peer of this side.
-	behind   map[state.Router]membership.Member
-	sent     map[state.Router]membership.Member
-	lastSeen time.Time
+	reachable    map[state.Router]membership.Member
+	sentMembers  map[state.Router]membership.Member
+	lastReceived time.Time
 }
 
 // session is an open session, of a link or not.
 type session struct {
-	opened  time.Time
-	dialled bool
+	openedAt time.Time
+	dialled  bool
 }
 
 // contact is a router that may be dialled.
@@ -66,69 +66,69 @@
 	lastSeen time.Time
 }
 
-// lostSide is what was behind a lost link.
-type lostSide struct {
+// lostLink is what was behind a lost link.
+type lostLink struct {
 	via state.Router
-	// above is set for what was on a parent's side. It is never told to another
+	// fromParent is set for what was on a parent's side. It is never told to another
 	// parent, which knows it better.
-	above  bool
-	behind map[state.Router]membership.Member
-	until  time.Time
+	fromParent bool
+	reachable  map[state.Router]membership.Member
+	expiresAt  time.Time
 }
 
 // Overlay is the state machine of one router. It is not safe for concurrent
 // use.
 type Overlay struct {
 	self     membership.Member
-	tree     bool
+	treeMode bool
 	sessions map[state.Router]session
 	// neighbours are the live routers while sessions are held with all.
-	neighbours []scheduler.Peer
-	links      map[state.Router]*link
-	lost       []lostSide
-	contacts   map[state.Router]contact
-	excluded   exclusions
+	neighbours      []scheduler.Peer
+	links           map[state.Router]*link
+	lostLinks       []lostLink
+	contacts        map[state.Router]contact
+	excludedParents exclusions
 
 	// parent is the router above, empty if there is none; target the one that
 	// is being asked to be that, since requested.
-	parent    state.Router
-	target    state.Router
-	requested time.Time
-	// offered is what was sent to the target of this side.
-	offered map[state.Router]membership.Member
-	// preferred is a better parent than the present one, since when.
-	preferred state.Router
-	since     time.Time
-	// reviewed is when the present parent was last compared with others.
-	reviewed time.Time
-	// visited is a router of another part of the fleet that a session is held
+	parent          state.Router
+	requestedParent state.Router
+	requestedAt     time.Time
+	// offeredSubtree is what was sent to the target of this side.
+	offeredSubtree map[state.Router]membership.Member
+	// preferredParent is a better parent than the present one, since when.
+	preferredParent state.Router
+	preferredSince  time.Time
+	// parentReviewedAt is when the present parent was last compared with others.
+	parentReviewedAt time.Time
+	// introducedTo is a router of another part of the fleet that a session is held
 	// with so that it learns of this one, since at.
-	visited state.Router
-	at      time.Time
-	visits  exclusions
+	introducedTo           state.Router
+	introducedAt           time.Time
+	introductionExclusions exclusions
 
-	ticked time.Time
-	// changed is set while the view is out of date, unsent while a change has not
+	lastTick time.Time
+	// viewStale is set while the view is out of date, unsent while a change has not
 	// been sent over the links.
-	changed  bool
-	unsent   bool
-	view     map[state.Router]membership.Member
-	selected Select
-	actions  []Action
+	viewStale     bool
+	changesUnsent bool
+	view          map[state.Router]membership.Member
+	selection     SelectPeers
+	actions       []Action
 }
 
 // New returns the overlay of a router that knows nobody.
 func New(self membership.Member) *Overlay {
 	o := &Overlay{
-		self:       self,
-		sessions:   make(map[state.Router]session),
-		links:      make(map[state.Router]*link),
-		contacts:   make(map[state.Router]contact),
-		excluded:   make(exclusions),
-		visits:     make(exclusions),
-		neighbours: []scheduler.Peer{{Router: self.Router, DataCentre: self.DataCentre, Incarnation: self.Incarnation}},
+		self:                   self,
+		sessions:               make(map[state.Router]session),
+		links:                  make(map[state.Router]*link),
+		contacts:               make(map[state.Router]contact),
+		excludedParents:        make(exclusions),
+		introductionExclusions: make(exclusions),
+		neighbours:             []scheduler.Peer{{Router: self.Router, DataCentre: self.DataCentre, Incarnation: self.Incarnation}},
 	}
-	o.refresh()
+	o.refreshView()
 	return o
 }
 
@@ -139,20 +139,20 @@
 	return actions
 }
 
-func (o *Overlay) do(a Action) { o.actions = append(o.actions, a) }
+func (o *Overlay) emit(a Action) { o.actions = append(o.actions, a) }
 
-// Tree says whether the router holds links instead of sessions with all.
-func (o *Overlay) Tree() bool { return o.tree }
+// TreeMode says whether the router holds links instead of sessions with all.
+func (o *Overlay) TreeMode() bool { return o.treeMode }
 
 // Links returns the peers with a link, in the order of names.
 func (o *Overlay) Links() []state.Router { return slices.Sorted(maps.Keys(o.links)) }
 
-// Live returns the live routers, this one included, in the order of names.
-func (o *Overlay) Live() []scheduler.Peer {
-	if !o.tree {
+// LiveRouters returns the live routers, this one included, in the order of names.
+func (o *Overlay) LiveRouters() []scheduler.Peer {
+	if !o.treeMode {
 		return slices.Clone(o.neighbours)
 	}
-	o.refresh()
+	o.refreshView()
 	live := make([]scheduler.Peer, 0, len(o.view))
 	for _, m := range o.view {
 		live = append(live, scheduler.Peer{Router: m.Router, DataCentre: m.DataCentre, Incarnation: m.Incarnation})
@@ -183,53 +183,53 @@
 // one that was heard last counts.
 func (o *Overlay) NextHop(to state.Router) (state.Router, bool) {
 	var next state.Router
-	var seen time.Time
+	var lastReceived time.Time
 	for _, peer := range o.Links() {
 		l := o.links[peer]
-		if _, ok := l.behind[to]; !ok && peer != to {
+		if _, ok := l.reachable[to]; !ok && peer != to {
 			continue
 		}
-		if next == "" || l.lastSeen.After(seen) {
-			next, seen = peer, l.lastSeen
+		if next == "" || l.lastReceived.After(lastReceived) {
+			next, lastReceived = peer, l.lastReceived
 		}
 	}
 	return next, next != ""
 }
 
-// Neighbours takes the routers with a session, this one included.
-func (o *Overlay) Neighbours(peers []scheduler.Peer) { o.neighbours = peers }
+// SetNeighbours takes the routers with a session, this one included.
+func (o *Overlay) SetNeighbours(peers []scheduler.Peer) { o.neighbours = peers }
 
 // SessionOpened takes a new session; dialled says that this router opened it.
 // What a session before it carried is void.
 func (o *Overlay) SessionOpened(now time.Time, peer membership.Member, dialled bool) {
 	router := peer.Router
-	o.unlink(now, router)
-	o.learn(now, []membership.Member{peer})
-	o.sessions[router] = session{opened: now, dialled: dialled}
-	o.do(Send{To: router, Message: Message{Kind: Contacts, Present: o.known(), Tree: o.tree}})
-	if router == o.target {
-		o.attach(now)
+	o.loseLink(now, router)
+	o.addContacts(now, []membership.Member{peer})
+	o.sessions[router] = session{openedAt: now, dialled: dialled}
+	o.emit(Send{To: router, Message: Message{Kind: KindContacts, Present: o.knownMembers(), TreeMode: o.treeMode}})
+	if router == o.requestedParent {
+		o.sendAttach(now)
 	}
-	if router == o.visited {
-		o.introduce()
+	if router == o.introducedTo {
+		o.sendIntroduction()
 	}
-	o.advance(now)
+	o.updateParentAndSessions(now)
 }
 
 // SessionClosed takes the end of a session.
 func (o *Overlay) SessionClosed(now time.Time, router state.Router) {
 	delete(o.sessions, router)
-	o.unlink(now, router)
-	if router == o.target {
-		o.exclude(now, router)
+	o.loseLink(now, router)
+	if router == o.requestedParent {
+		o.excludeParent(now, router)
 	}
-	o.advance(now)
+	o.updateParentAndSessions(now)
 }
 
 // MarkAlive notes that a message came over a session.
 func (o *Overlay) MarkAlive(now time.Time, from state.Router) {
 	if l := o.links[from]; l != nil {
-		l.lastSeen = now
+		l.lastReceived = now
 	}
 }
 
@@ -239,126 +239,126 @@
 		return
 	}
 	o.MarkAlive(now, from)
-	o.learn(now, m.Present)
-	if m.Tree {
-		o.becomeTree(now)
+	o.addContacts(now, m.Present)
+	if m.TreeMode {
+		o.switchToTree(now)
 	}
 	switch m.Kind {
-	case Contacts:
-	case Visit:
-		o.do(Send{To: from, Message: Message{Kind: Contacts, Present: o.known(), Tree: o.tree}})
-	case Attach:
+	case KindContacts:
+	case KindIntroduction:
+		o.emit(Send{To: from, Message: Message{Kind: KindContacts, Present: o.knownMembers(), TreeMode: o.treeMode}})
+	case KindAttach:
 		o.onAttach(now, from, m)
-	case Accept:
+	case KindAccept:
 		o.onAccept(now, from, m)
-	case Change:
+	case KindChange:
 		o.onChange(from, m)
-	case Detach:
+	case KindDetach:
 		o.onDetach(now, from)
 	}
-	o.advance(now)
+	o.updateParentAndSessions(now)
 }
 
-// learn keeps the addresses of routers.
-func (o *Overlay) learn(now time.Time, members []membership.Member) {
+// addContacts keeps the addresses of routers.
+func (o *Overlay) addContacts(now time.Time, members []membership.Member) {
 	for _, m := range members {
-		held, ok := o.contacts[m.Router]
-		if m.Router == o.self.Router || ok && held.Incarnation > m.Incarnation {
+		existing, ok := o.contacts[m.Router]
+		if m.Router == o.self.Router || ok && existing.Incarnation > m.Incarnation {
 			continue
 		}
 		o.contacts[m.Router] = contact{Member: m, lastSeen: now}
 	}
-	if len(o.contacts) >= DirectUpTo {
-		o.becomeTree(now)
+	if len(o.contacts) >= MaxFullMeshRouters {
+		o.switchToTree(now)
 	}
 }
 
-// becomeTree goes over from sessions with all to a tree. A fleet that shrinks stays
+// switchToTree goes over from sessions with all to a tree. A fleet that shrinks stays
 // one: routers that disagree would hear of some work twice.
-func (o *Overlay) becomeTree(now time.Time) {
-	if o.tree {
+func (o *Overlay) switchToTree(now time.Time) {
+	if o.treeMode {
 		return
 	}
-	o.tree = true
-	o.touch()
-	held := make(map[state.Router]membership.Member)
+	o.treeMode = true
+	o.markChanged()
+	connected := make(map[state.Router]membership.Member)
 	for _, p := range o.neighbours {
 		if c, ok := o.contacts[p.Router]; ok {
-			held[p.Router] = c.Member
+			connected[p.Router] = c.Member
 		}
 	}
-	o.lost = append(o.lost, lostSide{above: true, behind: held, until: now.Add(lingerFor)})
+	o.lostLinks = append(o.lostLinks, lostLink{fromParent: true, reachable: connected, expiresAt: now.Add(lostLinkGrace)})
 	for _, router := range slices.Sorted(maps.Keys(o.sessions)) {
-		o.do(Unlinked{Router: router})
-		o.do(Send{To: router, Message: Message{Kind: Contacts, Present: o.known(), Tree: true}})
+		o.emit(LinkEnded{Router: router})
+		o.emit(Send{To: router, Message: Message{Kind: KindContacts, Present: o.knownMembers(), TreeMode: true}})
 	}
 }
 
 // Tick lets time pass. The host calls it about ten times a second.
 func (o *Overlay) Tick(now time.Time) {
-	o.forgiveStall(now)
-	if o.tree {
-		o.expire(now)
-		o.dropVisits(now)
+	o.compensateStall(now)
+	if o.treeMode {
+		o.expireTimeouts(now)
+		o.dropUnlinkedSessions(now)
 	}
-	o.advance(now)
-	o.publishChanges()
+	o.updateParentAndSessions(now)
+	o.sendChanges()
 }
 
-// forgiveStall takes the time that this process stood still off the silence of
+// compensateStall takes the time that this process stood still off the silence of
 // its peers: what they sent meanwhile has yet to be read.
-func (o *Overlay) forgiveStall(now time.Time) {
-	gap := now.Sub(o.ticked)
-	if !o.ticked.IsZero() && gap > stallGap {
+func (o *Overlay) compensateStall(now time.Time) {
+	gap := now.Sub(o.lastTick)
+	if !o.lastTick.IsZero() && gap > stallThreshold {
 		for _, l := range o.links {
-			l.lastSeen = l.lastSeen.Add(gap)
+			l.lastReceived = l.lastReceived.Add(gap)
 		}
 	}
-	o.ticked = now
+	o.lastTick = now
 }
 
-func (o *Overlay) expire(now time.Time) {
+func (o *Overlay) expireTimeouts(now time.Time) {
 	for _, router := range o.Links() {
-		limit := childSilence
+		limit := childTimeout
 		if router == o.parent {
-			limit = parentSilence
+			limit = parentTimeout
 		}
-		if now.Sub(o.links[router].lastSeen) > limit {
-			o.unlink(now, router)
-			o.do(Send{To: router, Message: Message{Kind: Detach, Tree: true}})
+		if now.Sub(o.links[router].lastReceived) > limit {
+			o.loseLink(now, router)
+			o.emit(Send{To: router, Message: Message{Kind: KindDetach, TreeMode: true}})
 		}
 	}
-	before := len(o.lost)
-	o.lost = slices.DeleteFunc(o.lost, func(s lostSide) bool { return !now.Before(s.until) })
-	if len(o.lost) != before {
-		o.touch()
+	lostBefore := len(o.lostLinks)
+	o.lostLinks = slices.DeleteFunc(o.lostLinks, func(s lostLink) bool { return !now.Before(s.expiresAt) })
+	if len(o.lostLinks) != lostBefore {
+		o.markChanged()
 	}
-	if o.target != "" && now.Sub(o.requested) > dialWait {
-		o.exclude(now, o.target)
+	if o.requestedParent != "" && now.Sub(o.requestedAt) > attachTimeout {
+		o.excludeParent(now, o.requestedParent)
 	}
-	if o.visited != "" && now.Sub(o.at) > visitWait {
-		o.visits.add(now, o.visited)
-		o.visited = ""
+	if o.introducedTo != "" && now.Sub(o.introducedAt) > introductionTimeout {
+		o.introductionExclusions.exclude(now, o.introducedTo)
+		o.introducedTo = ""
 	}
 	for router, c := range o.contacts {
-		if now.Sub(c.lastSeen) > contactFor {
+		if now.Sub(c.lastSeen) > contactLifetime {
 			delete(o.contacts, router)
 		}
 	}
-	o.excluded.expire(now)
-	o.visits.expire(now)
+	o.excludedParents.removeExpired(now)
+	o.introductionExclusions.removeExpired(now)
 }
 
-// dropVisits closes the sessions that are neither links nor about to be.
-func (o *Overlay) dropVisits(now time.Time) {
+// dropUnlinkedSessions closes the sessions that are neither links nor about to be.
+func (o *Overlay) dropUnlinkedSessions(now time.Time) {
 	for _, router := range slices.Sorted(maps.Keys(o.sessions)) {
 		s := o.sessions[router]
-		limit := acceptFor
+		limit := acceptedSessionLimit
 		if s.dialled {
-			limit = visitFor
+			limit = dialledSessionLimit
 		}
-		if o.links[router] == nil && router != o.target && now.Sub(s.opened) > limit {
-			o.do(Drop{Router: router})
+		if o.links[router] == nil && router != o.requestedParent && now.Sub(s.openedAt) > limit {
+			o.emit(DropSession{Router: router})
 		}
 	}
 }
--- a/coordination/overlay/overlay_test.go
+++ b/coordination/overlay/overlay_test.go
@@ -17,38 +17,38 @@
 	step = 20 * time.Millisecond
 	// maxSessions is what a router may hold at rest.
 	maxSessions = 16
-	// healWithin is how long a change of the fleet may take to reach everybody.
-	healWithin = 5 * time.Second
+	// convergeLimit is how long a change of the fleet may take to reach everybody.
+	convergeLimit = 5 * time.Second
 )
 
-// world is a fleet in memory: sessions open after a step, messages take one.
-type world struct {
+// simFleet is a fleet in memory: sessions open after a step, messages take one.
+type simFleet struct {
 	t      *testing.T
 	now    time.Time
 	random *rand.Rand
 	nodes  map[state.Router]*node
 	order  []state.Router
 	seeds  []state.Router
-	// cut is a data centre that reaches no other.
-	cut    state.DataCentre
-	queued []func()
-	most   int
+	// cutCentre is a data centre that reaches no other.
+	cutCentre       state.DataCentre
+	queued          []func()
+	maxSessionsSeen int
 }
 
 type node struct {
 	*Overlay
-	world    *world
+	fleet    *simFleet
 	alive    bool
 	silent   bool
-	selected Select
+	selected SelectPeers
 	sessions map[state.Router]bool
 	// dialled are the sessions that this node opened.
 	dialled map[state.Router]bool
 	links   map[state.Router]bool
 }
 
-func newWorld(t *testing.T, routers, centres int, seed uint64) *world {
-	w := &world{t: t, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, seed)), nodes: make(map[state.Router]*node)}
+func newSimFleet(t *testing.T, routers, centres int, seed uint64) *simFleet {
+	w := &simFleet{t: t, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, seed)), nodes: make(map[state.Router]*node)}
 	for i := range routers {
 		name := state.Router(fmt.Sprintf("r%03d", i))
 		w.order = append(w.order, name)
@@ -58,24 +58,24 @@
 	return w
 }
 
-func (w *world) start(name state.Router, dc state.DataCentre) {
+func (w *simFleet) start(name state.Router, dc state.DataCentre) {
 	incarnation := state.Incarnation(1)
-	if before := w.nodes[name]; before != nil {
-		incarnation = before.self.Incarnation + 1
+	if previous := w.nodes[name]; previous != nil {
+		incarnation = previous.self.Incarnation + 1
 	}
 	self := membership.Member{Router: name, DataCentre: dc, Incarnation: incarnation, Address: string(name) + ":1"}
 	w.nodes[name] = &node{
-		Overlay: New(self), world: w, alive: true, selected: Select{Seeds: true},
+		Overlay: New(self), fleet: w, alive: true, selected: SelectPeers{DialSeeds: true},
 		sessions: make(map[state.Router]bool), dialled: make(map[state.Router]bool), links: make(map[state.Router]bool),
 	}
 }
 
-func (w *world) reach(a, b *node) bool {
-	crosses := a.self.DataCentre != b.self.DataCentre && (a.self.DataCentre == w.cut || b.self.DataCentre == w.cut)
+func (w *simFleet) canReach(a, b *node) bool {
+	crosses := a.self.DataCentre != b.self.DataCentre && (a.self.DataCentre == w.cutCentre || b.self.DataCentre == w.cutCentre)
 	return a.alive && b.alive && !a.silent && !b.silent && !crosses
 }
 
-func (w *world) run(d time.Duration) {
+func (w *simFleet) run(d time.Duration) {
 	for range d / step {
 		w.now = w.now.Add(step)
 		queued := w.queued
@@ -88,7 +88,7 @@
 				n.closeBroken()
 				n.dial()
 				n.keepAlive()
-				n.publish()
+				n.reportNeighbours()
 				n.Tick(w.now)
 				n.perform()
 			}
@@ -99,8 +99,8 @@
 // closeBroken ends the sessions with dead peers at once, those behind a cut
 // stay open and silent.
 func (n *node) closeBroken() {
-	for _, name := range n.world.order {
-		if peer := n.world.nodes[name]; n.sessions[name] && (!peer.alive || !peer.sessions[n.self.Router]) {
+	for _, name := range n.fleet.order {
+		if peer := n.fleet.nodes[name]; n.sessions[name] && (!peer.alive || !peer.sessions[n.self.Router]) {
 			n.close(name)
 		}
 	}
@@ -109,29 +109,29 @@
 func (n *node) close(name state.Router) {
 	delete(n.sessions, name)
 	delete(n.dialled, name)
-	n.SessionClosed(n.world.now, name)
+	n.SessionClosed(n.fleet.now, name)
 	n.perform()
 }
 
 func (n *node) dial() {
 	fleet := make(map[state.Router]bool)
-	for _, name := range n.selected.Fleet {
+	for _, name := range n.selected.LiveRouters {
 		fleet[name] = true
 	}
 	var wanted []state.Router
 	for _, m := range n.selected.Members {
 		wanted = append(wanted, m.Router)
 	}
-	if n.selected.Seeds {
-		for _, seed := range n.world.seeds {
+	if n.selected.DialSeeds {
+		for _, seed := range n.fleet.seeds {
 			if !fleet[seed] {
 				wanted = append(wanted, seed)
 			}
 		}
 	}
 	for _, name := range wanted {
-		peer := n.world.nodes[name]
-		if name == n.self.Router || n.sessions[name] || !n.world.reach(n, peer) {
+		peer := n.fleet.nodes[name]
+		if name == n.self.Router || n.sessions[name] || !n.fleet.canReach(n, peer) {
 			continue
 		}
 		if peer.sessions[n.self.Router] {
@@ -139,30 +139,30 @@
 		}
 		n.sessions[name], peer.sessions[n.self.Router] = true, true
 		n.dialled[name] = true
-		peer.SessionOpened(n.world.now, n.self, false)
+		peer.SessionOpened(n.fleet.now, n.self, false)
 		peer.perform()
-		n.SessionOpened(n.world.now, peer.self, true)
+		n.SessionOpened(n.fleet.now, peer.self, true)
 		n.perform()
 	}
-	n.world.most = max(n.world.most, len(n.sessions))
+	n.fleet.maxSessionsSeen = max(n.fleet.maxSessionsSeen, len(n.sessions))
 }
 
-// publish tells the overlay which peers the node has sessions with.
-func (n *node) publish() {
+// reportNeighbours tells the overlay which peers the node has sessions with.
+func (n *node) reportNeighbours() {
 	live := []scheduler.Peer{{Router: n.self.Router, DataCentre: n.self.DataCentre, Incarnation: n.self.Incarnation}}
-	for _, name := range n.world.order {
+	for _, name := range n.fleet.order {
 		if n.sessions[name] {
-			peer := n.world.nodes[name].self
+			peer := n.fleet.nodes[name].self
 			live = append(live, scheduler.Peer{Router: name, DataCentre: peer.DataCentre, Incarnation: peer.Incarnation})
 		}
 	}
-	n.Neighbours(live)
+	n.SetNeighbours(live)
 }
 
 // keepAlive stands for the loads that are told over links all the time.
 func (n *node) keepAlive() {
 	for _, peer := range n.Links() {
-		n.deliver(peer, func(to *node) { to.MarkAlive(n.world.now, n.self.Router) })
+		n.deliver(peer, func(to *node) { to.MarkAlive(n.fleet.now, n.self.Router) })
 	}
 }
 
@@ -170,9 +170,9 @@
 	if !n.sessions[to] {
 		return
 	}
-	peer, own := n.world.nodes[to], n
-	n.world.queued = append(n.world.queued, func() {
-		if n.world.reach(own, peer) && peer.sessions[own.self.Router] && n.world.nodes[own.self.Router] == own {
+	peer, sender := n.fleet.nodes[to], n
+	n.fleet.queued = append(n.fleet.queued, func() {
+		if n.fleet.canReach(sender, peer) && peer.sessions[sender.self.Router] && n.fleet.nodes[sender.self.Router] == sender {
 			f(peer)
 		}
 	})
@@ -183,31 +183,31 @@
 		switch a := a.(type) {
 		case Send:
 			n.deliver(a.To, func(to *node) {
-				to.Receive(n.world.now, n.self.Router, a.Message)
+				to.Receive(n.fleet.now, n.self.Router, a.Message)
 				to.perform()
 			})
-		case Select:
+		case SelectPeers:
 			n.selected = a
-		case Drop:
+		case DropSession:
 			if n.sessions[a.Router] {
-				peer := n.world.nodes[a.Router]
+				peer := n.fleet.nodes[a.Router]
 				n.close(a.Router)
 				if peer.sessions[n.self.Router] {
 					peer.close(n.self.Router)
 				}
 			}
-		case Linked:
-			require.False(n.world.t, n.links[a.Router], "%s linked twice to %s", n.self.Router, a.Router)
+		case LinkEstablished:
+			require.False(n.fleet.t, n.links[a.Router], "%s linked twice to %s", n.self.Router, a.Router)
 			n.links[a.Router] = true
-		case Unlinked:
+		case LinkEnded:
 			delete(n.links, a.Router)
 		}
 	}
 }
 
-// settled says whether every reachable router knows exactly the others, over
+// checkSettled says whether every reachable router knows exactly the others, over
 // links that reach each once.
-func (w *world) settled() error {
+func (w *simFleet) checkSettled() error {
 	for _, name := range w.order {
 		n := w.nodes[name]
 		if !n.alive || n.silent {
@@ -215,11 +215,11 @@
 		}
 		want := make(map[state.Router]bool)
 		for _, other := range w.order {
-			if w.reach(n, w.nodes[other]) || other == name {
+			if w.canReach(n, w.nodes[other]) || other == name {
 				want[other] = true
 			}
 		}
-		for _, p := range n.Live() {
+		for _, p := range n.LiveRouters() {
 			if !want[p.Router] || p.Incarnation != w.nodes[p.Router].self.Incarnation {
 				return fmt.Errorf("%s counts %s as live", name, p.Router)
 			}
@@ -228,7 +228,7 @@
 		if len(want) > 0 {
 			return fmt.Errorf("%s misses %d: %v", name, len(want), want)
 		}
-		if n.Tree() && len(n.sessions) > maxSessions {
+		if n.TreeMode() && len(n.sessions) > maxSessions {
 			return fmt.Errorf("%s holds %d sessions", name, len(n.sessions))
 		}
 		for peer := range n.links {
@@ -237,14 +237,14 @@
 			}
 		}
 	}
-	return w.reachedOnce()
+	return w.checkReachedOnce()
 }
 
-// reachedOnce walks the links from each router.
-func (w *world) reachedOnce() error {
+// checkReachedOnce walks the links from each router.
+func (w *simFleet) checkReachedOnce() error {
 	for _, name := range w.order {
 		n := w.nodes[name]
-		if !n.alive || n.silent || !n.Tree() {
+		if !n.alive || n.silent || !n.TreeMode() {
 			continue
 		}
 		seen := make(map[state.Router]int)
@@ -270,12 +270,12 @@
 	return nil
 }
 
-func (w *world) requireSettles(what string) time.Duration {
+func (w *simFleet) requireSettles(description string) time.Duration {
 	w.t.Helper()
 	begin := w.now
 	var err error
-	for w.now.Sub(begin) < healWithin {
-		if err = w.settled(); err == nil {
+	for w.now.Sub(begin) < convergeLimit {
+		if err = w.checkSettled(); err == nil {
 			return w.now.Sub(begin)
 		}
 		w.run(step)
@@ -283,14 +283,14 @@
 	for _, name := range w.order {
 		n := w.nodes[name]
 		if n.alive && n.parent == "" {
-			w.t.Logf("root %s %s target %q visited %q contacts %d view %d excluded %v sessions %v links %v", name, n.self.DataCentre, n.target, n.visited, len(n.contacts), len(n.view), n.excluded, n.sessions, n.Links())
+			w.t.Logf("root %s %s target %q visited %q contacts %d view %d excluded %v sessions %v links %v", name, n.self.DataCentre, n.requestedParent, n.introducedTo, len(n.contacts), len(n.view), n.excludedParents, n.sessions, n.Links())
 		}
 	}
-	require.NoError(w.t, err, what)
+	require.NoError(w.t, err, description)
 	return 0
 }
 
-func (w *world) kill(names ...state.Router) {
+func (w *simFleet) kill(names ...state.Router) {
 	for _, name := range names {
 		w.nodes[name].alive = false
 		clear(w.nodes[name].sessions)
@@ -303,15 +303,15 @@
 func TestFleetForms(t *testing.T) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			w := newWorld(t, size.routers, size.centres, 1)
+			w := newSimFleet(t, size.routers, size.centres, 1)
 			took := w.requireSettles("start")
 			w.run(3 * time.Second)
-			most := 0
+			maxAtRest := 0
 			for _, n := range w.nodes {
-				most = max(most, len(n.sessions))
+				maxAtRest = max(maxAtRest, len(n.sessions))
 			}
-			t.Logf("settled after %s, sessions at rest %d at most", took, most)
-			require.NoError(t, w.settled())
+			t.Logf("settled after %s, sessions at rest %d at most", took, maxAtRest)
+			require.NoError(t, w.checkSettled())
 		})
 	}
 }
@@ -319,7 +319,7 @@
 // Routers stop or are killed, one after another and together, and come back.
 func TestFleetHealsAfterKills(t *testing.T) {
 	for seed := range uint64(3) {
-		w := newWorld(t, 60, 4, seed)
+		w := newSimFleet(t, 60, 4, seed)
 		w.requireSettles("start")
 		w.run(3 * time.Second)
 		for round := range 6 {
@@ -340,7 +340,7 @@
 // The router that all others hang below is lost, without a word or with one.
 func TestRootIsReplaced(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		w := newWorld(t, 60, 4, 7)
+		w := newSimFleet(t, 60, 4, 7)
 		w.requireSettles("start")
 		w.run(3 * time.Second)
 		root := w.root()
@@ -354,7 +354,7 @@
 	}
 }
 
-func (w *world) root() state.Router {
+func (w *simFleet) root() state.Router {
 	for _, name := range w.order {
 		if w.nodes[name].alive && w.nodes[name].parent == "" {
 			return name
@@ -366,14 +366,14 @@
 // Each data centre in turn is cut off. Both sides go on with what they reach,
 // and join again afterwards.
 func TestCutDataCentreKeepsItsOwnView(t *testing.T) {
-	w := newWorld(t, 60, 4, 3)
+	w := newSimFleet(t, 60, 4, 3)
 	w.requireSettles("start")
 	for i := range 4 {
-		w.cut = state.DataCentre(fmt.Sprintf("dc%d", i))
-		w.requireSettles("cut " + string(w.cut))
+		w.cutCentre = state.DataCentre(fmt.Sprintf("dc%d", i))
+		w.requireSettles("cut " + string(w.cutCentre))
 		w.run(7 * time.Second)
-		require.NoError(t, w.settled())
-		w.cut = ""
+		require.NoError(t, w.checkSettled())
+		w.cutCentre = ""
 		took := w.requireSettles(fmt.Sprintf("healed dc%d", i))
 		t.Logf("dc%d joined after %s", i, took)
 	}
@@ -381,7 +381,7 @@
 
 // All processes of a large fleet are killed and start again.
 func TestWholeFleetRestarts(t *testing.T) {
-	w := newWorld(t, 100, 6, 5)
+	w := newSimFleet(t, 100, 6, 5)
 	w.requireSettles("start")
 	w.kill(w.order...)
 	w.run(time.Second)
@@ -393,11 +393,11 @@
 
 // A fleet grows past the size at which all hold sessions with all.
 func TestFleetGrowsIntoATree(t *testing.T) {
-	w := newWorld(t, 24, 3, 9)
+	w := newSimFleet(t, 24, 3, 9)
 	w.kill(w.order[14:]...)
 	w.requireSettles("small")
 	for _, n := range w.nodes {
-		require.False(t, n.alive && n.Tree())
+		require.False(t, n.alive && n.TreeMode())
 	}
 	for _, name := range w.order[14:] {
 		w.start(name, w.nodes[name].self.DataCentre)
@@ -408,12 +408,12 @@
 
 // Guards against messages that are lost for seconds because their router was found
 // behind the silent link that it had moved from.
-func TestMessagesFollowARouterThatMoved(t *testing.T) {
+func TestNextHopFollowsARouterThatMoved(t *testing.T) {
 	moved := membership.Member{Router: "moved", DataCentre: "dc"}
 	o := New(membership.Member{Router: "self", DataCentre: "dc"})
 	now := time.Unix(1000, 0)
 	for _, peer := range []state.Router{"b", "c", "a"} {
-		o.links[peer] = &link{behind: map[state.Router]membership.Member{moved.Router: moved}, lastSeen: now}
+		o.links[peer] = &link{reachable: map[state.Router]membership.Member{moved.Router: moved}, lastReceived: now}
 		for range 20 {
 			next, ok := o.NextHop(moved.Router)
 			require.True(t, ok)
--- a/coordination/overlay/seek.go
+++ b/coordination/overlay/seek.go
@@ -9,106 +9,106 @@
 	"github.com/figstile/figstile/state"
 )
 
-// advance looks for a parent, or a better one, and says which sessions are
+// updateParentAndSessions looks for a parent, or a better one, and says which sessions are
 // wanted.
-func (o *Overlay) advance(now time.Time) {
-	if o.tree {
-		o.refresh()
+func (o *Overlay) updateParentAndSessions(now time.Time) {
+	if o.treeMode {
+		o.refreshView()
 		if o.parent == "" {
-			o.seek(now)
+			o.findParent(now)
 		} else {
-			o.reconsider(now)
+			o.reviewParent(now)
 		}
 	}
-	o.selectSessions()
+	o.updateSelection()
 }
 
-// seek chooses a parent among the live routers, or if none precedes this one,
+// findParent chooses a parent among the live routers, or if none precedes this one,
 // among those that were live or that others know.
-func (o *Overlay) seek(now time.Time) {
-	if o.target != "" {
+func (o *Overlay) findParent(now time.Time) {
+	if o.requestedParent != "" {
 		return
 	}
-	everyone := o.fleetFor(true)
-	for _, fleet := range [][]membership.Member{o.fleetFor(false), everyone} {
-		if list := candidates(o.self, fleet, o.passedOver(now)); len(list) > 0 {
-			o.request(now, list[0])
+	everyone := o.fleetMembers(true)
+	for _, fleet := range [][]membership.Member{o.fleetMembers(false), everyone} {
+		if list := parentCandidates(o.self, fleet, o.excludedAt(now)); len(list) > 0 {
+			o.requestParent(now, list[0])
 			return
 		}
 	}
-	o.visit(now, everyone)
+	o.startIntroduction(now, everyone)
 }
 
-// visit makes the first router of another part of the fleet known to this one,
+// startIntroduction makes the first router of another part of the fleet known to this one,
 // which precedes all routers that it knows. Parts that were cut off from each
 // other, or began from different seeds, join so.
-func (o *Overlay) visit(now time.Time, fleet []membership.Member) {
-	if o.visited != "" {
+func (o *Overlay) startIntroduction(now time.Time, fleet []membership.Member) {
+	if o.introducedTo != "" {
 		return
 	}
-	apart := slices.DeleteFunc(fleet, func(m membership.Member) bool {
+	unreached := slices.DeleteFunc(fleet, func(m membership.Member) bool {
 		_, live := o.view[m.Router]
-		return live || o.visits.at(now, m.Router)
+		return live || o.introductionExclusions.isExcluded(now, m.Router)
 	})
-	if len(apart) == 0 {
+	if len(unreached) == 0 {
 		return
 	}
-	first := slices.MinFunc(apart, func(a, b membership.Member) int {
+	first := slices.MinFunc(unreached, func(a, b membership.Member) int {
 		if precedes(a, b) {
 			return -1
 		}
 		return 1
 	})
-	o.visited, o.at = first.Router, now
+	o.introducedTo, o.introducedAt = first.Router, now
 	if _, open := o.sessions[first.Router]; open {
-		o.introduce()
+		o.sendIntroduction()
 	}
 }
 
-// introduce makes this router's part of the fleet known to the visited router,
+// sendIntroduction makes this router's part of the fleet known to the visited router,
 // and asks for what that one knows.
-func (o *Overlay) introduce() {
-	o.do(Send{To: o.visited, Message: Message{Kind: Visit, Present: o.known(), Tree: true}})
+func (o *Overlay) sendIntroduction() {
+	o.emit(Send{To: o.introducedTo, Message: Message{Kind: KindIntroduction, Present: o.knownMembers(), TreeMode: true}})
 }
 
-// reconsider moves to another parent once that has been preferable for long.
-func (o *Overlay) reconsider(now time.Time) {
-	if o.target != "" || now.Sub(o.reviewed) < reviewEvery {
+// reviewParent moves to another parent once that has been preferable for long.
+func (o *Overlay) reviewParent(now time.Time) {
+	if o.requestedParent != "" || now.Sub(o.parentReviewedAt) < reviewInterval {
 		return
 	}
-	o.reviewed = now
-	list := candidates(o.self, o.fleetFor(false), o.passedOver(now))
+	o.parentReviewedAt = now
+	list := parentCandidates(o.self, o.fleetMembers(false), o.excludedAt(now))
 	if len(list) == 0 {
 		return
 	}
 	best := list[0]
 	switch {
 	case best == o.parent:
-		o.preferred = ""
-	case best != o.preferred:
-		o.preferred, o.since = best, now
-	case now.Sub(o.since) >= settleFor:
-		o.request(now, best)
+		o.preferredParent = ""
+	case best != o.preferredParent:
+		o.preferredParent, o.preferredSince = best, now
+	case now.Sub(o.preferredSince) >= parentSwitchDelay:
+		o.requestParent(now, best)
 	}
 }
 
-func (o *Overlay) request(now time.Time, router state.Router) {
-	o.target, o.requested = router, now
+func (o *Overlay) requestParent(now time.Time, router state.Router) {
+	o.requestedParent, o.requestedAt = router, now
 	if _, open := o.sessions[router]; open {
-		o.attach(now)
+		o.sendAttach(now)
 	}
 }
 
-// passedOver says which routers are not to be asked now.
-func (o *Overlay) passedOver(now time.Time) func(state.Router) bool {
-	return func(router state.Router) bool { return o.excluded.at(now, router) }
+// excludedAt says which routers are not to be asked now.
+func (o *Overlay) excludedAt(now time.Time) func(state.Router) bool {
+	return func(router state.Router) bool { return o.excludedParents.isExcluded(now, router) }
 }
 
-// fleetFor returns the routers to choose a parent from: the live ones, and those
+// fleetMembers returns the routers to choose a parent from: the live ones, and those
 // that were if all is true.
-func (o *Overlay) fleetFor(all bool) []membership.Member {
+func (o *Overlay) fleetMembers(includeContacts bool) []membership.Member {
 	fleet := slices.Collect(maps.Values(o.view))
-	if !all {
+	if !includeContacts {
 		return fleet
 	}
 	for router, c := range o.contacts {
@@ -119,31 +119,31 @@
 	return fleet
 }
 
-// selectSessions says which sessions are wanted, if that changed.
-func (o *Overlay) selectSessions() {
-	var wanted Select
-	if o.tree {
-		for _, router := range []state.Router{o.target, o.visited} {
+// updateSelection says which sessions are wanted, if that changed.
+func (o *Overlay) updateSelection() {
+	var wanted SelectPeers
+	if o.treeMode {
+		for _, router := range []state.Router{o.requestedParent, o.introducedTo} {
 			if c, ok := o.contacts[router]; ok {
 				wanted.Members = append(wanted.Members, c.Member)
 			}
 		}
-		if wanted.Seeds = o.parent == ""; wanted.Seeds {
-			wanted.Fleet = slices.Sorted(maps.Keys(o.view))
+		if wanted.DialSeeds = o.parent == ""; wanted.DialSeeds {
+			wanted.LiveRouters = slices.Sorted(maps.Keys(o.view))
 		}
 	} else {
 		for _, router := range slices.Sorted(maps.Keys(o.contacts)) {
 			wanted.Members = append(wanted.Members, o.contacts[router].Member)
 		}
-		wanted.Seeds = true
+		wanted.DialSeeds = true
 	}
-	if wanted.equal(o.selected) {
+	if wanted.equal(o.selection) {
 		return
 	}
-	o.selected = wanted
-	o.do(wanted)
+	o.selection = wanted
+	o.emit(wanted)
 }
 
-func (s Select) equal(other Select) bool {
-	return s.Seeds == other.Seeds && slices.Equal(s.Members, other.Members) && slices.Equal(s.Fleet, other.Fleet)
+func (s SelectPeers) equal(other SelectPeers) bool {
+	return s.DialSeeds == other.DialSeeds && slices.Equal(s.Members, other.Members) && slices.Equal(s.LiveRouters, other.LiveRouters)
 }
--- a/coordination/overlay/view.go
+++ b/coordination/overlay/view.go
@@ -9,40 +9,40 @@
 	"github.com/figstile/figstile/state"
 )
 
-// refresh brings the view up to date.
-func (o *Overlay) refresh() {
-	if o.changed || o.view == nil {
-		o.view = o.behind("")
-		o.changed = false
+// refreshView brings the view up to date.
+func (o *Overlay) refreshView() {
+	if o.viewStale || o.view == nil {
+		o.view = o.membersOnThisSide("")
+		o.viewStale = false
 	}
 }
 
-// behind returns the routers on this side of the link with a peer, this one
+// membersOnThisSide returns the routers on this side of the link with a peer, this one
 // included; all live ones for no peer.
-func (o *Overlay) behind(peer state.Router) map[state.Router]membership.Member {
+func (o *Overlay) membersOnThisSide(peer state.Router) map[state.Router]membership.Member {
 	if peer != "" && peer == o.parent {
-		return o.below()
+		return o.subtree()
 	}
-	return o.collect(func(via state.Router, _ bool) bool { return peer == "" || via != peer })
+	return o.collectMembers(func(via state.Router, _ bool) bool { return peer == "" || via != peer })
 }
 
-// below returns this router and those of its subtree.
-func (o *Overlay) below() map[state.Router]membership.Member {
-	return o.collect(func(_ state.Router, above bool) bool { return !above })
+// subtree returns this router and those of its subtree.
+func (o *Overlay) subtree() map[state.Router]membership.Member {
+	return o.collectMembers(func(_ state.Router, above bool) bool { return !above })
 }
 
-// collect merges the sides of links, present and lost, that a condition holds
+// collectMembers merges the sides of links, present and lost, that a condition holds
 // for.
-func (o *Overlay) collect(counts func(via state.Router, above bool) bool) map[state.Router]membership.Member {
+func (o *Overlay) collectMembers(include func(via state.Router, above bool) bool) map[state.Router]membership.Member {
 	members := make(map[state.Router]membership.Member)
-	for _, side := range o.lost {
-		if counts(side.via, side.above) {
-			merge(members, side.behind)
+	for _, side := range o.lostLinks {
+		if include(side.via, side.fromParent) {
+			merge(members, side.reachable)
 		}
 	}
 	for router, l := range o.links {
-		if counts(router, router == o.parent) {
-			merge(members, l.behind)
+		if include(router, router == o.parent) {
+			merge(members, l.reachable)
 		}
 	}
 	members[o.self.Router] = o.self
@@ -52,63 +52,63 @@
 // merge adds members; of two runs of one router the later counts.
 func merge(into, from map[state.Router]membership.Member) {
 	for router, m := range from {
-		if held, ok := into[router]; !ok || held.Incarnation <= m.Incarnation {
+		if existing, ok := into[router]; !ok || existing.Incarnation <= m.Incarnation {
 			into[router] = m
 		}
 	}
 }
 
-// known returns the live routers and those with a session, in the order of
+// knownMembers returns the live routers and those with a session, in the order of
 // names. While a fleet starts, few are linked yet.
-func (o *Overlay) known() []membership.Member {
+func (o *Overlay) knownMembers() []membership.Member {
 	members := make(map[state.Router]membership.Member)
 	for router := range o.sessions {
 		if c, ok := o.contacts[router]; ok {
 			members[router] = c.Member
 		}
 	}
-	if o.tree {
-		o.refresh()
+	if o.treeMode {
+		o.refreshView()
 		merge(members, o.view)
 	}
 	members[o.self.Router] = o.self
-	return sorted(members)
+	return sortedByName(members)
 }
 
 // snapshot returns everything on this side of a link, to be sent to its peer.
 func (o *Overlay) snapshot(peer state.Router) []membership.Member {
-	o.links[peer].sent = o.behind(peer)
-	return sorted(o.links[peer].sent)
+	o.links[peer].sentMembers = o.membersOnThisSide(peer)
+	return sortedByName(o.links[peer].sentMembers)
 }
 
-func sorted(members map[state.Router]membership.Member) []membership.Member {
+func sortedByName(members map[state.Router]membership.Member) []membership.Member {
 	return slices.SortedFunc(maps.Values(members), func(a, b membership.Member) int { return cmp.Compare(a.Router, b.Router) })
 }
 
-// publishChanges sends over each link what changed on this side since the last
+// sendChanges sends over each link what changed on this side since the last
 // time.
-func (o *Overlay) publishChanges() {
-	if !o.unsent {
+func (o *Overlay) sendChanges() {
+	if !o.changesUnsent {
 		return
 	}
-	o.unsent = false
+	o.changesUnsent = false
 	for _, peer := range o.Links() {
 		l := o.links[peer]
-		now := o.behind(peer)
-		change := Message{Kind: Change, Tree: true}
-		for _, m := range sorted(now) {
-			if l.sent[m.Router] != m {
+		current := o.membersOnThisSide(peer)
+		change := Message{Kind: KindChange, TreeMode: true}
+		for _, m := range sortedByName(current) {
+			if l.sentMembers[m.Router] != m {
 				change.Present = append(change.Present, m)
 			}
 		}
-		for _, router := range slices.Sorted(maps.Keys(l.sent)) {
-			if _, ok := now[router]; !ok {
-				change.Gone = append(change.Gone, router)
+		for _, router := range slices.Sorted(maps.Keys(l.sentMembers)) {
+			if _, ok := current[router]; !ok {
+				change.Removed = append(change.Removed, router)
 			}
 		}
-		l.sent = now
-		if len(change.Present)+len(change.Gone) > 0 {
-			o.do(Send{To: peer, Message: change})
+		l.sentMembers = current
+		if len(change.Present)+len(change.Removed) > 0 {
+			o.emit(Send{To: peer, Message: change})
 		}
 	}
 }
--- a/coordination/scheduler/request.go
+++ b/coordination/scheduler/request.go
@@ -118,7 +118,7 @@
 	}
 	if entry.Retry {
 		wait := s.queues.EstimatedWait(s.now, it.Service, it.Workspace)
-		r = r.After(min(max(wait, minRetryAfter), maxRetryAfter))
+		r = r.WithRetryAfter(min(max(wait, minRetryAfter), maxRetryAfter))
 	}
 	s.emit(Refuse{ID: it.ID, Result: r})
 }
--- a/devfleet/edge.go
+++ b/devfleet/edge.go
@@ -230,7 +230,7 @@
 	route := func(name, prefix string, kind routing.Kind, service state.Service) routing.Route {
 		return routing.Route{
 			Name: name, Host: edgeHost, Prefix: prefix, Kind: kind, Resumable: kind == routing.Stream,
-			Timeout: 10 * time.Second, Target: time.Second, MaxAttempts: 2,
+			Timeout: 10 * time.Second, TargetLatency: time.Second, MaxAttempts: 2,
 			Backends: []routing.Backend{{Service: service, Weight: 1}},
 		}
 	}
--- a/e2e/record_test.go
+++ b/e2e/record_test.go
@@ -44,7 +44,7 @@
 
 func (rec *recording) caller(r *router, workspace, path, body string, sent time.Time, key string, got answer) {
 	service, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	rec.callers.Note(trace.CallerRecord{
+	rec.callers.Record(trace.CallerRecord{
 		Router:       state.Router(r.name),
 		Workspace:    state.Workspace(workspace),
 		Service:      state.Service(service),
@@ -119,7 +119,7 @@
 		if e.Started.IsZero() {
 			continue
 		}
-		rec.callers.Note(trace.UpstreamRecord{
+		rec.callers.Record(trace.UpstreamRecord{
 			Upstream:     name,
 			Boot:         e.Boot,
 			Attempt:      attemptID(t, e.Attempt),
--- a/protocol/trace/outcome/checks.go
+++ b/protocol/trace/outcome/checks.go
@@ -8,101 +8,101 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// sends sums up what callers of one body at one router were told.
-type sends struct {
+// answerCounts sums up what callers of one body at one router were told.
+type answerCounts struct {
 	total int
-	// maybe counts the answers that admit that the request ran.
-	maybe      int
+	// mayHaveRun counts the answers that admit that the request ran.
+	mayHaveRun int
 	repeatable bool
 }
 
-// place is one request at one router: a caller that sends again elsewhere is
+// routerBody is one request at one router: a caller that sends again elsewhere is
 // told by another router.
-type place struct {
+type routerBody struct {
 	router state.Router
 	digest string
 }
 
-func sendsByPlace(callers []trace.CallerRecord) map[place]*sends {
-	byPlace := make(map[place]*sends)
+func countAnswers(callers []trace.CallerRecord) map[routerBody]*answerCounts {
+	counts := make(map[routerBody]*answerCounts)
 	for _, c := range callers {
-		at := place{c.Router, c.BodyDigest}
-		s, ok := byPlace[at]
+		key := routerBody{c.Router, c.BodyDigest}
+		s, ok := counts[key]
 		if !ok {
-			s = &sends{}
-			byPlace[at] = s
+			s = &answerCounts{}
+			counts[key] = s
 		}
 		s.total++
 		s.repeatable = s.repeatable || c.Repeatable
 		if c.Ran != result.RanNo {
-			s.maybe++
+			s.mayHaveRun++
 		}
 	}
-	return byPlace
+	return counts
 }
 
-// allowed is how many runs the answers admit.
-func (s *sends) allowed() int {
+// maxRuns is how many runs the answers admit.
+func (s *answerCounts) maxRuns() int {
 	if s.repeatable {
-		return s.maybe * attemptsPerSend
+		return s.mayHaveRun * attemptsPerSend
 	}
-	return s.maybe
+	return s.mayHaveRun
 }
 
-// NotRun checks that no upstream ran a request whose caller was told that it
+// CheckNotRun checks that no upstream ran a request whose caller was told that it
 // was not run.
-func NotRun(r Records) Check {
+func CheckNotRun(r Records) Check {
 	check := Check{Name: "told-not-run"}
-	runs := make(map[place][]trace.UpstreamRecord)
+	runs := make(map[routerBody][]trace.UpstreamRecord)
 	for _, u := range r.Upstreams {
-		at := place{u.Attempt.Router, u.BodyDigest}
-		runs[at] = append(runs[at], u)
+		key := routerBody{u.Attempt.Router, u.BodyDigest}
+		runs[key] = append(runs[key], u)
 	}
-	reported := make(map[place]bool)
-	sent := sendsByPlace(r.Callers)
+	reported := make(map[routerBody]bool)
+	answers := countAnswers(r.Callers)
 	for _, c := range r.Callers {
 		if c.Ran != result.RanNo {
 			continue
 		}
 		check.Examined++
-		at := place{c.Router, c.BodyDigest}
-		ran := runs[at]
-		if len(ran) <= sent[at].allowed() || reported[at] {
+		key := routerBody{c.Router, c.BodyDigest}
+		upstreamRuns := runs[key]
+		if len(upstreamRuns) <= answers[key].maxRuns() || reported[key] {
 			continue
 		}
-		reported[at] = true
-		check.fail("router=%s body=%s code=%d told=no runs=%d admitted=%d upstream=%s attempt=%s", c.Router, c.BodyDigest, c.Result, len(ran), sent[at].allowed(), ran[0].Upstream, ran[0].Attempt)
+		reported[key] = true
+		check.fail("router=%s body=%s code=%d told=no runs=%d admitted=%d upstream=%s attempt=%s", c.Router, c.BodyDigest, c.Result, len(upstreamRuns), answers[key].maxRuns(), upstreamRuns[0].Upstream, upstreamRuns[0].Attempt)
 	}
 	return check
 }
 
-// work identifies non-idempotent work: by its key if it has one, otherwise by
+// workKey identifies non-idempotent work: by its key if it has one, otherwise by
 // its body.
-type work struct {
+type workKey struct {
 	workspace state.Workspace
 	service   state.Service
 	key       string
 	digest    string
 }
 
-// AtMostOnce checks that a non-idempotent request ran at most once: one with a
+// CheckAtMostOnce checks that a non-idempotent request ran at most once: one with a
 // key over all sends, one without a key once per send.
-func AtMostOnce(r Records) Check {
+func CheckAtMostOnce(r Records) Check {
 	check := Check{Name: "at-most-once"}
-	limit := make(map[work]int)
-	byDigest := make(map[string]work)
+	limit := make(map[workKey]int)
+	byDigest := make(map[string]workKey)
 	for _, c := range r.Callers {
 		if c.Repeatable {
 			continue
 		}
-		w := workOf(c)
+		w := workKeyOf(c)
 		byDigest[c.BodyDigest] = w
 		limit[w]++
 		if w.key != "" {
 			limit[w] = 1
 		}
 	}
-	runs := make(map[work]int)
+	runs := make(map[workKey]int)
 	for _, u := range r.Upstreams {
 		w, ok := byDigest[u.BodyDigest]
 		if !ok {
@@ -119,17 +119,17 @@
 	return check
 }
 
-func workOf(c trace.CallerRecord) work {
-	w := work{workspace: c.Workspace, service: c.Service, key: c.Key}
+func workKeyOf(c trace.CallerRecord) workKey {
+	w := workKey{workspace: c.Workspace, service: c.Service, key: c.Key}
 	if c.Key == "" {
 		w.digest = c.BodyDigest
 	}
 	return w
 }
 
-// WholeAnswers checks that every answer that ended cleanly is one that a run of
+// CheckWholeAnswers checks that every answer that ended cleanly is one that a run of
 // the same request gave.
-func WholeAnswers(r Records) Check {
+func CheckWholeAnswers(r Records) Check {
 	check := Check{Name: "whole-answers"}
 	given := make(map[string]map[string]bool)
 	for _, u := range r.Upstreams {
@@ -153,9 +153,9 @@
 	return check
 }
 
-// Leaving checks that no upstream got work later than the grace after it was
+// CheckLeaving checks that no upstream got work later than the grace after it was
 // first announced to leave.
-func Leaving(r Records, grace time.Duration) Check {
+func CheckLeaving(r Records, grace time.Duration) Check {
 	check := Check{Name: "no-work-for-leaving-upstreams"}
 	type run struct {
 		upstream state.Upstream
@@ -172,7 +172,7 @@
 	for _, u := range r.Upstreams {
 		for _, boot := range []string{u.Boot, ""} {
 			at, ok := first[run{u.Upstream, boot}]
-			if late := received(u).Sub(at); ok && late > grace {
+			if late := receivedAt(u).Sub(at); ok && late > grace {
 				check.fail("upstream=%s boot=%s attempt=%s came %s after the announcement", u.Upstream, u.Boot, u.Attempt, late)
 				break
 			}
@@ -181,18 +181,18 @@
 	return check
 }
 
-// received is when a request reached the upstream, whether or not it had to
+// receivedAt is when a request reached the upstream, whether or not it had to
 // wait there.
-func received(u trace.UpstreamRecord) time.Time {
+func receivedAt(u trace.UpstreamRecord) time.Time {
 	if u.Received.IsZero() {
 		return u.Started
 	}
 	return u.Received
 }
 
-// Config checks that the version of an object in force on a router never
+// CheckConfig checks that the version of an object in force on a router never
 // falls, over restarts too.
-func Config(r Records) Check {
+func CheckConfig(r Records) Check {
 	check := Check{Name: "settings-never-revert"}
 	type object struct {
 		router state.Router
@@ -201,12 +201,12 @@
 	inForce := make(map[object]uint64)
 	for _, c := range r.Config {
 		check.Examined++
-		at := object{c.Router, c.Key}
-		if c.Version < inForce[at] {
-			check.fail("router=%s incarnation=%d key=%s fell from %d to %d", c.Router, c.Incarnation, c.Key, inForce[at], c.Version)
+		key := object{c.Router, c.Key}
+		if c.Version < inForce[key] {
+			check.fail("router=%s incarnation=%d key=%s fell from %d to %d", c.Router, c.Incarnation, c.Key, inForce[key], c.Version)
 			continue
 		}
-		inForce[at] = c.Version
+		inForce[key] = c.Version
 	}
 	return check
 }
--- a/protocol/trace/outcome/outcome.go
+++ b/protocol/trace/outcome/outcome.go
@@ -95,14 +95,14 @@
 	}
 }
 
-// Checks returns the verdicts on all stated outcomes. An upstream may get work
+// RunChecks returns the verdicts on all stated outcomes. An upstream may get work
 // for the given time after it was announced to leave.
-func Checks(r Records, leavingGrace time.Duration) []Check {
+func RunChecks(r Records, leavingGrace time.Duration) []Check {
 	return []Check{
-		NotRun(r),
-		AtMostOnce(r),
-		WholeAnswers(r),
-		Leaving(r, leavingGrace),
-		Config(r),
+		CheckNotRun(r),
+		CheckAtMostOnce(r),
+		CheckWholeAnswers(r),
+		CheckLeaving(r, leavingGrace),
+		CheckConfig(r),
 	}
 }
--- a/protocol/trace/outcome/outcome_test.go
+++ b/protocol/trace/outcome/outcome_test.go
@@ -56,7 +56,7 @@
 	waited.Received = start
 	announced := trace.LeavingRecord{Upstream: "u", Boot: "b1", At: start}
 	anyBoot := trace.LeavingRecord{Upstream: "u", At: start}
-	heard := trace.StepRecord{Router: "r", Time: start, Event: trace.Event{Event: scheduler.UpstreamLeaving{Upstream: "u", Boot: "b1"}}}
+	observed := trace.StepRecord{Router: "r", Time: start, Event: trace.Event{Event: scheduler.UpstreamLeaving{Upstream: "u", Boot: "b1"}}}
 
 	for name, c := range map[string]struct {
 		fails   string
@@ -77,7 +77,7 @@
 		"truncated run, clean end":    {"whole-answers", []trace.Record{caller("a", result.RanYes), unfinished}},
 		"work within the grace":       {"", []trace.Record{announced, runAt(grace, "b1")}},
 		"work after the grace":        {"no-work-for-leaving-upstreams", []trace.Record{announced, runAt(grace+1, "b1")}},
-		"work after a router knew":    {"no-work-for-leaving-upstreams", []trace.Record{heard, runAt(grace+1, "b1")}},
+		"work after a router knew":    {"no-work-for-leaving-upstreams", []trace.Record{observed, runAt(grace+1, "b1")}},
 		"work after leaving any boot": {"no-work-for-leaving-upstreams", []trace.Record{anyBoot, runAt(grace+1, "b1")}},
 		"work for the next boot":      {"", []trace.Record{announced, runAt(grace+1, "b2")}},
 		"came early, started late":    {"", []trace.Record{announced, waited}},
@@ -88,13 +88,13 @@
 			var file bytes.Buffer
 			recorder := trace.NewRecorder(&file, "", 0)
 			for _, record := range c.records {
-				recorder.Note(record)
+				recorder.Record(record)
 			}
 			require.NoError(t, recorder.Close())
 			records, err := Read(&file)
 			require.NoError(t, err)
 			failed := ""
-			for _, check := range Checks(records, grace) {
+			for _, check := range RunChecks(records, grace) {
 				if !check.Passed() {
 					failed += check.Name
 					require.NotEmpty(t, check.Evidence)
@@ -111,7 +111,7 @@
 	for i := range 100 {
 		records.Config = append(records.Config, config(1, uint64(100-i)))
 	}
-	check := Config(records)
+	check := CheckConfig(records)
 	require.Equal(t, 99, check.Failures)
 	require.Len(t, check.Evidence, maxEvidence)
 }
--- a/protocol/trace/reader.go
+++ b/protocol/trace/reader.go
@@ -8,13 +8,13 @@
 
 // Reader reads the records of a trace.
 type Reader struct {
-	in    *json.Decoder
-	lines int
+	decoder *json.Decoder
+	lines   int
 }
 
 // NewReader returns a reader of JSON lines.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: json.NewDecoder(in)}
+	return &Reader{decoder: json.NewDecoder(in)}
 }
 
 // Next returns the next record, io.EOF at the end, io.ErrUnexpectedEOF if the
@@ -22,7 +22,7 @@
 func (r *Reader) Next() (Record, error) {
 	var l line
 	r.lines++
-	if err := r.in.Decode(&l); err != nil {
+	if err := r.decoder.Decode(&l); err != nil {
 		return nil, err
 	}
 	record, err := l.decode()
--- a/protocol/trace/recorder.go
+++ b/protocol/trace/recorder.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// maxWaiting bounds the records that wait to be written: some seconds of
+	// maxQueuedRecords bounds the records that wait to be written: some seconds of
 	// a busy router.
-	maxWaiting = 1 << 14
-	// writeBuffer makes a write call worth its cost.
-	writeBuffer = 64 << 10
+	maxQueuedRecords = 1 << 14
+	// writeBufferBytes makes a write call worth its cost.
+	writeBufferBytes = 64 << 10
 )
 
 // Recorder writes records as JSON lines. Encoding and writing happen on a
@@ -31,10 +31,10 @@
 	sequence    atomic.Uint64
 	dropped     atomic.Uint64
 
-	mu      sync.RWMutex
-	closed  bool
-	waiting chan Record
-	done    chan struct{}
+	mu     sync.RWMutex
+	closed bool
+	queue  chan Record
+	done   chan struct{}
 	// err is the first fault; read it after done.
 	err error
 }
@@ -45,28 +45,28 @@
 	r := &Recorder{
 		router:      router,
 		incarnation: incarnation,
-		waiting:     make(chan Record, maxWaiting),
+		queue:       make(chan Record, maxQueuedRecords),
 		done:        make(chan struct{}),
 	}
-	go r.run(bufio.NewWriterSize(w, writeBuffer))
+	go r.writeRecords(bufio.NewWriterSize(w, writeBufferBytes))
 	return r
 }
 
 // Step records one step. Neither the event nor the actions may be changed
 // afterwards. Steps of one decider are recorded from one goroutine.
 func (r *Recorder) Step(now time.Time, event scheduler.Event, actions []scheduler.Action) {
-	r.Note(StepRecord{
+	r.Record(StepRecord{
 		Router:      r.router,
 		Incarnation: r.incarnation,
 		Sequence:    r.sequence.Add(1),
 		Time:        now,
 		Event:       Event{event},
-		Actions:     wrap(actions),
+		Actions:     wrapActions(actions),
 	})
 }
 
-// Note records anything else.
-func (r *Recorder) Note(record Record) {
+// Record records anything else.
+func (r *Recorder) Record(record Record) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	if r.closed {
@@ -74,7 +74,7 @@
 		return
 	}
 	select {
-	case r.waiting <- record:
+	case r.queue <- record:
 	default:
 		r.dropped.Add(1)
 	}
@@ -89,26 +89,26 @@
 	r.mu.Lock()
 	if !r.closed {
 		r.closed = true
-		close(r.waiting)
+		close(r.queue)
 	}
 	r.mu.Unlock()
 	<-r.done
 	return r.err
 }
 
-func (r *Recorder) run(out *bufio.Writer) {
+func (r *Recorder) writeRecords(out *bufio.Writer) {
 	defer close(r.done)
-	for record := range r.waiting {
-		r.keep(writeLine(out, record))
-		if len(r.waiting) == 0 {
-			r.keep(out.Flush())
+	for record := range r.queue {
+		r.countFailure(writeLine(out, record))
+		if len(r.queue) == 0 {
+			r.countFailure(out.Flush())
 		}
 	}
-	r.keep(out.Flush())
+	r.countFailure(out.Flush())
 }
 
-// keep counts a record that was not written; the gap tells a reader.
-func (r *Recorder) keep(err error) {
+// countFailure counts a record that was not written; the gap tells a reader.
+func (r *Recorder) countFailure(err error) {
 	if err == nil {
 		return
 	}
--- a/protocol/trace/registry.go
+++ b/protocol/trace/registry.go
@@ -52,12 +52,12 @@
 func registryOf[T any](values ...T) registry[T] {
 	r := make(registry[T], len(values))
 	for _, v := range values {
-		r[nameOf(v)] = reflect.TypeOf(v)
+		r[typeName(v)] = reflect.TypeOf(v)
 	}
 	return r
 }
 
-func nameOf(v any) string { return reflect.TypeOf(v).Name() }
+func typeName(v any) string { return reflect.TypeOf(v).Name() }
 
 // TypeError is a type that the registry lacks.
 type TypeError struct{ Name string }
@@ -65,8 +65,8 @@
 // Error names the type.
 func (e *TypeError) Error() string { return fmt.Sprintf("trace: unknown type %q", e.Name) }
 
-// typed is the JSON form of a value with its type's name.
-type typed struct {
+// typedValue is the JSON form of a value with its type's name.
+type typedValue struct {
 	Type  string          `json:"type"`
 	Value json.RawMessage `json:"value"`
 }
@@ -75,7 +75,7 @@
 	if reflect.TypeOf(v) == nil {
 		return nil, &TypeError{"nil"}
 	}
-	name := nameOf(v)
+	name := typeName(v)
 	if r[name] != reflect.TypeOf(v) {
 		return nil, &TypeError{name}
 	}
@@ -83,11 +83,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(typed{Type: name, Value: value})
+	return json.Marshal(typedValue{Type: name, Value: value})
 }
 
 func (r registry[T]) unmarshal(data []byte) (value T, err error) {
-	var t typed
+	var t typedValue
 	if err := json.Unmarshal(data, &t); err != nil {
 		return value, err
 	}
@@ -120,7 +120,7 @@
 	return err
 }
 
-func wrap(list []scheduler.Action) []Action {
+func wrapActions(list []scheduler.Action) []Action {
 	wrapped := make([]Action, 0, len(list))
 	for _, a := range list {
 		wrapped = append(wrapped, Action{a})
--- a/protocol/trace/replay.go
+++ b/protocol/trace/replay.go
@@ -18,16 +18,16 @@
 	Step(now time.Time, event scheduler.Event) []scheduler.Action
 }
 
-// Recorded returns a Stepper that records every step of another one.
-func Recorded(s Stepper, r *Recorder) Stepper { return recorded{s, r} }
+// RecordSteps returns a Stepper that records every step of another one.
+func RecordSteps(s Stepper, r *Recorder) Stepper { return recordingStepper{s, r} }
 
-type recorded struct {
+type recordingStepper struct {
 	inner    Stepper
 	recorder *Recorder
 }
 
 // Step steps and records.
-func (r recorded) Step(now time.Time, event scheduler.Event) []scheduler.Action {
+func (r recordingStepper) Step(now time.Time, event scheduler.Event) []scheduler.Action {
 	actions := r.inner.Step(now, event)
 	r.recorder.Step(now, event, actions)
 	return actions
@@ -117,8 +117,8 @@
 }
 
 type replayRun struct {
-	stepper Stepper
-	last    uint64
+	stepper      Stepper
+	lastSequence uint64
 	// stopped runs have lost their state.
 	stopped bool
 }
@@ -131,15 +131,15 @@
 		p.runs[id] = run
 		p.report.Runs++
 	}
-	if !run.stopped && record.Sequence != run.last+1 {
+	if !run.stopped && record.Sequence != run.lastSequence+1 {
 		run.stopped = true
-		p.report.Gaps = append(p.report.Gaps, Gap{Run: id, After: run.last, Next: record.Sequence})
+		p.report.Gaps = append(p.report.Gaps, Gap{Run: id, After: run.lastSequence, Next: record.Sequence})
 	}
 	if run.stopped {
 		p.report.Skipped++
 		return nil
 	}
-	run.last = record.Sequence
+	run.lastSequence = record.Sequence
 	p.report.Steps++
 	difference, err := replayStep(run.stepper, record)
 	if difference != nil {
@@ -156,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	got, err := json.Marshal(wrap(stepper.Step(record.Time, record.Event.Event)))
+	got, err := json.Marshal(wrapActions(stepper.Step(record.Time, record.Event.Event)))
 	if err != nil {
 		return nil, err
 	}
--- a/protocol/trace/trace_test.go
+++ b/protocol/trace/trace_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestEveryTypeSurvivesTheTrace(t *testing.T) {
+func TestEveryTypeRoundTrips(t *testing.T) {
 	var want []Record
 	for _, known := range events {
 		v := reflect.New(known).Elem()
@@ -106,7 +106,7 @@
 	var file bytes.Buffer
 	recorder := NewRecorder(&file, "r", 1)
 	for _, record := range want {
-		recorder.Note(record)
+		recorder.Record(record)
 	}
 	require.NoError(t, recorder.Close())
 	require.Zero(t, recorder.Dropped())
@@ -120,28 +120,28 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// counter refuses each arrival with the number of arrivals so far.
-type counter struct{ seen, bias int }
+// refusalCounter refuses each arrival with the number of arrivals so far.
+type refusalCounter struct{ seen, bias int }
 
-func (c *counter) Step(_ time.Time, event scheduler.Event) []scheduler.Action {
+func (c *refusalCounter) Step(_ time.Time, event scheduler.Event) []scheduler.Action {
 	arrived, ok := event.(scheduler.Arrived)
 	if !ok {
 		return nil
 	}
 	c.seen++
-	return []scheduler.Action{scheduler.Refuse{ID: arrived.Request.ID, Result: result.New(result.QueueFull, "").After(time.Duration(c.seen+c.bias) * time.Second)}}
+	return []scheduler.Action{scheduler.Refuse{ID: arrived.Request.ID, Result: result.New(result.QueueFull, "").WithRetryAfter(time.Duration(c.seen+c.bias) * time.Second)}}
 }
 
 func recordCounter(t *testing.T) string {
 	var file bytes.Buffer
 	for _, router := range []state.Router{"a", "b"} {
 		recorder := NewRecorder(&file, router, 1)
-		stepper := Recorded(&counter{}, recorder)
+		stepper := RecordSteps(&refusalCounter{}, recorder)
 		for i := range 5 {
 			stepper.Step(start, scheduler.Tick{})
 			stepper.Step(start, scheduler.Arrived{Request: scheduler.Request{ID: state.RequestID(i)}})
 		}
-		recorder.Note(CallerRecord{})
+		recorder.Record(CallerRecord{})
 		require.NoError(t, recorder.Close())
 	}
 	return file.String()
@@ -149,14 +149,14 @@
 
 func TestReplay(t *testing.T) {
 	trace := recordCounter(t)
-	same := func(state.Router, state.Incarnation) Stepper { return &counter{} }
+	same := func(state.Router, state.Incarnation) Stepper { return &refusalCounter{} }
 	report, err := Replay(strings.NewReader(trace), same)
 	require.NoError(t, err)
 	require.True(t, report.Exact(), report)
 	require.Equal(t, Report{Runs: 2, Steps: 20}, report)
 
 	report, err = Replay(strings.NewReader(trace), func(r state.Router, _ state.Incarnation) Stepper {
-		return &counter{bias: map[state.Router]int{"b": 1}[r]}
+		return &refusalCounter{bias: map[state.Router]int{"b": 1}[r]}
 	})
 	require.NoError(t, err)
 	require.Len(t, report.Differences, 1)
@@ -177,23 +177,23 @@
 	require.Equal(t, "Unheard", unknown.Name)
 }
 
-// stuck is a disk that hangs until it is released, and then fails.
-type stuck struct{ release chan struct{} }
+// blockedWriter is a disk that hangs until it is released, and then fails.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write([]byte) (int, error) {
+func (s blockedWriter) Write([]byte) (int, error) {
 	<-s.release
 	return 0, errors.New("no space")
 }
 
 // The file of a trace hangs, as a network disk does. The decider must go on: it
 // loses records, and both the count and the error tell so.
-func TestStuckWriterStopsNoDecider(t *testing.T) {
-	disk := stuck{make(chan struct{})}
+func TestBlockedWriterDoesNotBlockTheScheduler(t *testing.T) {
+	disk := blockedWriter{make(chan struct{})}
 	recorder := NewRecorder(disk, "r", 1)
-	for range 3 * maxWaiting {
+	for range 3 * maxQueuedRecords {
 		recorder.Step(start, scheduler.Tick{}, nil)
 	}
-	require.GreaterOrEqual(t, recorder.Dropped(), uint64(maxWaiting))
+	require.GreaterOrEqual(t, recorder.Dropped(), uint64(maxQueuedRecords))
 	close(disk.release)
 	require.Error(t, recorder.Close())
 	recorder.Step(start, scheduler.Tick{}, nil)
@@ -215,7 +215,7 @@
 func BenchmarkWriteLine(b *testing.B) {
 	out := bufio.NewWriter(io.Discard)
 	event := Event{scheduler.Arrived{Request: scheduler.Request{ID: 1, Service: "drafts", Workspace: "guias"}}}
-	record := StepRecord{Router: "r", Incarnation: 1, Sequence: 1, Time: start, Event: event, Actions: wrap([]scheduler.Action{scheduler.Dispatch{ID: 1, Upstream: "u1", Attempt: 1}})}
+	record := StepRecord{Router: "r", Incarnation: 1, Sequence: 1, Time: start, Event: event, Actions: wrapActions([]scheduler.Action{scheduler.Dispatch{ID: 1, Upstream: "u1", Attempt: 1}})}
 	for b.Loop() {
 		require.NoError(b, writeLine(out, record))
 	}
--- a/protocol/wire/compress.go
+++ b/protocol/wire/compress.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxObject bounds an object after decompression: the platform's largest
+	// maxObjectBytes bounds an object after decompression: the platform's largest
 	// value.
-	maxObject = 1 << 20
+	maxObjectBytes = 1 << 20
 	// dictionaryID tells frames with a dictionary from others.
 	dictionaryID = 1
 )
@@ -18,7 +18,7 @@
 // dictionary: of two versions of an object little but the difference is left.
 func Compress(value, base []byte) []byte {
 	options := []zstd.EOption{
-		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(maxObject),
+		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(maxObjectBytes),
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
 	}
 	if len(base) > 0 {
@@ -35,7 +35,7 @@
 
 // Decompress returns the value of a frame that Compress made with the same base.
 func Decompress(frame, base []byte) ([]byte, error) {
-	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxObject)}
+	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxObjectBytes)}
 	if len(base) > 0 {
 		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
--- a/protocol/wire/compress_test.go
+++ b/protocol/wire/compress_test.go
@@ -34,13 +34,13 @@
 	value := largeObject(1)
 	frame := Compress(value, nil)
 	require.Less(t, len(frame), len(value)/4)
-	back, err := Decompress(frame, nil)
+	decompressed, err := Decompress(frame, nil)
 	require.NoError(t, err)
-	require.Equal(t, value, back)
+	require.Equal(t, value, decompressed)
 }
 
 // A peer may send garbage, or a change of another version.
-func TestDecompressRefusesWhatDoesNotFit(t *testing.T) {
+func TestDecompressRejectsInvalidFrames(t *testing.T) {
 	before, after := largeObject(1), largeObject(2)
 	change := Compress(after, before)
 	for name, c := range map[string]struct{ frame, base []byte }{
--- a/protocol/wire/decode.go
+++ b/protocol/wire/decode.go
@@ -44,17 +44,17 @@
 }
 
 func (c *checker) demand(from state.Router, m *peerpb.Demand) scheduler.Event {
-	service := c.name("demand.service", m.GetService())
-	c.count("demand.entries", len(m.GetEntries()))
+	service := c.requiredName("demand.service", m.GetService())
+	c.listLength("demand.entries", len(m.GetEntries()))
 	if c.err != nil {
 		return nil
 	}
 	var entries []scheduler.DemandEntry
-	var before state.Model
+	var previous state.Model
 	for _, e := range m.GetEntries() {
-		entry := c.demandEntry(e, before)
+		entry := c.demandEntry(e, previous)
 		entries = append(entries, entry)
-		before = entry.Model
+		previous = entry.Model
 	}
 	return scheduler.DemandHeard{
 		From:   from,
@@ -62,16 +62,16 @@
 	}
 }
 
-func (c *checker) demandEntry(e *peerpb.DemandEntry, before state.Model) scheduler.DemandEntry {
-	model := before
+func (c *checker) demandEntry(e *peerpb.DemandEntry, previous state.Model) scheduler.DemandEntry {
+	model := previous
 	if e != nil && e.Model != nil {
-		model = state.Model(c.optional("demand.model", e.GetModel()))
+		model = state.Model(c.optionalName("demand.model", e.GetModel()))
 	}
 	return scheduler.DemandEntry{
-		Workspace: state.Workspace(c.name("demand.workspace", e.GetWorkspace())),
+		Workspace: state.Workspace(c.requiredName("demand.workspace", e.GetWorkspace())),
 		Model:     model,
-		Waiting:   c.integer("demand.waiting", e.GetWaiting()),
-		HeadAge:   duration(e.GetHeadAgeMs()),
+		Waiting:   c.int32Count("demand.waiting", e.GetWaiting()),
+		HeadAge:   durationFromMillis(e.GetHeadAgeMs()),
 		HeadCost:  c.cost("demand.head_cost", e.GetHeadCost()),
 	}
 }
@@ -80,11 +80,11 @@
 	return scheduler.GrantHeard{Grant: scheduler.Grant{
 		Owner:     from,
 		Sequence:  m.GetSequence(),
-		Service:   state.Service(c.name("grant.service", m.GetService())),
-		Workspace: state.Workspace(c.name("grant.workspace", m.GetWorkspace())),
-		Model:     state.Model(c.optional("grant.model", m.GetModel())),
-		Upstream:  state.Upstream(c.name("grant.upstream", m.GetUpstream())),
-		Lifetime:  duration(m.GetExpiresInMs()),
+		Service:   state.Service(c.requiredName("grant.service", m.GetService())),
+		Workspace: state.Workspace(c.requiredName("grant.workspace", m.GetWorkspace())),
+		Model:     state.Model(c.optionalName("grant.model", m.GetModel())),
+		Upstream:  state.Upstream(c.requiredName("grant.upstream", m.GetUpstream())),
+		Lifetime:  durationFromMillis(m.GetExpiresInMs()),
 		Reserved:  c.cost("grant.reserved", m.GetReserved()),
 	}}
 }
@@ -93,7 +93,7 @@
 	return scheduler.DeclineHeard{
 		From:     from,
 		Sequence: m.GetSequence(),
-		Service:  state.Service(c.name("decline.service", m.GetService())),
+		Service:  state.Service(c.requiredName("decline.service", m.GetService())),
 		Demand:   c.demandEntry(m.GetDemand(), ""),
 	}
 }
@@ -102,9 +102,9 @@
 	return scheduler.ProgressHeard{
 		From:      from,
 		Sequence:  m.GetSequence(),
-		Upstream:  state.Upstream(c.name("progress.upstream", m.GetUpstream())),
-		Service:   state.Service(c.name("progress.service", m.GetService())),
-		Workspace: state.Workspace(c.name("progress.workspace", m.GetWorkspace())),
+		Upstream:  state.Upstream(c.requiredName("progress.upstream", m.GetUpstream())),
+		Service:   state.Service(c.requiredName("progress.service", m.GetService())),
+		Workspace: state.Workspace(c.requiredName("progress.workspace", m.GetWorkspace())),
 		Cost:      c.cost("progress.cost", m.GetCost()),
 		Started:   m.GetStarted(),
 	}
@@ -114,9 +114,9 @@
 	return scheduler.EndedHeard{
 		From:      from,
 		Sequence:  m.GetSequence(),
-		Upstream:  state.Upstream(c.name("ended.upstream", m.GetUpstream())),
-		Service:   state.Service(c.name("ended.service", m.GetService())),
-		Workspace: state.Workspace(c.name("ended.workspace", m.GetWorkspace())),
+		Upstream:  state.Upstream(c.requiredName("ended.upstream", m.GetUpstream())),
+		Service:   state.Service(c.requiredName("ended.service", m.GetService())),
+		Workspace: state.Workspace(c.requiredName("ended.workspace", m.GetWorkspace())),
 		Cost:      c.cost("ended.cost", m.GetCost()),
 		Outcome:   c.outcome(m.GetOutcome()),
 	}
@@ -132,32 +132,32 @@
 
 // usage takes the sender for the origin of counters that name none.
 func (c *checker) usage(from state.Router, incarnation state.Incarnation, m *peerpb.Usage) scheduler.Event {
-	c.count("usage.entries", len(m.GetEntries()))
+	c.listLength("usage.entries", len(m.GetEntries()))
 	if c.err != nil {
 		return nil
 	}
-	heard := scheduler.UsageHeard{Origin: from, Incarnation: incarnation, Full: m.GetFull()}
-	if origin := c.optional("usage.origin", m.GetOrigin()); origin != "" {
-		heard.Origin = state.Router(origin)
-		heard.Incarnation = state.Incarnation(m.GetOriginIncarnation())
+	event := scheduler.UsageHeard{Origin: from, Incarnation: incarnation, Full: m.GetFull()}
+	if origin := c.optionalName("usage.origin", m.GetOrigin()); origin != "" {
+		event.Origin = state.Router(origin)
+		event.Incarnation = state.Incarnation(m.GetOriginIncarnation())
 	}
-	var before state.Service
+	var previous state.Service
 	for _, e := range m.GetEntries() {
-		entry := c.usageEntry(e, before)
-		heard.Entries = append(heard.Entries, entry)
-		before = entry.Service
+		entry := c.usageEntry(e, previous)
+		event.Entries = append(event.Entries, entry)
+		previous = entry.Service
 	}
-	return heard
+	return event
 }
 
-func (c *checker) usageEntry(e *peerpb.UsageEntry, before state.Service) scheduler.UsageEntry {
-	service := before
-	if before == "" || e.GetService() != "" {
-		service = state.Service(c.name("usage.service", e.GetService()))
+func (c *checker) usageEntry(e *peerpb.UsageEntry, previous state.Service) scheduler.UsageEntry {
+	service := previous
+	if previous == "" || e.GetService() != "" {
+		service = state.Service(c.requiredName("usage.service", e.GetService()))
 	}
 	return scheduler.UsageEntry{
 		Service:   service,
-		Workspace: state.Workspace(c.name("usage.workspace", e.GetWorkspace())),
+		Workspace: state.Workspace(c.requiredName("usage.workspace", e.GetWorkspace())),
 		Charged:   c.cost("usage.charged", e.GetCharged()),
 		Reserved:  c.cost("usage.reserved", e.GetReserved()),
 		Lift:      c.cost("usage.lift", e.GetLift()),
@@ -170,14 +170,14 @@
 func (c *checker) crash(m *peerpb.Crash) scheduler.Event {
 	return scheduler.CrashHeard{
 		Fingerprint: state.Fingerprint(m.GetFingerprint()),
-		Upstream:    state.Upstream(c.name("crash.upstream", m.GetUpstream())),
-		Boot:        c.optional("crash.boot", m.GetBoot()),
+		Upstream:    state.Upstream(c.requiredName("crash.upstream", m.GetUpstream())),
+		Boot:        c.optionalName("crash.boot", m.GetBoot()),
 	}
 }
 
 func (c *checker) leaving(m *peerpb.Leaving) scheduler.Event {
 	return scheduler.UpstreamLeaving{
-		Upstream: state.Upstream(c.name("leaving.upstream", m.GetUpstream())),
-		Boot:     c.optional("leaving.boot", m.GetBoot()),
+		Upstream: state.Upstream(c.requiredName("leaving.upstream", m.GetUpstream())),
+		Boot:     c.optionalName("leaving.boot", m.GetBoot()),
 	}
 }
--- a/protocol/wire/encode.go
+++ b/protocol/wire/encode.go
@@ -36,10 +36,10 @@
 
 func demandEnvelope(d scheduler.Demand) *peerpb.Envelope {
 	entries := make([]*peerpb.DemandEntry, 0, len(d.Entries))
-	var before state.Model
+	var previous state.Model
 	for _, e := range d.Entries {
-		entries = append(entries, demandEntry(e, before))
-		before = e.Model
+		entries = append(entries, demandEntry(e, previous))
+		previous = e.Model
 	}
 	body := &peerpb.Demand{Service: string(d.Service), Entries: entries, Full: d.Full}
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Demand{Demand: body}}
@@ -47,16 +47,16 @@
 
 // demandEntry leaves out a model that is that of the entry before. Names are
 // most of a message, and a service has few models.
-func demandEntry(e scheduler.DemandEntry, before state.Model) *peerpb.DemandEntry {
+func demandEntry(e scheduler.DemandEntry, previous state.Model) *peerpb.DemandEntry {
 	var model *string
-	if e.Model != before {
+	if e.Model != previous {
 		model = proto.String(string(e.Model))
 	}
 	return &peerpb.DemandEntry{
 		Workspace: string(e.Workspace),
 		Model:     model,
-		Waiting:   count32(e.Waiting),
-		HeadAgeMs: millis(e.HeadAge),
+		Waiting:   clampCount(e.Waiting),
+		HeadAgeMs: clampMillis(e.HeadAge),
 		HeadCost:  int64(e.HeadCost),
 	}
 }
@@ -68,7 +68,7 @@
 		Workspace:   string(g.Workspace),
 		Model:       string(g.Model),
 		Upstream:    string(g.Upstream),
-		ExpiresInMs: lifetime(g.Lifetime),
+		ExpiresInMs: lifetimeMillis(g.Lifetime),
 		Reserved:    int64(g.Reserved),
 	}
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Grant{Grant: body}}
@@ -109,10 +109,10 @@
 
 func usageEnvelope(a scheduler.SendUsage) *peerpb.Envelope {
 	entries := make([]*peerpb.UsageEntry, 0, len(a.Entries))
-	var before state.Service
+	var previous state.Service
 	for _, e := range a.Entries {
-		entries = append(entries, usageEntry(e, before))
-		before = e.Service
+		entries = append(entries, usageEntry(e, previous))
+		previous = e.Service
 	}
 	body := &peerpb.Usage{
 		Entries:           entries,
@@ -124,7 +124,7 @@
 }
 
 // usageEntry leaves out a service that is that of the entry before.
-func usageEntry(e scheduler.UsageEntry, before state.Service) *peerpb.UsageEntry {
+func usageEntry(e scheduler.UsageEntry, previous state.Service) *peerpb.UsageEntry {
 	entry := &peerpb.UsageEntry{
 		Workspace: string(e.Workspace),
 		Charged:   int64(e.Charged),
@@ -132,7 +132,7 @@
 		Lift:      int64(e.Lift),
 		Virtual:   int64(e.Virtual),
 	}
-	if e.Service != before {
+	if e.Service != previous {
 		entry.Service = string(e.Service)
 	}
 	return entry
--- a/protocol/wire/frame.go
+++ b/protocol/wire/frame.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// MaxControlFrame bounds a frame of scheduling messages and heartbeats.
+	// MaxControlFrameBytes bounds a frame of scheduling messages and heartbeats.
 	// A full usage message of some thousand counters fits.
-	MaxControlFrame = 256 << 10
-	// MaxBulkFrame bounds a frame that carries a configuration object: the
+	MaxControlFrameBytes = 256 << 10
+	// MaxBulkFrameBytes bounds a frame that carries a configuration object: the
 	// platform's largest value, its key and the framing.
-	MaxBulkFrame = 1<<20 + 4<<10
+	MaxBulkFrameBytes = 1<<20 + 4<<10
 )
 
 // AppendFrame appends one length-delimited envelope.
@@ -29,21 +29,21 @@
 
 // FrameReader reads length-delimited envelopes.
 type FrameReader struct {
-	in      *bufio.Reader
+	reader  *bufio.Reader
 	options protodelim.UnmarshalOptions
 }
 
 // NewFrameReader returns a reader that refuses frames longer than maxFrame
 // before it allocates memory for them.
-func NewFrameReader(in *bufio.Reader, maxFrame int64) *FrameReader {
-	return &FrameReader{in: in, options: protodelim.UnmarshalOptions{MaxSize: maxFrame}}
+func NewFrameReader(in *bufio.Reader, maxFrameBytes int64) *FrameReader {
+	return &FrameReader{reader: in, options: protodelim.UnmarshalOptions{MaxSize: maxFrameBytes}}
 }
 
 // Next returns the next envelope. After any error the stream has lost its
 // framing and must be closed.
 func (r *FrameReader) Next() (*peerpb.Envelope, error) {
 	env := new(peerpb.Envelope)
-	if err := r.options.UnmarshalFrom(r.in, env); err != nil {
+	if err := r.options.UnmarshalFrom(r.reader, env); err != nil {
 		return nil, err
 	}
 	return env, nil
--- a/protocol/wire/wire_test.go
+++ b/protocol/wire/wire_test.go
@@ -21,16 +21,16 @@
 
 // mixed and counters repeat names and change them in every way.
 var (
-	mixed = scheduler.Demand{Service: "s", Entries: []scheduler.DemandEntry{
+	mixedDemand = scheduler.Demand{Service: "s", Entries: []scheduler.DemandEntry{
 		{Workspace: "a"}, {Workspace: "a", Model: "m"}, {Workspace: "b", Model: "m"}, {Workspace: "c"}, {Workspace: "d"}, {Workspace: "d", Model: "n"},
 	}}
-	counters = []scheduler.UsageEntry{
+	usageEntries = []scheduler.UsageEntry{
 		{Service: "s", Workspace: "a"}, {Service: "s", Workspace: "b"}, {Service: "t", Workspace: "a", Virtual: -7}, {Service: "s", Workspace: "c"},
 	}
 )
 
-// pairs lists every action that leaves a router with the event it becomes.
-var pairs = []struct {
+// actionEvents lists every action that leaves a router with the event it becomes.
+var actionEvents = []struct {
 	action scheduler.Action
 	event  scheduler.Event
 }{
@@ -59,12 +59,12 @@
 		scheduler.UsageHeard{Origin: sender, Incarnation: 41, Entries: []scheduler.UsageEntry{{Service: "drafts", Workspace: "guias", Charged: 9, Reserved: 2, Lift: 1}}, Full: true},
 	},
 	{
-		scheduler.SendDemand{Demand: mixed},
-		scheduler.DemandHeard{From: sender, Demand: mixed},
+		scheduler.SendDemand{Demand: mixedDemand},
+		scheduler.DemandHeard{From: sender, Demand: mixedDemand},
 	},
 	{
-		scheduler.SendUsage{Entries: counters},
-		scheduler.UsageHeard{Origin: sender, Incarnation: 41, Entries: counters},
+		scheduler.SendUsage{Entries: usageEntries},
+		scheduler.UsageHeard{Origin: sender, Incarnation: 41, Entries: usageEntries},
 	},
 	{
 		scheduler.SendUsage{Origin: "r9", Incarnation: 3},
@@ -81,12 +81,12 @@
 }
 
 func TestActionsArriveAsEvents(t *testing.T) {
-	for _, p := range pairs {
+	for _, p := range actionEvents {
 		env, _, ok := ToEnvelope(p.action)
 		require.True(t, ok, "%T", p.action)
 		frame, err := AppendFrame(nil, env)
 		require.NoError(t, err)
-		read, err := NewFrameReader(bufio.NewReader(bytes.NewReader(frame)), MaxControlFrame).Next()
+		read, err := NewFrameReader(bufio.NewReader(bytes.NewReader(frame)), MaxControlFrameBytes).Next()
 		require.NoError(t, err)
 		event, err := ToEvent(sender, 41, read)
 		require.NoError(t, err)
@@ -100,8 +100,8 @@
 
 // A field that is added to a message and forgotten here would arrive as zero,
 // and only the fairness figures would show it.
-func TestEveryFieldTravels(t *testing.T) {
-	for _, p := range pairs {
+func TestEveryFieldIsConverted(t *testing.T) {
+	for _, p := range actionEvents {
 		filled := reflect.New(reflect.TypeOf(p.action)).Elem()
 		fill(filled)
 		env, _, _ := ToEnvelope(filled.Interface().(scheduler.Action))
@@ -149,7 +149,7 @@
 }
 
 func TestBounds(t *testing.T) {
-	long := strings.Repeat("x", MaxName+1)
+	long := strings.Repeat("x", MaxNameBytes+1)
 	many := make([]*peerpb.UsageEntry, MaxEntries+1)
 	for _, c := range []struct {
 		code Code
@@ -170,11 +170,11 @@
 	}
 }
 
-func TestOversizedFrameIsRefused(t *testing.T) {
-	env := &peerpb.Envelope{Body: &peerpb.Envelope_ConfigObject{ConfigObject: &peerpb.ConfigObject{Value: make([]byte, MaxControlFrame)}}}
+func TestOversizedFrameIsRejected(t *testing.T) {
+	env := &peerpb.Envelope{Body: &peerpb.Envelope_ConfigObject{ConfigObject: &peerpb.ConfigObject{Value: make([]byte, MaxControlFrameBytes)}}}
 	frame, err := AppendFrame(nil, env)
 	require.NoError(t, err)
-	_, err = NewFrameReader(bufio.NewReader(bytes.NewReader(frame)), MaxControlFrame).Next()
+	_, err = NewFrameReader(bufio.NewReader(bytes.NewReader(frame)), MaxControlFrameBytes).Next()
 	var large *protodelim.SizeTooLargeError
 	require.ErrorAs(t, err, &large)
 }
@@ -182,14 +182,14 @@
 // FuzzFrames feeds a reader whatever a faulty or foreign sender may write: it
 // must end in an event or an error, never in a panic.
 func FuzzFrames(f *testing.F) {
-	for _, p := range pairs {
+	for _, p := range actionEvents {
 		env, _, _ := ToEnvelope(p.action)
 		frame, _ := AppendFrame(nil, env)
 		f.Add(frame)
 	}
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		in := NewFrameReader(bufio.NewReader(bytes.NewReader(data)), MaxControlFrame)
+		in := NewFrameReader(bufio.NewReader(bytes.NewReader(data)), MaxControlFrameBytes)
 		for {
 			env, err := in.Next()
 			if err != nil {
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	for _, c := range outcome.Checks(records, LeavingGrace) {
+	for _, c := range outcome.RunChecks(records, LeavingGrace) {
 		r.add(c.Name, c.Passed(), c.String())
 	}
 	return nil
--- a/state/config/change.go
+++ b/state/config/change.go
@@ -24,8 +24,8 @@
 	Summary string `json:"summary,omitempty"`
 }
 
-// Find returns the change with the id.
-func Find(history []Change, id string) (Change, bool) {
+// FindChange returns the change with the id.
+func FindChange(history []Change, id string) (Change, bool) {
 	for _, c := range history {
 		if c.ID == id {
 			return c, true
@@ -65,9 +65,9 @@
 // appendChange returns the last MaxHistory changes with c added, without
 // touching the slice it was given.
 func appendChange(history []Change, c Change) []Change {
-	keep := max(0, len(history)+1-MaxHistory)
+	firstKept := max(0, len(history)+1-MaxHistory)
 	kept := make([]Change, 0, MaxHistory)
-	kept = append(kept, history[keep:]...)
+	kept = append(kept, history[firstKept:]...)
 	return append(kept, c)
 }
 
--- a/state/config/check.go
+++ b/state/config/check.go
@@ -20,8 +20,8 @@
 	teams      map[state.Team]TeamShare
 	services   map[state.Service]Service
 	models     map[state.Model]bool
-	workspaces unique
-	digests    unique
+	workspaces uniqueNames
+	digests    uniqueNames
 }
 
 func newCrossCheck(root Root) *crossCheck {
@@ -29,13 +29,13 @@
 		teams:      make(map[state.Team]TeamShare),
 		services:   make(map[state.Service]Service),
 		models:     make(map[state.Model]bool),
-		workspaces: unique{},
-		digests:    unique{},
+		workspaces: uniqueNames{},
+		digests:    uniqueNames{},
 	}
 	c.addDigests("operator_tokens", root.OperatorTokens)
 	for i, t := range root.Teams {
 		c.teams[t.Name] = t
-		c.addDigests(join(at("teams", i), "tokens"), t.Tokens)
+		c.addDigests(fieldPath(indexPath("teams", i), "tokens"), t.Tokens)
 	}
 	for _, s := range root.Services {
 		c.services[s.Name] = s
@@ -48,56 +48,56 @@
 
 func (c *crossCheck) addDigests(path string, digests []string) {
 	for i, d := range digests {
-		c.digests.checkDigest(&c.faults, inObject(RootKey, at(path, i)), d)
+		c.digests.checkDigest(&c.faults, objectPath(RootKey, indexPath(path, i)), d)
 	}
 }
 
 func (c *crossCheck) checkSubtree(s Subtree) {
 	key := TeamKey(s.Team)
 	if _, ok := c.teams[s.Team]; !ok {
-		c.faults.add(inObject(key, "team"), "the root gives no share to team %q", s.Team)
+		c.faults.add(objectPath(key, "team"), "the root gives no share to team %q", s.Team)
 	}
 	for i, w := range s.Workspaces {
-		path := inObject(key, at("workspaces", i))
-		c.workspaces.check(&c.faults, join(path, "name"), string(w.Name))
+		path := objectPath(key, indexPath("workspaces", i))
+		c.workspaces.check(&c.faults, fieldPath(path, "name"), string(w.Name))
 		c.checkReferences(path, s.Team, w)
 		for j, d := range w.Tokens {
-			c.digests.checkDigest(&c.faults, at(join(path, "tokens"), j), d)
+			c.digests.checkDigest(&c.faults, indexPath(fieldPath(path, "tokens"), j), d)
 		}
 	}
 }
 
 func (c *crossCheck) checkReferences(path string, team state.Team, w Workspace) {
 	for i, s := range w.Services {
-		at := at(join(path, "services"), i)
+		servicePath := indexPath(fieldPath(path, "services"), i)
 		if _, ok := c.services[s]; !ok {
-			c.faults.add(at, "there is no service %q", s)
+			c.faults.add(servicePath, "there is no service %q", s)
 			continue
 		}
-		if !permits(c.teams[team].Services, s) {
-			c.faults.add(at, "team %q may not use service %q", team, s)
+		if !allowedBy(c.teams[team].Services, s) {
+			c.faults.add(servicePath, "team %q may not use service %q", team, s)
 		}
 	}
 	for i, m := range w.Models {
 		if !c.models[m] {
-			c.faults.add(at(join(path, "models"), i), "no service offers model %q", m)
+			c.faults.add(indexPath(fieldPath(path, "models"), i), "no service offers model %q", m)
 		}
 	}
 }
 
-// inObject separates an object's key from the path within it.
-func inObject(key, path string) string {
+// objectPath separates an object's key from the path within it.
+func objectPath(key, path string) string {
 	return key + "#" + path
 }
 
-// permits tells whether a list in an object names the item; an empty list
+// allowedBy tells whether a list in an object names the item; an empty list
 // there names all.
-func permits[T comparable](list []T, item T) bool {
+func allowedBy[T comparable](list []T, item T) bool {
 	if len(list) == 0 {
 		return true
 	}
-	for _, have := range list {
-		if have == item {
+	for _, listed := range list {
+		if listed == item {
 			return true
 		}
 	}
--- a/state/config/fault.go
+++ b/state/config/fault.go
@@ -27,13 +27,13 @@
 	Faults []Fault
 }
 
-// shownFaults bounds the faults in one log line: an object of a megabyte can
+// maxShownFaults bounds the faults in one log line: an object of a megabyte can
 // have a hundred thousand.
-const shownFaults = 20
+const maxShownFaults = 20
 
 // Error joins the first faults into one line.
 func (e *Error) Error() string {
-	shown := e.Faults[:min(len(e.Faults), shownFaults)]
+	shown := e.Faults[:min(len(e.Faults), maxShownFaults)]
 	lines := make([]string, len(shown))
 	for i, f := range shown {
 		lines[i] = f.String()
@@ -52,14 +52,14 @@
 	*fs = append(*fs, Fault{Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
-// addUnlessAt adds later findings, but none below a path that already has a
+// addUnlessPathKnown adds later findings, but none below a path that already has a
 // fault: a value of the wrong type would else be reported as empty as well.
-func (fs *faults) addUnlessAt(later faults) {
+func (fs *faults) addUnlessPathKnown(added faults) {
 	known := make(map[string]bool, len(*fs))
 	for _, f := range *fs {
 		known[f.Path] = true
 	}
-	for _, f := range later {
+	for _, f := range added {
 		if !known[f.Path] {
 			*fs = append(*fs, f)
 		}
@@ -74,22 +74,22 @@
 	return &Error{Faults: fs}
 }
 
-// quotedBytes bounds what a fault repeats of the object.
-const quotedBytes = 100
+// maxQuotedBytes bounds what a fault repeats of the object.
+const maxQuotedBytes = 100
 
 // clip shortens a value of any length for a fault.
 func clip(s string) string {
-	if len(s) <= quotedBytes {
+	if len(s) <= maxQuotedBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:quotedBytes], "") + "..."
+	return strings.ToValidUTF8(s[:maxQuotedBytes], "") + "..."
 }
 
-func at(path string, i int) string {
+func indexPath(path string, i int) string {
 	return fmt.Sprintf("%s[%d]", path, i)
 }
 
-func join(path, field string) string {
+func fieldPath(path, field string) string {
 	if path == "" {
 		return field
 	}
--- a/state/config/names.go
+++ b/state/config/names.go
@@ -74,10 +74,10 @@
 	}
 }
 
-// unique reports names that were seen before under another path.
-type unique map[string]string
+// uniqueNames reports names that were seen before under another path.
+type uniqueNames map[string]string
 
-func (u unique) check(fs *faults, path, name string) {
+func (u uniqueNames) check(fs *faults, path, name string) {
 	if name == "" {
 		return
 	}
@@ -90,17 +90,17 @@
 
 // checkDigests reports ill-formed digests and those that u already holds: a
 // token that means two things would let one caller act as another.
-func (fs *faults) checkDigests(path string, digests []string, u unique) {
+func (fs *faults) checkDigests(path string, digests []string, u uniqueNames) {
 	for i, s := range digests {
 		if _, ok := parseDigest(s); !ok {
-			fs.add(at(path, i), "must be a SHA-256 digest as 64 lower-case hex digits")
+			fs.add(indexPath(path, i), "must be a SHA-256 digest as 64 lower-case hex digits")
 			continue
 		}
-		u.checkDigest(fs, at(path, i), s)
+		u.checkDigest(fs, indexPath(path, i), s)
 	}
 }
 
-func (u unique) checkDigest(fs *faults, path, digest string) {
+func (u uniqueNames) checkDigest(fs *faults, path, digest string) {
 	if first, ok := u[digest]; ok {
 		fs.add(path, "this token is already used by %s", first)
 		return
--- a/state/config/objects.go
+++ b/state/config/objects.go
@@ -94,26 +94,26 @@
 // valid one stays in force and an *InvalidError is returned. Objects are never
 // dropped; a deleted team is a tombstone with a version of its own.
 func (t *Tree) Apply(o Object) (changed bool, err error) {
-	if held, ok := t.objects[o.Key]; ok && o.Version <= held.Version {
+	if stored, ok := t.objects[o.Key]; ok && o.Version <= stored.Version {
 		return false, nil
 	}
 	if o.Version == 0 {
 		return false, nil
 	}
-	if err := t.take(o); err != nil {
-		return false, t.refuse(o, err)
+	if err := t.store(o); err != nil {
+		return false, t.recordInvalid(o, err)
 	}
 	o.Value = append([]byte(nil), o.Value...)
 	t.objects[o.Key] = o
-	if bad, ok := t.invalid[o.Key]; ok && bad.Version < o.Version {
+	if invalid, ok := t.invalid[o.Key]; ok && invalid.Version < o.Version {
 		delete(t.invalid, o.Key)
 	}
 	t.view = nil
 	return true, nil
 }
 
-// take parses the value and stores what it says.
-func (t *Tree) take(o Object) error {
+// store parses the value and stores what it says.
+func (t *Tree) store(o Object) error {
 	if o.Key == RootKey {
 		root, err := ParseRoot(o.Value)
 		if err == nil {
@@ -132,9 +132,9 @@
 	return err
 }
 
-// refuse remembers the newest invalid version of a key of the tree. Other
+// recordInvalid remembers the newest invalid version of a key of the tree. Other
 // keys are not remembered: their number is not bounded.
-func (t *Tree) refuse(o Object, err error) *InvalidError {
+func (t *Tree) recordInvalid(o Object, err error) *InvalidError {
 	invalid := &InvalidError{Key: o.Key, Version: o.Version, Err: err}
 	known, ok := t.invalid[o.Key]
 	newer := !ok || known.Version < o.Version
@@ -159,11 +159,11 @@
 // object leaves as they are don't count: of two clashes, the first could
 // otherwise never be mended alone.
 func (t *Tree) CheckWith(key string, value []byte) error {
-	with := t.clone()
-	if err := with.take(Object{Key: key, Value: value}); err != nil {
+	candidate := t.clone()
+	if err := candidate.store(Object{Key: key, Value: value}); err != nil {
 		return err
 	}
-	after := with.crossFaults()
+	after := candidate.crossFaults()
 	known := make(map[string]bool)
 	for _, f := range t.crossFaults() {
 		known[f.Reason] = true
@@ -219,13 +219,13 @@
 	return o, ok
 }
 
-// Refused returns the newest invalid version seen of an object, or zero.
-func (t *Tree) Refused(key string) uint64 {
-	bad, ok := t.invalid[key]
+// InvalidVersion returns the newest invalid version seen of an object, or zero.
+func (t *Tree) InvalidVersion(key string) uint64 {
+	invalid, ok := t.invalid[key]
 	if !ok {
 		return 0
 	}
-	return bad.Version
+	return invalid.Version
 }
 
 // Invalid returns the newest version of each object that was seen but not
--- a/state/config/objects_test.go
+++ b/state/config/objects_test.go
@@ -21,7 +21,7 @@
 // An operator fixes a weight and sees it in force. A router that was cut off
 // then hands its old copy around, and after it comes a newer but damaged
 // object. Callers must go on under the fixed weight throughout.
-func TestTreeNeverGoesBack(t *testing.T) {
+func TestTreeNeverRevertsToAnOlderVersion(t *testing.T) {
 	tree := config.NewTree()
 	key := config.TeamKey("turismo")
 	require.True(t, apply(t, tree, key, 5, `{"team": "turismo", "workspaces": [{"name": "guides", "weight": 1, "tokens": []}]}`))
@@ -48,7 +48,7 @@
 
 // Two teams took names of each other's workspaces at the same moment, on two
 // occasions. Each clash must be mendable alone, and no third may be added.
-func TestClashesAreMendedOneByOne(t *testing.T) {
+func TestConflictsCanBeFixedOneByOne(t *testing.T) {
 	const two = `{"team": "%s", "workspaces": [{"name": "a", "weight": 1, "tokens": []}, {"name": "%s", "weight": 1, "tokens": []}]}`
 	tree := config.NewTree()
 	apply(t, tree, config.RootKey, 1, rootJSON)
@@ -58,22 +58,22 @@
 	require.ErrorContains(t, tree.View().Err(), `workspace "a"`)
 	require.NoError(t, tree.CheckWith(key, []byte(fmt.Sprintf(two, "reservas", "c"))))
 	err := tree.CheckWith(key, []byte(`{"team": "reservas", "workspaces": [{"name": "a", "weight": 1, "tokens": [], "services": ["drafts"]}]}`))
-	require.Equal(t, []string{key + "#workspaces[0].services[0]"}, paths(t, err))
+	require.Equal(t, []string{key + "#workspaces[0].services[0]"}, faultPaths(t, err))
 }
 
-func TestTreeRefusesOtherKeys(t *testing.T) {
+func TestTreeRejectsUnknownKeys(t *testing.T) {
 	for _, key := range []string{"config/other", "config/teams/", "config/teams/a/b", "claims/1"} {
 		_, err := config.NewTree().Apply(config.Object{Key: key, Version: 1, Value: []byte("{}")})
 		require.ErrorIs(t, err, config.ErrUnknownKey)
 	}
 }
 
-func TestVersionsNeverFall(t *testing.T) {
+func TestVersionsNeverDecrease(t *testing.T) {
 	keys := []string{config.RootKey, config.TeamKey("turismo"), config.TeamKey("reservas")}
 	values := []string{rootJSON, `{"team": "turismo", "workspaces": []}`, `{"team": "reservas", "workspaces": [], "deleted": true}`, `{`}
 	rapid.Check(t, func(t *rapid.T) {
 		tree := config.NewTree()
-		best := make(map[string]uint64)
+		newest := make(map[string]uint64)
 		for range rapid.IntRange(1, 40).Draw(t, "objects") {
 			o := config.Object{
 				Key:     rapid.SampledFrom(keys).Draw(t, "key"),
@@ -81,13 +81,13 @@
 				Value:   []byte(rapid.SampledFrom(values).Draw(t, "value")),
 			}
 			changed, err := tree.Apply(o)
-			held := tree.Versions()[o.Key]
-			require.Equal(t, changed, held > best[o.Key], "changed means a rise, and only that")
-			require.GreaterOrEqual(t, held, best[o.Key])
-			if err == nil && o.Version > best[o.Key] {
-				require.Equal(t, o.Version, held)
+			stored := tree.Versions()[o.Key]
+			require.Equal(t, changed, stored > newest[o.Key], "changed means a rise, and only that")
+			require.GreaterOrEqual(t, stored, newest[o.Key])
+			if err == nil && o.Version > newest[o.Key] {
+				require.Equal(t, o.Version, stored)
 			}
-			best[o.Key] = held
+			newest[o.Key] = stored
 		}
 	})
 }
@@ -99,9 +99,9 @@
 	}
 	require.Len(t, root.History, config.MaxHistory)
 	require.Equal(t, "24", root.ChangeID)
-	_, ok := config.Find(root.History, "4")
+	_, ok := config.FindChange(root.History, "4")
 	require.False(t, ok)
-	found, ok := config.Find(root.History, "5")
+	found, ok := config.FindChange(root.History, "5")
 	require.True(t, ok)
 	require.Equal(t, uint64(5), found.Base)
 }
--- a/state/config/parse.go
+++ b/state/config/parse.go
@@ -28,7 +28,7 @@
 func ParseRoot(data []byte) (Root, error) {
 	var root Root
 	fs := decodeStrict(data, &root)
-	fs.addUnlessAt(checkRoot(root))
+	fs.addUnlessPathKnown(checkRoot(root))
 	if err := fs.err(); err != nil {
 		return Root{}, err
 	}
@@ -40,7 +40,7 @@
 func ParseSubtree(team state.Team, data []byte) (Subtree, error) {
 	var subtree Subtree
 	fs := decodeStrict(data, &subtree)
-	fs.addUnlessAt(checkSubtree(team, subtree))
+	fs.addUnlessPathKnown(checkSubtree(team, subtree))
 	if err := fs.err(); err != nil {
 		return Subtree{}, err
 	}
@@ -49,53 +49,53 @@
 
 func checkRoot(root Root) faults {
 	var fs faults
-	digests := unique{}
+	digests := uniqueNames{}
 	fs.checkDigests("operator_tokens", root.OperatorTokens, digests)
-	services := unique{}
-	upstreams := unique{}
+	services := uniqueNames{}
+	upstreams := uniqueNames{}
 	for i, s := range root.Services {
-		path := at("services", i)
-		services.check(&fs, join(path, "name"), string(s.Name))
+		path := indexPath("services", i)
+		services.check(&fs, fieldPath(path, "name"), string(s.Name))
 		fs.checkService(path, s, upstreams)
 	}
-	teams := unique{}
+	teams := uniqueNames{}
 	for i, t := range root.Teams {
-		path := at("teams", i)
-		teams.check(&fs, join(path, "name"), string(t.Name))
+		path := indexPath("teams", i)
+		teams.check(&fs, fieldPath(path, "name"), string(t.Name))
 		fs.checkTeam(path, t, services, digests)
 	}
 	fs.checkHistory(root.History, root.ChangeID)
 	return fs
 }
 
-func (fs *faults) checkTeam(path string, t TeamShare, services, digests unique) {
-	fs.checkName(join(path, "name"), string(t.Name))
-	fs.checkWeight(join(path, "share"), t.Share)
-	fs.checkDigests(join(path, "tokens"), t.Tokens, digests)
-	fs.checkServiceNames(join(path, "services"), t.Services)
+func (fs *faults) checkTeam(path string, t TeamShare, services, digests uniqueNames) {
+	fs.checkName(fieldPath(path, "name"), string(t.Name))
+	fs.checkWeight(fieldPath(path, "share"), t.Share)
+	fs.checkDigests(fieldPath(path, "tokens"), t.Tokens, digests)
+	fs.checkServiceNames(fieldPath(path, "services"), t.Services)
 	for i, s := range t.Services {
 		if _, ok := services[string(s)]; !ok && s != "" {
-			fs.add(at(join(path, "services"), i), "there is no service %q", s)
+			fs.add(indexPath(fieldPath(path, "services"), i), "there is no service %q", s)
 		}
 	}
 }
 
-func (fs *faults) checkService(path string, s Service, upstreams unique) {
-	fs.checkName(join(path, "name"), string(s.Name))
+func (fs *faults) checkService(path string, s Service, upstreams uniqueNames) {
+	fs.checkName(fieldPath(path, "name"), string(s.Name))
 	if s.Kind != KindEngine && s.Kind != KindWorker {
-		fs.add(join(path, "kind"), "must be %q or %q", KindEngine, KindWorker)
+		fs.add(fieldPath(path, "kind"), "must be %q or %q", KindEngine, KindWorker)
 	}
 	if s.Kind == KindWorker && len(s.Models) > 0 {
-		fs.add(join(path, "models"), "application workers hold no models")
+		fs.add(fieldPath(path, "models"), "application workers hold no models")
 	}
-	fs.checkModelNames(join(path, "models"), s.Models)
-	fs.checkCost(join(path, "cost"), s.Cost)
-	fs.checkLimits(join(path, "limits"), s.Limits)
+	fs.checkModelNames(fieldPath(path, "models"), s.Models)
+	fs.checkCost(fieldPath(path, "cost"), s.Cost)
+	fs.checkLimits(fieldPath(path, "limits"), s.Limits)
 	for i, u := range s.Upstreams {
-		under := at(join(path, "upstreams"), i)
-		upstreams.check(fs, join(under, "name"), string(u.Name))
-		fs.checkUpstream(under, u)
-		fs.checkWantedModels(join(under, "wanted_models"), s, u.WantedModels)
+		upstreamPath := indexPath(fieldPath(path, "upstreams"), i)
+		upstreams.check(fs, fieldPath(upstreamPath, "name"), string(u.Name))
+		fs.checkUpstream(upstreamPath, u)
+		fs.checkWantedModels(fieldPath(upstreamPath, "wanted_models"), s, u.WantedModels)
 	}
 }
 
@@ -108,16 +108,16 @@
 	}
 	fs.checkModelNames(path, wanted)
 	for i, m := range wanted {
-		if m != "" && !permits(s.Models, m) {
-			fs.add(at(path, i), "the service does not offer model %q", m)
+		if m != "" && !allowedBy(s.Models, m) {
+			fs.add(indexPath(path, i), "the service does not offer model %q", m)
 		}
 	}
 }
 
 func (fs *faults) checkCost(path string, c CostWeights) {
-	fs.checkPrice(join(path, "input_token"), c.InputToken)
-	fs.checkPrice(join(path, "output_token"), c.OutputToken)
-	fs.checkPrice(join(path, "busy_second"), c.BusySecond)
+	fs.checkPrice(fieldPath(path, "input_token"), c.InputToken)
+	fs.checkPrice(fieldPath(path, "output_token"), c.OutputToken)
+	fs.checkPrice(fieldPath(path, "busy_second"), c.BusySecond)
 }
 
 // checkPrice admits zero, which charges nothing for that kind of usage.
@@ -134,17 +134,17 @@
 }
 
 func (fs *faults) checkLimits(path string, l Limits) {
-	fs.checkNotNegative(join(path, "queue_requests"), int64(l.QueueRequests))
-	fs.checkNotNegative(join(path, "queue_bytes"), l.QueueBytes)
-	fs.checkNotNegative(join(path, "body_bytes"), l.BodyBytes)
-	fs.checkNotNegative(join(path, "answer_bytes"), l.AnswerBytes)
-	fs.checkNotNegative(join(path, "deadline_ms"), l.DeadlineMillis)
+	fs.checkNotNegative(fieldPath(path, "queue_requests"), int64(l.QueueRequests))
+	fs.checkNotNegative(fieldPath(path, "queue_bytes"), l.QueueBytes)
+	fs.checkNotNegative(fieldPath(path, "body_bytes"), l.BodyBytes)
+	fs.checkNotNegative(fieldPath(path, "answer_bytes"), l.AnswerBytes)
+	fs.checkNotNegative(fieldPath(path, "deadline_ms"), l.DeadlineMillis)
 	if l.DeadlineMillis > MaxDeadlineMillis {
-		fs.add(join(path, "deadline_ms"), "%d is more than a day", l.DeadlineMillis)
+		fs.add(fieldPath(path, "deadline_ms"), "%d is more than a day", l.DeadlineMillis)
 	}
-	full := l.WithDefaults()
-	if l.QueueBytes >= 0 && l.BodyBytes >= 0 && full.QueueBytes < full.BodyBytes {
-		fs.add(join(path, "queue_bytes"), "%d cannot hold one body of %d bytes", full.QueueBytes, full.BodyBytes)
+	effective := l.WithDefaults()
+	if l.QueueBytes >= 0 && l.BodyBytes >= 0 && effective.QueueBytes < effective.BodyBytes {
+		fs.add(fieldPath(path, "queue_bytes"), "%d cannot hold one body of %d bytes", effective.QueueBytes, effective.BodyBytes)
 	}
 }
 
@@ -155,11 +155,11 @@
 }
 
 func (fs *faults) checkUpstream(path string, u Upstream) {
-	fs.checkName(join(path, "name"), string(u.Name))
-	fs.checkName(join(path, "data_centre"), string(u.DataCentre))
-	fs.checkURL(join(path, "url"), u.URL)
+	fs.checkName(fieldPath(path, "name"), string(u.Name))
+	fs.checkName(fieldPath(path, "data_centre"), string(u.DataCentre))
+	fs.checkURL(fieldPath(path, "url"), u.URL)
 	if u.Slots < 0 || u.Slots > MaxSlots {
-		fs.add(join(path, "slots"), "%d must be from 0 to %d", u.Slots, MaxSlots)
+		fs.add(fieldPath(path, "slots"), "%d must be from 0 to %d", u.Slots, MaxSlots)
 	}
 }
 
@@ -196,37 +196,37 @@
 	if s.Deleted && len(s.Workspaces) > 0 {
 		fs.add("workspaces", "a deleted team has none")
 	}
-	names := unique{}
-	digests := unique{}
+	names := uniqueNames{}
+	digests := uniqueNames{}
 	for i, w := range s.Workspaces {
-		path := at("workspaces", i)
-		names.check(&fs, join(path, "name"), string(w.Name))
+		path := indexPath("workspaces", i)
+		names.check(&fs, fieldPath(path, "name"), string(w.Name))
 		fs.checkWorkspace(path, w, digests)
 	}
 	fs.checkHistory(s.History, s.ChangeID)
 	return fs
 }
 
-func (fs *faults) checkWorkspace(path string, w Workspace, digests unique) {
-	fs.checkName(join(path, "name"), string(w.Name))
-	fs.checkWeight(join(path, "weight"), w.Weight)
-	fs.checkDigests(join(path, "tokens"), w.Tokens, digests)
-	fs.checkServiceNames(join(path, "services"), w.Services)
-	fs.checkModelNames(join(path, "models"), w.Models)
+func (fs *faults) checkWorkspace(path string, w Workspace, digests uniqueNames) {
+	fs.checkName(fieldPath(path, "name"), string(w.Name))
+	fs.checkWeight(fieldPath(path, "weight"), w.Weight)
+	fs.checkDigests(fieldPath(path, "tokens"), w.Tokens, digests)
+	fs.checkServiceNames(fieldPath(path, "services"), w.Services)
+	fs.checkModelNames(fieldPath(path, "models"), w.Models)
 }
 
 func (fs *faults) checkServiceNames(path string, services []state.Service) {
-	names := unique{}
+	names := uniqueNames{}
 	for i, s := range services {
-		fs.checkName(at(path, i), string(s))
-		names.check(fs, at(path, i), string(s))
+		fs.checkName(indexPath(path, i), string(s))
+		names.check(fs, indexPath(path, i), string(s))
 	}
 }
 
 func (fs *faults) checkModelNames(path string, models []state.Model) {
-	names := unique{}
+	names := uniqueNames{}
 	for i, m := range models {
-		fs.checkModel(at(path, i), string(m))
-		names.check(fs, at(path, i), string(m))
+		fs.checkModel(indexPath(path, i), string(m))
+		names.check(fs, indexPath(path, i), string(m))
 	}
 }
--- a/state/config/parse_test.go
+++ b/state/config/parse_test.go
@@ -31,8 +31,8 @@
 	digestC = config.DigestOf("caller token").String()
 )
 
-// paths lists the paths of all faults in err.
-func paths(t *testing.T, err error) []string {
+// faultPaths lists the paths of all faults in err.
+func faultPaths(t *testing.T, err error) []string {
 	t.Helper()
 	var faults *config.Error
 	require.True(t, errors.As(err, &faults), "%v", err)
@@ -71,7 +71,7 @@
 		"services[0].upstreams[1].name", "services[0].upstreams[1].url", "services[0].upstreams[1].data_centre", "services[0].upstreams[1].slots",
 		"services[0].upstreams[2].name", "services[0].upstreams[2].url",
 		"operator_tokens", "surprise",
-	}, paths(t, err))
+	}, faultPaths(t, err))
 }
 
 // An operator misspells a model version or names it twice, or wants a worker to
@@ -101,11 +101,11 @@
 		for _, fault := range c.faults {
 			want = append(want, "services[0].upstreams[0]."+fault)
 		}
-		require.Equal(t, want, paths(t, err), text)
+		require.Equal(t, want, faultPaths(t, err), text)
 	}
 }
 
-func TestParseRefusesWhatIsNotOneObject(t *testing.T) {
+func TestParseRejectsAnythingButOneObject(t *testing.T) {
 	for _, data := range []string{"", "{", "null", "[]", "7", "{} {}", rootJSON + "x", strings.Repeat(" ", config.MaxObjectBytes+1)} {
 		_, err := config.ParseRoot([]byte(data))
 		require.Error(t, err, "%.20q", data)
@@ -117,7 +117,7 @@
 	long := strings.Repeat("x", 1000)
 	data := strings.Repeat(`{"`+long+`": 1, "url": "`+long+`"},`, 100)
 	_, err := config.ParseRoot([]byte(`{"services": [{"upstreams": [` + strings.TrimSuffix(data, ",") + `]}]}`))
-	require.Greater(t, len(paths(t, err)), 100)
+	require.Greater(t, len(faultPaths(t, err)), 100)
 	require.Less(t, len(err.Error()), 10_000)
 }
 
@@ -129,7 +129,7 @@
 	require.ElementsMatch(t, []string{
 		"team", "workspaces", "workspaces[0].weight", "workspaces[0].services[1]",
 		"workspaces[1].name", "workspaces[1].tokens[0]", "workspaces[1].models[0]",
-	}, paths(t, err))
+	}, faultPaths(t, err))
 }
 
 func TestCheckListsCrossReferences(t *testing.T) {
@@ -145,6 +145,6 @@
 		"config/teams/turismo#workspaces[0].models[0]", "config/teams/turismo#workspaces[0].tokens[0]",
 		"config/teams/reservas#workspaces[0].name", "config/teams/reservas#workspaces[0].services[0]", "config/teams/reservas#workspaces[0].services[1]",
 		"config/teams/stranger#team",
-	}, paths(t, config.Check(root, subtrees)))
+	}, faultPaths(t, config.Check(root, subtrees)))
 	require.NoError(t, config.Check(root, subtrees[3:]))
 }
--- a/state/config/strict.go
+++ b/state/config/strict.go
@@ -31,15 +31,15 @@
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
 		fs.add("", "data after the end of the object")
 	}
-	fs.compare("", raw, reflect.TypeOf(into).Elem())
+	fs.checkType("", raw, reflect.TypeOf(into).Elem())
 	if err := json.Unmarshal(raw, into); err != nil && len(fs) == 0 {
 		fs.add("", "%v", err)
 	}
 	return fs
 }
 
-// compare checks raw against t and descends into objects and arrays.
-func (fs *faults) compare(path string, raw json.RawMessage, t reflect.Type) {
+// checkType checks raw against t and descends into objects and arrays.
+func (fs *faults) checkType(path string, raw json.RawMessage, t reflect.Type) {
 	if string(raw) == "null" {
 		if t.Kind() != reflect.Slice {
 			fs.add(path, "must not be null")
@@ -48,15 +48,15 @@
 	}
 	switch {
 	case t.Kind() == reflect.Struct && raw[0] == '{':
-		fs.compareObject(path, raw, t)
+		fs.checkObject(path, raw, t)
 	case t.Kind() == reflect.Slice && raw[0] == '[':
-		fs.compareArray(path, raw, t.Elem())
+		fs.checkArray(path, raw, t.Elem())
 	default:
-		fs.compareValue(path, raw, t)
+		fs.checkScalar(path, raw, t)
 	}
 }
 
-func (fs *faults) compareObject(path string, raw json.RawMessage, t reflect.Type) {
+func (fs *faults) checkObject(path string, raw json.RawMessage, t reflect.Type) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	_, _ = dec.Token() // the opening brace
 	seen := make(map[string]bool)
@@ -70,31 +70,31 @@
 		if err := dec.Decode(&value); err != nil {
 			return
 		}
-		field, ok := fieldNamed(t, name)
+		fieldType, ok := fieldNamed(t, name)
 		switch {
 		case !ok:
-			fs.add(join(path, clip(name)), "unknown field")
+			fs.add(fieldPath(path, clip(name)), "unknown field")
 		case seen[name]:
-			fs.add(join(path, clip(name)), "field given twice")
+			fs.add(fieldPath(path, clip(name)), "field given twice")
 		default:
-			fs.compare(join(path, name), value, field)
+			fs.checkType(fieldPath(path, name), value, fieldType)
 		}
 		seen[name] = true
 	}
 }
 
-func (fs *faults) compareArray(path string, raw json.RawMessage, elem reflect.Type) {
+func (fs *faults) checkArray(path string, raw json.RawMessage, elem reflect.Type) {
 	var values []json.RawMessage
 	if err := json.Unmarshal(raw, &values); err != nil {
 		fs.add(path, "%v", err)
 		return
 	}
 	for i, value := range values {
-		fs.compare(at(path, i), value, elem)
+		fs.checkType(indexPath(path, i), value, elem)
 	}
 }
 
-func (fs *faults) compareValue(path string, raw json.RawMessage, t reflect.Type) {
+func (fs *faults) checkScalar(path string, raw json.RawMessage, t reflect.Type) {
 	if t.Kind() == reflect.String && raw[0] == '"' {
 		return
 	}
--- a/state/config/view.go
+++ b/state/config/view.go
@@ -48,13 +48,13 @@
 // View is one state of the whole tree, derived once and never changed, so
 // that any number of goroutines read it without a lock.
 type View struct {
-	root       Root
-	subtrees   map[state.Team]Subtree
-	settings   Settings
-	services   map[state.Service]Service
-	workspaces map[state.Workspace]WorkspaceSettings
-	principals map[Digest]credential
-	faults     faults
+	root        Root
+	subtrees    map[state.Team]Subtree
+	settings    Settings
+	services    map[state.Service]Service
+	workspaces  map[state.Workspace]WorkspaceSettings
+	credentials map[Digest]credential
+	faults      faults
 }
 
 // credential is what one digest stands for. It repeats the digest for a
@@ -70,11 +70,11 @@
 // is told by Err. Names that refer to nothing permit nothing.
 func NewView(root Root, subtrees []Subtree) *View {
 	v := &View{
-		root:       root,
-		subtrees:   make(map[state.Team]Subtree),
-		services:   make(map[state.Service]Service),
-		workspaces: make(map[state.Workspace]WorkspaceSettings),
-		principals: make(map[Digest]credential),
+		root:        root,
+		subtrees:    make(map[state.Team]Subtree),
+		services:    make(map[state.Service]Service),
+		workspaces:  make(map[state.Workspace]WorkspaceSettings),
+		credentials: make(map[Digest]credential),
 	}
 	for _, s := range subtrees {
 		if !s.Deleted {
@@ -112,11 +112,11 @@
 		if !ok {
 			continue
 		}
-		if _, taken := v.principals[d]; taken {
+		if _, used := v.credentials[d]; used {
 			v.faults.add(path, "token %s is used twice", d.Short())
 			continue
 		}
-		v.principals[d] = credential{digest: d, principal: p}
+		v.credentials[d] = credential{digest: d, principal: p}
 	}
 }
 
@@ -139,7 +139,7 @@
 	members := make(map[state.Team][]Workspace)
 	for _, t := range v.root.Teams {
 		for _, w := range v.subtrees[t.Name].Workspaces {
-			if first, taken := owner[w.Name]; taken {
+			if first, used := owner[w.Name]; used {
 				v.faults.add(TeamKey(t.Name), "workspace %q belongs to team %q", w.Name, first)
 				continue
 			}
@@ -152,7 +152,7 @@
 
 // addWorkspaces divides a team's part among its workspaces. Teams without a
 // workspace take no part, so that the parts in use add up to the whole.
-func (v *View) addWorkspaces(t TeamShare, part float64, members []Workspace) {
+func (v *View) addWorkspaces(t TeamShare, teamShare float64, members []Workspace) {
 	weights := 0.0
 	for _, w := range members {
 		weights += w.Weight
@@ -161,9 +161,9 @@
 		settings := WorkspaceSettings{
 			Name:     w.Name,
 			Team:     t.Name,
-			Share:    part * (w.Weight / weights),
+			Share:    teamShare * (w.Weight / weights),
 			Services: intersect(t.Services, w.Services),
-			Models:   restrict(w.Models),
+			Models:   nilIfEmpty(w.Models),
 		}
 		v.workspaces[w.Name] = settings
 		v.settings.Workspaces = append(v.settings.Workspaces, settings)
@@ -171,9 +171,9 @@
 	}
 }
 
-// restrict turns an object's list, where empty names all, into one of the
+// nilIfEmpty turns an object's list, where empty names all, into one of the
 // derived settings, where only nil does.
-func restrict[T any](list []T) []T {
+func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
 	}
@@ -184,18 +184,18 @@
 // give an empty list, never nil: nil would permit everything.
 func intersect(team, workspace []state.Service) []state.Service {
 	if len(team) == 0 {
-		return restrict(workspace)
+		return nilIfEmpty(workspace)
 	}
 	if len(workspace) == 0 {
 		return team
 	}
-	both := make([]state.Service, 0, len(workspace))
+	common := make([]state.Service, 0, len(workspace))
 	for _, s := range workspace {
 		if slices.Contains(team, s) {
-			both = append(both, s)
+			common = append(common, s)
 		}
 	}
-	return both
+	return common
 }
 
 // Settings returns the flat settings, services and workspaces in order of
@@ -229,9 +229,9 @@
 		return Principal{}, false
 	}
 	digest := DigestOf(token)
-	found, ok := v.principals[digest]
-	same := subtle.ConstantTimeCompare(digest[:], found.digest[:]) == 1
-	if !ok || !same {
+	found, ok := v.credentials[digest]
+	equal := subtle.ConstantTimeCompare(digest[:], found.digest[:]) == 1
+	if !ok || !equal {
 		return Principal{}, false
 	}
 	return found.principal, true
@@ -268,10 +268,10 @@
 	if s.Kind == KindWorker {
 		return allowsNoModel(model)
 	}
-	if !permits(s.Models, model) {
+	if !allowedBy(s.Models, model) {
 		return result.UnknownModel
 	}
-	if !permits(w.Models, model) {
+	if !allowedBy(w.Models, model) {
 		return result.Forbidden
 	}
 	return result.OK
--- a/state/config/view_test.go
+++ b/state/config/view_test.go
@@ -118,7 +118,7 @@
 	return byTeam, sum
 }
 
-func TestSharesAddUpAndWeightsStayInsideTheTeam(t *testing.T) {
+func TestSharesAddUpAndWeightsOnlyAffectTheirTeam(t *testing.T) {
 	const rounding = 1e-9
 	rapid.Check(t, func(t *rapid.T) {
 		root, subtrees := drawTree(t)
@@ -126,9 +126,9 @@
 		if len(before) > 0 {
 			require.InDelta(t, 1, sum, rounding)
 		}
-		raiser := rapid.SampledFrom(subtrees).Draw(t, "raiser")
-		for i := range raiser.Workspaces {
-			raiser.Workspaces[i].Weight *= rapid.Float64Range(1, 1000).Draw(t, "factor")
+		raised := rapid.SampledFrom(subtrees).Draw(t, "raiser")
+		for i := range raised.Workspaces {
+			raised.Workspaces[i].Weight *= rapid.Float64Range(1, 1000).Draw(t, "factor")
 		}
 		after, _ := teamShares(config.NewView(root, subtrees))
 		for team, share := range before {
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -47,21 +47,21 @@
 // Apply takes an entry if it is newer than what is held, and says whether it
 // did.
 func (d *Directory) Apply(id state.Upstream, entry Entry) bool {
-	if !d.Newer(id, entry) {
+	if !d.IsNewer(id, entry) {
 		return false
 	}
 	d.entries[id] = entry
 	return true
 }
 
-// Newer says whether an entry is newer than what is held. Revisions only grow,
+// IsNewer says whether an entry is newer than what is held. Revisions only grow,
 // so an old answer of the store, or a peer that was cut off, never brings back
 // an upstream that has left. A removal counts against the revision that it
 // removed.
-func (d *Directory) Newer(id state.Upstream, entry Entry) bool {
-	held, ok := d.entries[id]
-	removes := !entry.Present && held.Present && held.Revision == entry.Revision
-	return !ok || held.Revision < entry.Revision || removes
+func (d *Directory) IsNewer(id state.Upstream, entry Entry) bool {
+	current, ok := d.entries[id]
+	removes := !entry.Present && current.Present && current.Revision == entry.Revision
+	return !ok || current.Revision < entry.Revision || removes
 }
 
 // Entry returns what is held of an id.
--- a/state/directory/directory_test.go
+++ b/state/directory/directory_test.go
@@ -8,13 +8,13 @@
 
 // A router hears of an upstream's leaving from a peer, then an old answer of
 // the store arrives that still lists it. It must not come back.
-func TestOldEntriesDoNotReturn(t *testing.T) {
+func TestOlderRevisionDoesNotRestoreAnEntry(t *testing.T) {
 	d := New()
 	ready := Entry{Revision: 5, Present: true, Upstream: Upstream{ID: "u"}}
-	gone := Entry{Revision: 9}
+	removed := Entry{Revision: 9}
 	require.True(t, d.Apply("u", ready))
 	require.False(t, d.Apply("u", ready), "the same is no news")
-	require.True(t, d.Apply("u", gone))
+	require.True(t, d.Apply("u", removed))
 	require.False(t, d.Apply("u", ready))
 	held, ok := d.Entry("u")
 	require.True(t, ok)
@@ -22,7 +22,7 @@
 }
 
 // A removal is told with the revision of the entry that it removed.
-func TestRemovalCountsAgainstItsOwnRevision(t *testing.T) {
+func TestRemovalAppliesAtTheRevisionItRemoves(t *testing.T) {
 	d := New()
 	require.True(t, d.Apply("u", Entry{Revision: 5, Present: true}))
 	require.True(t, d.Apply("u", Entry{Revision: 5}))
--- a/state/result/result.go
+++ b/state/result/result.go
@@ -141,9 +141,9 @@
 	{NotFound, "not-found", http.StatusNotFound, RanNo, false, "There is no such object."},
 }
 
-var byCode = index(Table)
+var byCode = indexByCode(Table)
 
-func index(table []Entry) map[Code]Entry {
+func indexByCode(table []Entry) map[Code]Entry {
 	entries := make(map[Code]Entry, len(table))
 	for _, e := range table {
 		entries[e.Code] = e
@@ -177,8 +177,8 @@
 	return Result{Code: c, Ran: Lookup(c).Ran, Detail: detail}
 }
 
-// After returns the result with a time to come back.
-func (r Result) After(d time.Duration) Result {
+// WithRetryAfter returns the result with a time to come back.
+func (r Result) WithRetryAfter(d time.Duration) Result {
 	r.RetryAfter = d
 	return r
 }
--- a/state/result/table_test.go
+++ b/state/result/table_test.go
@@ -32,8 +32,8 @@
 	return names
 }
 
-// documented renders the table as docs/RESULTS.md has it.
-func documented() string {
+// renderTable renders the table as docs/RESULTS.md has it.
+func renderTable() string {
 	var b strings.Builder
 	b.WriteString("| code | name | status | ran | `Retry-After` | meaning |\n|---|---|---|---|---|---|\n")
 	for _, e := range Table {
@@ -48,7 +48,7 @@
 
 // TestDocsHoldTheTable: callers program against the page, so a row that is
 // missing, left over or changed there is as wrong as one in the code.
-func TestDocsHoldTheTable(t *testing.T) {
+func TestDocsMatchTheTable(t *testing.T) {
 	page, err := os.ReadFile("../../docs/RESULTS.md")
 	require.NoError(t, err)
 	var rows []string
@@ -57,7 +57,7 @@
 			rows = append(rows, line)
 		}
 	}
-	require.Equal(t, documented(), strings.Join(rows, ""))
+	require.Equal(t, renderTable(), strings.Join(rows, ""))
 }
 
 func TestTableIsConsistent(t *testing.T) {
