--- a/state/routing/routing.go
+++ b/state/routing/routing.go
@@ -52,12 +52,12 @@
 	// Timeout is the longest time a request may be kept; zero means the
 	// caller's own deadline alone.
 	Timeout time.Duration
-	// Target is the latency within which an answer, or a stream's first
+	// TargetLatency is the latency within which an answer, or a stream's first
 	// event, is on time.
-	Target time.Duration
-	// Pause is the longest time between two events of a stream with which it
+	TargetLatency time.Duration
+	// MaxEventGap is the longest time between two events of a stream with which it
 	// is still on time; zero means none.
-	Pause time.Duration
+	MaxEventGap time.Duration
 	// Priority ranks the route; 0 is the highest.
 	Priority int
 	Backends []Backend
--- a/state/routing/table.go
+++ b/state/routing/table.go
@@ -24,7 +24,7 @@
 		keys:     make(map[string]state.Workspace),
 	}
 	for i := range config.Routes {
-		t.add(&config.Routes[i])
+		t.addRoute(&config.Routes[i])
 	}
 	for i := range config.Services {
 		t.services[config.Services[i].Name] = &config.Services[i]
@@ -49,8 +49,8 @@
 // HasWorkspaces says whether routes that are not public need a key.
 func (t *Table) HasWorkspaces() bool { return len(t.config.Workspaces) > 0 }
 
-// add indexes a route. Of two with the same host and prefix the first counts.
-func (t *Table) add(route *Route) {
+// addRoute indexes a route. Of two with the same host and prefix the first counts.
+func (t *Table) addRoute(route *Route) {
 	host := strings.ToLower(route.Host)
 	if t.hosts[host] == nil {
 		t.hosts[host] = make(map[string]*Route)
--- a/state/routing/table_test.go
+++ b/state/routing/table_test.go
@@ -49,7 +49,7 @@
 
 // Whatever routes there are, the one found begins the path and none longer
 // does.
-func TestRouteAgainstSearch(t *testing.T) {
+func TestRouteMatchesLinearSearch(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a/", "b/", "ab/"})
 	rapid.Check(t, func(t *rapid.T) {
 		path := func(label string) string {
@@ -63,16 +63,16 @@
 		for range rapid.IntRange(0, 6).Draw(t, "routes") {
 			config.Routes = append(config.Routes, Route{Host: "h", Prefix: path("prefix")})
 		}
-		asked := path("path")
+		requested := path("path")
 		longest := -1
 		for _, r := range config.Routes {
-			if len(r.Prefix) <= len(asked) && asked[:len(r.Prefix)] == r.Prefix {
+			if len(r.Prefix) <= len(requested) && requested[:len(r.Prefix)] == r.Prefix {
 				longest = max(longest, len(r.Prefix))
 			}
 		}
-		found, ok := NewTable(config).Route("h", asked)
+		found, ok := NewTable(config).Route("h", requested)
 		if ok != (longest >= 0) || ok && len(found.Prefix) != longest {
-			t.Fatalf("%q: found %v, want length %d", asked, found, longest)
+			t.Fatalf("%q: found %v, want length %d", requested, found, longest)
 		}
 	})
 }
--- a/transport/admin/edit.go
+++ b/transport/admin/edit.go
@@ -71,7 +71,7 @@
 		return WriteResult{}, err
 	}
 	changes, _ := config.HistoryOf(e.key, present.Value)
-	if done, ok := config.Find(changes, id); ok {
+	if done, ok := config.FindChange(changes, id); ok {
 		return alreadyDone(e, done, changes, present)
 	}
 	if expected.given && expected.version != present.Version {
--- a/transport/caller/follow.go
+++ b/transport/caller/follow.go
@@ -78,7 +78,7 @@
 	if x.sent {
 		return result.New(result.StoppedWhileRun, "")
 	}
-	return result.New(result.Draining, "").After(elsewhereRetry)
+	return result.New(result.Draining, "").WithRetryAfter(elsewhereRetry)
 }
 
 // abandoned aborts the connection as well: returning would send an empty 200.
--- a/transport/caller/handler_test.go
+++ b/transport/caller/handler_test.go
@@ -344,7 +344,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil, scheduler.Refuse{ID: 1, Result: result.New(result.QueueFull, "").After(1500e6)})
+			b := newBench(t, nil, scheduler.Refuse{ID: 1, Result: result.New(result.QueueFull, "").WithRetryAfter(1500e6)})
 			resp, body, err := b.call(t, c.path, c.body, c.pairs...)
 			require.NoError(t, err)
 			require.Equal(t, c.code, resp.Header.Get(problem.HeaderResult), body)
--- a/transport/daemon/orders.go
+++ b/transport/daemon/orders.go
@@ -168,7 +168,7 @@
 func (e *engineOrders) tell(models []state.Model, version uint64) {
 	switch {
 	case !slices.Equal(e.wanted, models):
-		e.controller.Want(&fencing.Wish{Models: models}, version)
+		e.controller.Want(&fencing.DesiredState{Models: models}, version)
 	case e.settings != version:
 		e.controller.Confirm(version)
 	}
@@ -182,10 +182,10 @@
 		BaseURL:  target.url,
 		Store:    o.options.Store,
 		Holder: fencing.Config{
-			Self:         o.options.Router,
-			Incarnation:  o.options.Incarnation,
-			ChecksNumber: target.checksFencing,
-			Timing:       o.options.Timing,
+			Self:          o.options.Router,
+			Incarnation:   o.options.Incarnation,
+			ChecksFencing: target.checksFencing,
+			Timing:        o.options.Timing,
 		},
 		Log: o.options.Log,
 	})}
--- a/transport/daemon/orders_test.go
+++ b/transport/daemon/orders_test.go
@@ -50,8 +50,8 @@
 	t.Cleanup(server.Close)
 	b.want()
 	timing := fencing.DefaultTiming()
-	timing.ReportLag, timing.Poll, timing.Retry = 0, time.Millisecond, time.Millisecond
-	timing.FirstBackoff, timing.LastBackoff = time.Hour, time.Hour
+	timing.MaxReportAge, timing.PollInterval, timing.RetryDelay = 0, time.Millisecond, time.Millisecond
+	timing.MinBackoff, timing.MaxBackoff = time.Hour, time.Hour
 	b.manager = newOrderManager(orderManagerOptions{
 		Router:      "router-1",
 		Incarnation: 1,
@@ -151,7 +151,7 @@
 // engine comes back meanwhile, there is still only one order at a time.
 func TestOwnershipMovesWhileAnOrderRuns(t *testing.T) {
 	b := newOrderBench(t)
-	b.manager.options.Timing.Poll = time.Second // A release must wait for its turn.
+	b.manager.options.Timing.PollInterval = time.Second // A release must wait for its turn.
 	b.want("m", "n")
 	b.await("the first load is under way", func() bool { return b.received() == 1 })
 	b.manager.setOwned(nil)
@@ -184,7 +184,7 @@
 	})
 	t.Run("platform is away", func(t *testing.T) {
 		b := newOrderBench(t)
-		b.manager.options.Timing.Renew = 0
+		b.manager.options.Timing.RenewAfter = 0
 		b.want("m")
 		b.await("the load is under way", func() bool { return b.received() == 1 })
 		b.platform.SetFaults(platform.Faults{Outage: platform.Refuse})
--- a/transport/daemon/trace.go
+++ b/transport/daemon/trace.go
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	d.trace.recorder = trace.NewRecorder(d.trace.file, d.options.router(), d.incarnation)
-	return trace.Recorded(d.scheduler, d.trace.recorder), nil
+	return trace.RecordSteps(d.scheduler, d.trace.recorder), nil
 }
 
 // noteVersions records which settings came into force.
@@ -57,7 +57,7 @@
 	}
 	at := time.Now().Round(0)
 	for key, version := range versions {
-		t.recorder.Note(trace.ConfigRecord{
+		t.recorder.Record(trace.ConfigRecord{
 			Router:      self.Router,
 			Incarnation: self.Incarnation,
 			Key:         key,
--- a/transport/edge/catalogue.go
+++ b/transport/edge/catalogue.go
@@ -87,7 +87,7 @@
 func (c *catalogue) takeConfig(o Object, source string) bool {
 	c.decoding.Lock()
 	defer c.decoding.Unlock()
-	if o.Removed || o.Revision <= c.holding().Config {
+	if o.Removed || o.Revision <= c.holding().ConfigRevision {
 		return false
 	}
 	config, err := c.platform.DecodeConfig(o.Spec, func() { time.Sleep(decodePause) })
@@ -161,10 +161,10 @@
 
 // holding recognises what is held. Two routers that hold the same agree on it,
 // whoever told them.
-func (c *catalogue) holding() exchange.Holding {
+func (c *catalogue) holding() exchange.StateSummary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return exchange.Holding{Config: c.config.Revision, Upstreams: c.digest}
+	return exchange.StateSummary{ConfigRevision: c.config.Revision, UpstreamsDigest: c.digest}
 }
 
 // same says whether two entries differ in nothing that is decided on.
@@ -188,7 +188,7 @@
 func (c *catalogue) mayHaveLapsed(o Object, entry directory.Entry) bool {
 	id := state.Upstream(o.Name)
 	held, _ := c.upstream.Entry(id)
-	if entry.Present || !held.Present || held.Upstream.Leaving || !c.upstream.Newer(id, entry) {
+	if entry.Present || !held.Present || held.Upstream.Leaving || !c.upstream.IsNewer(id, entry) {
 		return false
 	}
 	return !c.returned.IsZero() && c.now().Sub(c.returned) < returnGrace
@@ -219,7 +219,7 @@
 	outdated := o.Revision <= l.removal.Revision
 	removed := !entry.Present && source != sourceStore
 	left := entry.Upstream.Leaving && outdated
-	if !removed && !left || !c.upstream.Newer(state.Upstream(o.Name), entry) {
+	if !removed && !left || !c.upstream.IsNewer(state.Upstream(o.Name), entry) {
 		return outdated
 	}
 	if outdated {
--- a/transport/edge/exchange_test.go
+++ b/transport/edge/exchange_test.go
@@ -51,7 +51,7 @@
 	// sessions are the peers that this one is connected with, selected those
 	// that it wants to be.
 	sessions map[state.Router]bool
-	selected membership.Selected
+	selected membership.SelectionChanged
 }
 
 var _ sender = (*node)(nil)
@@ -85,7 +85,7 @@
 	router := o.fixture.dispatcher.settings.Router
 	o.run++
 	o.dead = false
-	o.sessions, o.selected, o.told = make(map[state.Router]bool), membership.Selected{Seeds: true}, publishTimes{}
+	o.sessions, o.selected, o.told = make(map[state.Router]bool), membership.SelectionChanged{DialSeeds: true}, publishTimes{}
 	o.fleet = newFleet(scheduler.Peer{Router: router, DataCentre: dc}, o.fixture.dispatcher, o.fixture.catalogue, zerolog.Nop(), o.network.clock.now)
 	o.fleet.mesh = o
 	o.fleet.join(membership.Member{Router: router, DataCentre: dc, Incarnation: o.run, Address: string(router) + ":1"})
@@ -155,7 +155,7 @@
 // dial opens the sessions that are wanted.
 func (o *node) dial() {
 	fleet := make(map[state.Router]bool)
-	for _, router := range o.selected.Fleet {
+	for _, router := range o.selected.LiveRouters {
 		fleet[router] = true
 	}
 	var wanted []state.Router
@@ -163,7 +163,7 @@
 		wanted = append(wanted, m.Router)
 	}
 	for _, seed := range o.network.order[:min(seeds, len(o.network.order))] {
-		if o.selected.Seeds && !fleet[seed] {
+		if o.selected.DialSeeds && !fleet[seed] {
 			wanted = append(wanted, seed)
 		}
 	}
@@ -191,7 +191,7 @@
 }
 
 // Select implements sender.
-func (o *node) Select(selected membership.Selected) { o.selected = selected }
+func (o *node) Select(selected membership.SelectionChanged) { o.selected = selected }
 
 // Drop implements sender.
 func (o *node) Drop(router state.Router) {
@@ -350,7 +350,7 @@
 	n.run(time.Second)
 	for _, one := range n.nodes {
 		if !one.dead {
-			require.False(t, one.fleet.overlay.Tree())
+			require.False(t, one.fleet.overlay.TreeMode())
 			one.place(0, 1)
 		}
 	}
--- a/transport/edge/fleet.go
+++ b/transport/edge/fleet.go
@@ -53,7 +53,7 @@
 	Send(to state.Router, env *peerpb.Envelope) bool
 	SendEach(to []state.Router, env *peerpb.Envelope)
 	// Select says which routers sessions are wanted with, Drop which not.
-	Select(selected membership.Selected)
+	Select(selected membership.SelectionChanged)
 	Drop(router state.Router)
 }
 
@@ -123,7 +123,7 @@
 func (f *fleet) join(self membership.Member) {
 	f.self.Incarnation = self.Incarnation
 	f.overlay = overlay.New(self)
-	f.live = f.overlay.Live()
+	f.live = f.overlay.LiveRouters()
 }
 
 func (f *fleet) onAnswer() {
--- a/transport/edge/fleet_test.go
+++ b/transport/edge/fleet_test.go
@@ -26,7 +26,7 @@
 
 func (nobody) Send(state.Router, *peerpb.Envelope) bool  { return false }
 func (nobody) SendEach([]state.Router, *peerpb.Envelope) {}
-func (nobody) Select(membership.Selected)                {}
+func (nobody) Select(membership.SelectionChanged)        {}
 func (nobody) Drop(state.Router)                         {}
 
 func live(n int) []scheduler.Peer {
--- a/transport/edge/links.go
+++ b/transport/edge/links.go
@@ -16,7 +16,7 @@
 func (f *fleet) onPeers(peers []scheduler.Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.overlay.Neighbours(peers)
+	f.overlay.SetNeighbours(peers)
 	f.perform()
 }
 
@@ -27,11 +27,11 @@
 	f.overlay.SessionOpened(now, membership.Member{
 		Router: s.Router, DataCentre: s.DataCentre, Incarnation: s.Incarnation, Address: s.Address, Capacity: s.Capacity,
 	}, s.Dialled)
-	if !f.overlay.Tree() {
-		f.catchUp.Session(now, scheduler.Peer{Router: s.Router, DataCentre: s.DataCentre, Incarnation: s.Incarnation})
+	if !f.overlay.TreeMode() {
+		f.catchUp.SessionOpened(now, scheduler.Peer{Router: s.Router, DataCentre: s.DataCentre, Incarnation: s.Incarnation})
 	}
 	f.perform()
-	direct := !f.overlay.Tree()
+	direct := !f.overlay.TreeMode()
 	f.mu.Unlock()
 	f.mesh.Send(s.Router, f.readingEnvelope(f.claim()))
 	if direct {
@@ -70,13 +70,13 @@
 		switch a := action.(type) {
 		case overlay.Send:
 			f.mesh.Send(a.To, membersEnvelope(a.Message))
-		case overlay.Select:
-			f.mesh.Select(membership.Selected{Members: a.Members, Seeds: a.Seeds, Fleet: a.Fleet})
-		case overlay.Drop:
+		case overlay.SelectPeers:
+			f.mesh.Select(membership.SelectionChanged{Members: a.Members, DialSeeds: a.DialSeeds, LiveRouters: a.LiveRouters})
+		case overlay.DropSession:
 			f.mesh.Drop(a.Router)
-		case overlay.Linked:
+		case overlay.LinkEstablished:
 			f.linked(a.Router)
-		case overlay.Unlinked:
+		case overlay.LinkEnded:
 			delete(f.links, a.Router)
 			f.dispatcher.forget(a.Router)
 		}
@@ -88,19 +88,19 @@
 func (f *fleet) linked(router state.Router) {
 	f.dispatcher.forget(router)
 	f.links[router] = &outbox{}
-	f.catchUp.Rejoined(f.now())
+	f.catchUp.MarkRejoined(f.now())
 	f.log.Info().Str("router", string(router)).Msg("linked")
 }
 
 // publishLive tells the dispatcher of a change of the live routers. The caller holds
 // the lock.
 func (f *fleet) publishLive() {
-	live := f.overlay.Live()
+	live := f.overlay.LiveRouters()
 	if slices.Equal(f.live, live) {
 		return
 	}
 	var gone []state.Router
-	if !f.overlay.Tree() {
+	if !f.overlay.TreeMode() {
 		gone = missing(f.live, live)
 	}
 	f.live = live
@@ -127,7 +127,7 @@
 func (f *fleet) receivers() (peers []state.Router, tree bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.overlay.Tree() {
+	if f.overlay.TreeMode() {
 		return f.overlay.Links(), true
 	}
 	for _, p := range f.live {
@@ -189,7 +189,7 @@
 }
 
 func overlayMessage(m *peerpb.Members) overlay.Message {
-	message := overlay.Message{Kind: overlay.Kind(m.GetKind()), Tree: m.GetTree()}
+	message := overlay.Message{Kind: overlay.Kind(m.GetKind()), TreeMode: m.GetTree()}
 	for _, p := range m.GetPresent()[:min(len(m.GetPresent()), wire.MaxEntries)] {
 		message.Present = append(message.Present, membership.Member{
 			Router:      state.Router(p.GetRouter()),
@@ -200,20 +200,20 @@
 		})
 	}
 	for _, router := range m.GetGone() {
-		message.Gone = append(message.Gone, state.Router(router))
+		message.Removed = append(message.Removed, state.Router(router))
 	}
 	return message
 }
 
 func membersEnvelope(m overlay.Message) *peerpb.Envelope {
-	message := &peerpb.Members{Kind: peerpb.MembersKind(m.Kind), Tree: m.Tree}
+	message := &peerpb.Members{Kind: peerpb.MembersKind(m.Kind), Tree: m.TreeMode}
 	for _, p := range m.Present {
 		message.Present = append(message.Present, &peerpb.Member{
 			Router: string(p.Router), DataCentre: string(p.DataCentre),
 			Incarnation: uint64(p.Incarnation), PeerAddress: p.Address, Capacity: p.Capacity,
 		})
 	}
-	for _, router := range m.Gone {
+	for _, router := range m.Removed {
 		message.Gone = append(message.Gone, string(router))
 	}
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Members{Members: message}}
--- a/transport/edge/objects.go
+++ b/transport/edge/objects.go
@@ -46,7 +46,7 @@
 
 // offered notes that a peer holds a revision of the configuration.
 func (f *fleet) offered(from state.Router, revision uint64) {
-	held := f.catalogue.holding().Config
+	held := f.catalogue.holding().ConfigRevision
 	f.mu.Lock()
 	f.fetch.Announced(from, revision, held)
 	f.mu.Unlock()
@@ -59,8 +59,8 @@
 	f.mu.Lock()
 	var from state.Router
 	ask := false
-	if !f.catchUp.Waiting(f.now()) {
-		from, ask = f.fetch.Next(f.now(), held.Revision)
+	if !f.catchUp.AwaitingAnswer(f.now()) {
+		from, ask = f.fetch.NextPeer(f.now(), held.Revision)
 	}
 	f.mu.Unlock()
 	if ask {
@@ -130,7 +130,7 @@
 
 func (f *fleet) onConfigTaken(revision uint64) {
 	f.mu.Lock()
-	f.fetch.Taken(revision)
+	f.fetch.RevisionReceived(revision)
 	f.mu.Unlock()
 	f.fetchDue()
 }
@@ -158,7 +158,7 @@
 // parseKey splits the key of an object; it is not ok for one that is malformed.
 func parseKey(key string) (kind Kind, name string, ok bool) {
 	kindName, name, ok := strings.Cut(key, keySeparator)
-	if !ok || len(key) > wire.MaxName {
+	if !ok || len(key) > wire.MaxNameBytes {
 		return KindUpstream, "", false
 	}
 	if kindName == KindConfig.String() {
--- a/transport/edge/publish.go
+++ b/transport/edge/publish.go
@@ -139,7 +139,7 @@
 func (f *fleet) readingEnvelope(reads bool) *peerpb.Envelope {
 	holding := f.catalogue.holding()
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Reading{Reading: &peerpb.Reading{
-		Store: reads, ConfigRevision: holding.Config, Upstreams: holding.Upstreams,
+		Store: reads, ConfigRevision: holding.ConfigRevision, Upstreams: holding.UpstreamsDigest,
 	}}}
 }
 
--- a/transport/edge/receive.go
+++ b/transport/edge/receive.go
@@ -52,7 +52,7 @@
 func (f *fleet) counts(from state.Router) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.overlay.Tree() || f.links[from] != nil
+	return !f.overlay.TreeMode() || f.links[from] != nil
 }
 
 // onLoads takes what a peer, or all on its side of a link, have at upstreams.
@@ -111,12 +111,12 @@
 		reader = state.Router(m.GetRouter())
 		f.passOn(from, &peerpb.Envelope{Body: &peerpb.Envelope_Reading{Reading: m}})
 	}
-	own, theirs := f.catalogue.holding(), exchange.Holding{Config: m.GetConfigRevision(), Upstreams: m.GetUpstreams()}
+	own, theirs := f.catalogue.holding(), exchange.StateSummary{ConfigRevision: m.GetConfigRevision(), UpstreamsDigest: m.GetUpstreams()}
 	f.mu.Lock()
-	f.catchUp.Heard(f.now(), reader, theirs, own)
+	f.catchUp.SummaryReceived(f.now(), reader, theirs, own)
 	if m.GetStore() {
-		f.claims[reader] = readerWord{heard: f.now(), upstreams: theirs.Upstreams}
-		f.catchUp.Compare(f.now(), reader, theirs, own)
+		f.claims[reader] = readerWord{heard: f.now(), upstreams: theirs.UpstreamsDigest}
+		f.catchUp.CompareWithReader(f.now(), reader, theirs, own)
 	} else {
 		delete(f.claims, reader)
 	}
@@ -133,12 +133,12 @@
 	doubtful, own := f.catalogue.doubtful(), f.catalogue.holding()
 	f.mu.Lock()
 	if doubtful {
-		f.catchUp.Doubt(f.now(), f.self, f.otherwiseInformed(f.now(), own.Upstreams))
+		f.catchUp.SuspectUpstreams(f.now(), f.self, f.otherwiseInformed(f.now(), own.UpstreamsDigest))
 	} else {
-		f.catchUp.Settled()
+		f.catchUp.ClearSuspicion()
 	}
-	router, ask := f.catchUp.Ask(f.now(), f.self, f.reachable())
-	request := &peerpb.CatalogueRequest{ConfigRevision: max(own.Config, f.fetch.Expected())}
+	router, ask := f.catchUp.NextPeer(f.now(), f.self, f.reachable())
+	request := &peerpb.CatalogueRequest{ConfigRevision: max(own.ConfigRevision, f.fetch.ExpectedRevision())}
 	f.mu.Unlock()
 	if ask {
 		f.send(router, &peerpb.Envelope{Body: &peerpb.Envelope_CatalogueRequest{CatalogueRequest: request}})
@@ -148,7 +148,7 @@
 // reachable returns the peers that a catalogue can be asked of without others
 // between. The caller holds the lock.
 func (f *fleet) reachable() []scheduler.Peer {
-	if f.overlay.Tree() {
+	if f.overlay.TreeMode() {
 		return f.overlay.Sessions()
 	}
 	return f.live
--- a/transport/edge/router.go
+++ b/transport/edge/router.go
@@ -158,19 +158,19 @@
 			Fleet:    fleetName,
 			Capacity: capacity(r.settings),
 		},
-		Sole:   true,
-		Listen: r.settings.Addresses.Peers,
-		Seeds:  r.settings.Seeds,
+		SoleProcess: true,
+		Listen:      r.settings.Addresses.Peers,
+		Seeds:       r.settings.Seeds,
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		},
-		FlushTimeout: flushTimeout,
-		Handler:      r.fleet.onEnvelope,
-		OnPeers:      r.fleet.onPeers,
-		OnSession:    r.fleet.onSession,
-		OnSessionEnd: r.fleet.onSessionEnd,
-		Selective:    true,
-		Log:          r.log,
+		FlushTimeout:     flushTimeout,
+		Handler:          r.fleet.onEnvelope,
+		OnPeers:          r.fleet.onPeers,
+		OnSession:        r.fleet.onSession,
+		OnSessionEnd:     r.fleet.onSessionEnd,
+		SelectiveDialing: true,
+		Log:              r.log,
 	})
 	if err != nil {
 		return fmt.Errorf("peer listener: %w", err)
--- a/transport/ingress/admit.go
+++ b/transport/ingress/admit.go
@@ -28,7 +28,7 @@
 		return res, false
 	}
 	if x.h.Dispatcher.Full() {
-		return result.New(result.TooManyRequests, "").After(admission.OtherRouterRetryAfter), false
+		return result.New(result.TooManyRequests, "").WithRetryAfter(admission.OtherRouterRetryAfter), false
 	}
 	// The routes may have changed while the body was read.
 	x.table = x.h.Dispatcher.Table()
@@ -157,7 +157,7 @@
 // room left, so that others whose callers share the router are served.
 func (x *exchange) room() (result.Result, bool) {
 	if x.h.Dispatcher.FullFor(x.workspace) {
-		return result.New(result.TooManyRequests, "").After(admission.OtherRouterRetryAfter), false
+		return result.New(result.TooManyRequests, "").WithRetryAfter(admission.OtherRouterRetryAfter), false
 	}
 	return result.Result{}, true
 }
@@ -171,8 +171,8 @@
 			Service:              x.service,
 			Prompt:               x.in.Prompt,
 			ExpectedOutputTokens: x.expectedOutput(),
-			TargetLatency:        x.route.Target,
-			MaxEventGap:          x.route.Pause,
+			TargetLatency:        x.route.TargetLatency,
+			MaxEventGap:          x.route.MaxEventGap,
 		},
 		Fingerprint:     x.fingerprint,
 		Workspace:       x.workspace,
@@ -182,10 +182,10 @@
 		Timeout:         timeout,
 	}
 	if x.h.Dispatcher.Blocked(x.fingerprint) {
-		return result.New(result.Suspected, "").After(timeout / 2), false
+		return result.New(result.Suspected, "").WithRetryAfter(timeout / 2), false
 	}
 	if !x.h.Dispatcher.Drain().Accepting(x.h.Now()) {
-		return result.New(result.Draining, "").After(admission.OtherRouterRetryAfter), false
+		return result.New(result.Draining, "").WithRetryAfter(admission.OtherRouterRetryAfter), false
 	}
 	return result.Result{}, true
 }
--- a/transport/ingress/attempt.go
+++ b/transport/ingress/attempt.go
@@ -104,7 +104,7 @@
 	case admission.Stopping:
 		code = result.Draining
 	}
-	return result.New(code, "").After(v.RetryAfter)
+	return result.New(code, "").WithRetryAfter(v.RetryAfter)
 }
 
 // final is the result of a request that goes to no further upstream.
@@ -115,11 +115,11 @@
 	case conntrack.IsCutOff(x.r.Context()) && x.sent:
 		return result.New(result.StoppedWhileRun, "")
 	case conntrack.IsCutOff(x.r.Context()):
-		return result.New(result.Draining, "").After(admission.OtherRouterRetryAfter)
+		return result.New(result.Draining, "").WithRetryAfter(admission.OtherRouterRetryAfter)
 	case x.sent:
 		return result.New(result.DeadlineWhileRun, "")
 	default:
-		return result.New(result.DeadlinePassed, "").After(rejectedRetry)
+		return result.New(result.DeadlinePassed, "").WithRetryAfter(rejectedRetry)
 	}
 }
 
@@ -182,7 +182,7 @@
 	head := x.h.Dialect.Answer(answer.Status, answer.Header)
 	switch {
 	case head.NotRun:
-		return attemptEnd{fateNotRun, result.New(result.NoUpstream, "The upstream would not take the request.").After(rejectedRetry)}, placement.Rejected
+		return attemptEnd{fateNotRun, result.New(result.NoUpstream, "The upstream would not take the request.").WithRetryAfter(rejectedRetry)}, placement.Rejected
 	case !head.Signed:
 		return attemptEnd{fateFailed, result.New(result.UpstreamFailed, "The answer is not an upstream's own.")}, placement.Failed
 	case x.route.Kind == routing.Stream && answer.Status == http.StatusOK:
@@ -216,7 +216,7 @@
 // unanswered classifies an attempt without an answer.
 func (x *exchange) unanswered(err error, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
 	if upstream.StageOf(err) == upstream.StageNotSent {
-		return attemptEnd{fateUnsent, result.New(result.NoUpstream, err.Error()).After(rejectedRetry)}, placement.Unconnected
+		return attemptEnd{fateUnsent, result.New(result.NoUpstream, err.Error()).WithRetryAfter(rejectedRetry)}, placement.Unconnected
 	}
 	x.lost(err, ticket)
 	return attemptEnd{fateFailed, result.New(result.UpstreamLost, err.Error())}, placement.Broken
--- a/transport/orders/controller.go
+++ b/transport/orders/controller.go
@@ -121,8 +121,8 @@
 // Want replaces what the engine is to hold; nil leaves it as it is. The
 // settings are the version that the wish was read from. Want waits for Run to
 // take it, and does nothing once Run has ended.
-func (c *Controller) Want(wish *fencing.Wish, settings uint64) {
-	c.post(input{event: fencing.Wanted{Wish: wish}, settings: settings})
+func (c *Controller) Want(wish *fencing.DesiredState, settings uint64) {
+	c.post(input{event: fencing.DesiredChanged{Desired: wish}, settings: settings})
 }
 
 // Confirm says that the present wish stands in later settings too. It is not
@@ -133,13 +133,13 @@
 
 // GiveUp has Run end as soon as the order under way has ended and the lease is
 // released. No further order is given.
-func (c *Controller) GiveUp() { c.post(input{event: fencing.Wanted{}, leaves: true}) }
+func (c *Controller) GiveUp() { c.post(input{event: fencing.DesiredChanged{}, leaves: true}) }
 
 // Report passes on a load report of the engine that was read just now. It is
 // dropped if Run is behind, for another one follows.
 func (c *Controller) Report(report state.LoadReport) {
 	select {
-	case c.inputs <- input{event: fencing.Reported{Report: report}}:
+	case c.inputs <- input{event: fencing.ReportReceived{Report: report}}:
 	default:
 	}
 }
--- a/transport/orders/controller_test.go
+++ b/transport/orders/controller_test.go
@@ -50,7 +50,7 @@
 func (b *bench) controller(name state.Router, client *http.Client) *Controller {
 	return New(Options{
 		Upstream: "engine", BaseURL: b.url, Store: b.store, HTTPClient: client,
-		Holder: fencing.Config{Self: name, Incarnation: 1, ChecksNumber: b.checks, Timing: fencing.DefaultTiming()},
+		Holder: fencing.Config{Self: name, Incarnation: 1, ChecksFencing: b.checks, Timing: fencing.DefaultTiming()},
 		Clock:  func() fencing.Instant { return b.now },
 		Log:    zerolog.Nop(),
 	})
@@ -67,7 +67,7 @@
 func (b *bench) second(c *Controller) {
 	b.now.Monotonic += time.Second
 	b.now.Wall = b.now.Wall.Add(time.Second)
-	b.step(c, fencing.Reported{Report: b.engine.Load()})
+	b.step(c, fencing.ReportReceived{Report: b.engine.Load()})
 }
 
 // pause is a transport that holds up the first order until the test has done
@@ -94,13 +94,13 @@
 			b := newBench(t, checks)
 			second := b.controller("r2", nil)
 			transport := &pause{meanwhile: func() {
-				b.step(second, fencing.Wanted{Wish: &fencing.Wish{Models: []state.Model{"new"}}})
+				b.step(second, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"new"}}})
 				for range 20 {
 					b.second(second)
 				}
 			}}
 			first := b.controller("r1", &http.Client{Transport: transport})
-			b.step(first, fencing.Wanted{Wish: &fencing.Wish{Models: []state.Model{"old"}}})
+			b.step(first, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"old"}}})
 			b.second(first)
 
 			require.Nil(t, transport.meanwhile, "the order was not held up")
@@ -145,7 +145,7 @@
 	t.Cleanup(server.Close)
 	b.store = objectstore.NewClient(objectstore.ClientOptions{BaseURL: server.URL})
 	c := b.controller("r1", nil)
-	b.step(c, fencing.Wanted{Wish: &fencing.Wish{Models: []state.Model{"m"}, Role: "decode"}})
+	b.step(c, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"m"}, Role: "decode"}})
 	b.second(c)
 	p.SetFaults(platform.Faults{Outage: platform.Refuse})
 	for range 10 {
@@ -167,7 +167,7 @@
 	require.NoError(t, err)
 	defer stop()
 	timing := fencing.DefaultTiming()
-	timing.ReportLag = 0
+	timing.MaxReportAge = 0
 	c := New(Options{
 		Upstream: "engine", BaseURL: url, Store: platform.NewStore(platform.StoreOptions{}),
 		Holder: fencing.Config{Self: "r1", Incarnation: 1, Timing: timing}, Log: zerolog.Nop(),
@@ -175,7 +175,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
-	c.Want(&fencing.Wish{Models: []state.Model{"m"}}, 1)
+	c.Want(&fencing.DesiredState{Models: []state.Model{"m"}}, 1)
 	require.Eventually(t, func() bool {
 		report, err := poll.FetchReport(ctx, http.DefaultClient, url, "engine")
 		require.NoError(t, err)
@@ -196,7 +196,7 @@
 	b := newBench(t, true)
 	old, second := b.controller("r1", nil), b.controller("r2", nil)
 	want := func(c *Controller, settings uint64, model state.Model) {
-		for _, action := range c.take(input{event: fencing.Wanted{Wish: &fencing.Wish{Models: []state.Model{model}}}, settings: settings}) {
+		for _, action := range c.take(input{event: fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{model}}}, settings: settings}) {
 			b.step(c, c.perform(b.t.Context(), action))
 		}
 	}
--- a/transport/peer/conn.go
+++ b/transport/peer/conn.go
@@ -31,15 +31,15 @@
 // and for the peer once its hello has told who it is.
 type countedConn struct {
 	net.Conn
-	total *counters
-	own   counters
-	peer  atomic.Pointer[counters]
+	total        *counters
+	unattributed counters
+	peer         atomic.Pointer[counters]
 }
 
 // attribute counts the connection for a peer, the bytes so far included.
 func (c *countedConn) attribute(peer *counters) {
-	peer.bytesIn.Add(c.own.bytesIn.Load())
-	peer.bytesOut.Add(c.own.bytesOut.Load())
+	peer.bytesIn.Add(c.unattributed.bytesIn.Load())
+	peer.bytesOut.Add(c.unattributed.bytesOut.Load())
 	c.peer.Store(peer)
 }
 
@@ -47,7 +47,7 @@
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.total.bytesIn.Add(uint64(n))
-	c.perPeer().bytesIn.Add(uint64(n))
+	c.peerCounters().bytesIn.Add(uint64(n))
 	return n, err
 }
 
@@ -55,70 +55,70 @@
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.total.bytesOut.Add(uint64(n))
-	c.perPeer().bytesOut.Add(uint64(n))
+	c.peerCounters().bytesOut.Add(uint64(n))
 	return n, err
 }
 
 func (c *countedConn) countMessageIn() {
 	c.total.messagesIn.Add(1)
-	c.perPeer().messagesIn.Add(1)
+	c.peerCounters().messagesIn.Add(1)
 }
 
 func (c *countedConn) countMessageOut() {
 	c.total.messagesOut.Add(1)
-	c.perPeer().messagesOut.Add(1)
+	c.peerCounters().messagesOut.Add(1)
 }
 
 // closeWrite tells the peer that nothing more comes.
 func (c *countedConn) closeWrite() {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		_ = half.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		_ = halfCloser.CloseWrite()
 	}
 }
 
-func (c *countedConn) perPeer() *counters {
+func (c *countedConn) peerCounters() *counters {
 	if peer := c.peer.Load(); peer != nil {
 		return peer
 	}
-	return &c.own
+	return &c.unattributed
 }
 
 // yamux's frame header: version, type, flags (2), stream (4), length (4).
 const (
-	yamuxHeader     = 12
-	yamuxTypeOffset = 1
-	yamuxLenOffset  = 8
-	yamuxTypeData   = 0
+	yamuxHeaderBytes = 12
+	yamuxTypeOffset  = 1
+	yamuxLenOffset   = 8
+	yamuxTypeData    = 0
 )
 
-// joinedConn holds back the header of a data frame until its body follows.
+// frameJoiningConn holds back the header of a data frame until its body follows.
 // yamux writes the two apart, and without the Nagle algorithm each would leave
 // in a segment (and a TLS record) of its own. Its sender is one goroutine, so
 // nothing comes between the two.
-type joinedConn struct {
+type frameJoiningConn struct {
 	net.Conn
-	held []byte
+	header []byte
 }
 
 // Write writes a whole frame, or holds back a header that announces a body.
-func (c *joinedConn) Write(p []byte) (int, error) {
-	if len(c.held) == 0 && announcesBody(p) {
-		c.held = append(c.held, p...)
+func (c *frameJoiningConn) Write(p []byte) (int, error) {
+	if len(c.header) == 0 && announcesBody(p) {
+		c.header = append(c.header, p...)
 		return len(p), nil
 	}
-	if len(c.held) == 0 {
+	if len(c.header) == 0 {
 		return c.Conn.Write(p)
 	}
-	frame := append(c.held, p...)
-	c.held = c.held[:0]
-	if cap(frame) <= maxBatch {
-		c.held = frame[:0]
+	frame := append(c.header, p...)
+	c.header = c.header[:0]
+	if cap(frame) <= maxBatchBytes {
+		c.header = frame[:0]
 	}
 	n, err := c.Conn.Write(frame)
-	return max(n-yamuxHeader, 0), err
+	return max(n-yamuxHeaderBytes, 0), err
 }
 
 func announcesBody(p []byte) bool {
-	return len(p) == yamuxHeader && p[yamuxTypeOffset] == yamuxTypeData &&
+	return len(p) == yamuxHeaderBytes && p[yamuxTypeOffset] == yamuxTypeData &&
 		binary.BigEndian.Uint32(p[yamuxLenOffset:]) > 0
 }
--- a/transport/peer/connect.go
+++ b/transport/peer/connect.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// strangerLines in strangerPeriod show an operator that something knocks
+	// handshakeLogBurst in strangerPeriod show an operator that something knocks
 	// or that a certificate has run out, and keep a port scan from filling
 	// the log.
-	strangerLines  = 10
-	strangerPeriod = time.Minute
+	handshakeLogBurst  = 10
+	handshakeLogPeriod = time.Minute
 )
 
-// acceptRetry is the pause after a failed accept, such as for want of file
+// acceptRetryDelay is the pause after a failed accept, such as for want of file
 // descriptors.
-const acceptRetry = 100 * time.Millisecond
+const acceptRetryDelay = 100 * time.Millisecond
 
-// accept takes connections until the listener closes.
-func (m *Mesh) accept() {
+// acceptConnections takes connections until the listener closes.
+func (m *Mesh) acceptConnections() {
 	for {
 		conn, err := m.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -34,11 +34,11 @@
 		}
 		if err != nil {
 			m.opts.Log.Warn().Err(err).Msg("peer accept failed")
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		m.mu.Lock()
-		m.connect(conn, "")
+		m.startSession(conn, "")
 		m.mu.Unlock()
 	}
 }
@@ -48,7 +48,7 @@
 	if m.ctx == nil || m.ctx.Err() != nil {
 		return
 	}
-	m.running.Go(func() { m.dial(m.ctx, address) })
+	m.goroutines.Go(func() { m.dial(m.ctx, address) })
 }
 
 func connectTo(ctx context.Context, address string) (net.Conn, error) {
@@ -65,39 +65,39 @@
 		m.step(membership.DialFailed{Address: address})
 		return
 	}
-	m.connect(conn, address)
+	m.startSession(conn, address)
 }
 
-// connect starts a session on a new connection. The caller holds the lock.
-func (m *Mesh) connect(conn net.Conn, dialled string) {
-	if m.ctx.Err() != nil || len(m.sessions)-len(m.routes) >= maxPending {
+// startSession starts a session on a new connection. The caller holds the lock.
+func (m *Mesh) startSession(conn net.Conn, dialledAddress string) {
+	if m.ctx.Err() != nil || len(m.sessions)-len(m.acceptedByRouter) >= maxPendingSessions {
 		_ = conn.Close()
-		if dialled != "" {
-			m.step(membership.DialFailed{Address: dialled})
+		if dialledAddress != "" {
+			m.step(membership.DialFailed{Address: dialledAddress})
 		}
 		return
 	}
 	m.lastID++
-	s := newSession(m.lastID, conn, dialled, m.opts.Clock.Now(), &m.total)
+	s := newSession(m.lastID, conn, dialledAddress, m.opts.Clock.Now(), &m.totalTraffic)
 	m.sessions[s.id] = s
-	m.running.Go(func() { m.serve(s) })
+	m.goroutines.Go(func() { m.runSession(s) })
 }
 
-// serve runs a session from its handshake to its end.
-func (m *Mesh) serve(s *session) {
-	if failed := m.shakeHands(s); failed != nil {
+// runSession runs a session from its handshake to its end.
+func (m *Mesh) runSession(s *session) {
+	if failed := m.handshake(s); failed != nil {
 		s.end(failed.cause)
-		m.ended(s, failed.event)
+		m.sessionEnded(s, failed.event)
 		return
 	}
-	m.running.Go(func() { s.write(s.control) })
-	m.running.Go(func() { m.serveBulk(s) })
-	s.read(s.control, func(env *peerpb.Envelope) error { return m.handleControl(s, env) })
-	m.ended(s, membership.Closed{Session: s.id})
+	m.goroutines.Go(func() { s.writeLoop(s.control) })
+	m.goroutines.Go(func() { m.runBulkStream(s) })
+	s.readLoop(s.control, func(env *peerpb.Envelope) error { return m.handleControl(s, env) })
+	m.sessionEnded(s, membership.SessionClosed{Session: s.id})
 }
 
-// failure is a session that was not accepted, with what membership must hear.
-type failure struct {
+// handshakeFailure is a session that was not accepted, with what membership must hear.
+type handshakeFailure struct {
 	cause error
 	event membership.Event
 }
@@ -108,48 +108,48 @@
 // Error returns the reason.
 func (e refusedError) Error() string { return "refused: " + membership.Refusal(e).String() }
 
-func (m *Mesh) shakeHands(s *session) *failure {
+func (m *Mesh) handshake(s *session) *handshakeFailure {
 	if err := s.start(m.opts.TLS); err != nil {
-		return dialFailure(s, err)
+		return newHandshakeFailure(s, err)
 	}
-	if s.dialled != "" {
+	if s.dialledAddress != "" {
 		if err := s.writeHello(m.hello(membership.RefusalNone, 0)); err != nil {
-			return dialFailure(s, err)
+			return newHandshakeFailure(s, err)
 		}
 	}
 	raw, err := s.readHello()
 	if err != nil {
-		return dialFailure(s, err)
+		return newHandshakeFailure(s, err)
 	}
 	hello := helloFrom(raw)
 	if raw.GetRefusal() != peerpb.Refusal_REFUSAL_NONE {
-		m.raise(membership.Refusal(raw.GetRefusal()), state.Incarnation(raw.GetKnownIncarnation()))
+		m.raiseIncarnation(membership.Refusal(raw.GetRefusal()), state.Incarnation(raw.GetKnownIncarnation()))
 		return m.refusedByPeer(s, hello, membership.Refusal(raw.GetRefusal()))
 	}
-	return m.greet(s, hello)
+	return m.submitHello(s, hello)
 }
 
-// dialFailure is a session that never came to a verdict. Membership only
+// newHandshakeFailure is a session that never came to a verdict. Membership only
 // waits for those it dialled.
-func dialFailure(s *session, cause error) *failure {
-	f := &failure{cause: cause}
-	if s.dialled != "" {
-		f.event = membership.DialFailed{Address: s.dialled}
+func newHandshakeFailure(s *session, cause error) *handshakeFailure {
+	f := &handshakeFailure{cause: cause}
+	if s.dialledAddress != "" {
+		f.event = membership.DialFailed{Address: s.dialledAddress}
 	}
 	return f
 }
 
-func (m *Mesh) refusedByPeer(s *session, hello membership.Hello, refusal membership.Refusal) *failure {
-	m.opts.Log.Warn().Str("address", s.dialled).Str("router", string(hello.Router)).
+func (m *Mesh) refusedByPeer(s *session, hello membership.Hello, refusal membership.Refusal) *handshakeFailure {
+	m.opts.Log.Warn().Str("address", s.dialledAddress).Str("router", string(hello.Router)).
 		Stringer("reason", refusal).Msg("peer refused the session")
 	m.mu.Lock()
 	s.refusal = refusal
-	m.events.Refused++
+	m.eventCounts.Refused++
 	m.mu.Unlock()
-	f := &failure{cause: refusedError(refusal)}
-	if s.dialled != "" {
+	f := &handshakeFailure{cause: refusedError(refusal)}
+	if s.dialledAddress != "" {
 		f.event = membership.DialFailed{
-			Address:     s.dialled,
+			Address:     s.dialledAddress,
 			Refusal:     refusal,
 			Router:      hello.Router,
 			Incarnation: hello.Incarnation,
@@ -158,25 +158,25 @@
 	return f
 }
 
-// greet asks membership for its verdict. The acceptor of a refused session
+// submitHello asks membership for its verdict. The acceptor of a refused session
 // tells the dialler why.
-func (m *Mesh) greet(s *session, hello membership.Hello) *failure {
+func (m *Mesh) submitHello(s *session, hello membership.Hello) *handshakeFailure {
 	m.mu.Lock()
 	s.peer = Peer{Router: hello.Router, DataCentre: hello.DataCentre, Incarnation: hello.Incarnation}
 	s.address, s.capacity = hello.Address, hello.Capacity
-	m.step(membership.Greeted{Session: s.id, Dialled: s.dialled, Hello: hello})
+	m.step(membership.HelloReceived{Session: s.id, DialledAddress: s.dialledAddress, Hello: hello})
 	accepted, refusal := s.accepted, s.refusal
 	m.mu.Unlock()
 	if accepted {
 		return nil
 	}
-	if s.dialled == "" {
+	if s.dialledAddress == "" {
 		// The dialler closes first, or the limit on pending sessions does:
 		// closing here could destroy the reason on its way.
 		_ = s.writeHello(m.hello(refusal, m.knownIncarnation(hello.Router, refusal)))
-		_, _ = s.control.in.Next()
+		_, _ = s.control.reader.Next()
 	}
-	return &failure{cause: refusedError(refusal)}
+	return &handshakeFailure{cause: refusedError(refusal)}
 }
 
 // attribute counts the session for its peer.
@@ -210,37 +210,37 @@
 	return 0
 }
 
-// freshFor is how long after its start a process is surely the latest run under
+// incarnationRaiseWindow is how long after its start a process is surely the latest run under
 // its name.
-const freshFor = time.Minute
+const incarnationRaiseWindow = time.Minute
 
-// raise passes a later incarnation of this router's name that a peer knows. A
+// raiseIncarnation passes a later incarnation of this router's name that a peer knows. A
 // clock that was set back before a restart gives the new run the smaller
 // number, and peers would refuse it for as long as they remember the old one.
 // A process that is no longer fresh may be the old run itself, after a pause,
 // and must stay refused.
-func (m *Mesh) raise(refusal membership.Refusal, known state.Incarnation) {
+func (m *Mesh) raiseIncarnation(refusal membership.Refusal, known state.Incarnation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.opts.Sole || refusal != membership.RefusalIncarnation || known < m.self.Incarnation {
+	if !m.opts.SoleProcess || refusal != membership.RefusalIncarnation || known < m.self.Incarnation {
 		return
 	}
-	if m.opts.Clock.Now().Sub(m.created) > freshFor {
+	if m.opts.Clock.Now().Sub(m.startedAt) > incarnationRaiseWindow {
 		return
 	}
 	m.self.Incarnation = known + 1
-	m.step(membership.Raised{Incarnation: known + 1})
+	m.step(membership.IncarnationRaised{Incarnation: known + 1})
 	m.opts.Log.Warn().Uint64("incarnation", uint64(m.self.Incarnation)).Msg("incarnation raised above one that a peer knows")
 }
 
-// serveBulk runs the second stream.
-func (m *Mesh) serveBulk(s *session) {
-	if err := s.openLane(s.bulk); err != nil {
+// runBulkStream runs the second stream.
+func (m *Mesh) runBulkStream(s *session) {
+	if err := s.openStream(s.bulk); err != nil {
 		s.end(err)
 		return
 	}
-	m.running.Go(func() { s.write(s.bulk) })
-	s.read(s.bulk, func(env *peerpb.Envelope) error {
+	m.goroutines.Go(func() { s.writeLoop(s.bulk) })
+	s.readLoop(s.bulk, func(env *peerpb.Envelope) error {
 		m.opts.Handler(s.peer, env)
 		return nil
 	})
@@ -251,7 +251,7 @@
 	case *peerpb.Envelope_Heartbeat:
 		m.handleHeartbeat(s, body.Heartbeat)
 	case *peerpb.Envelope_Hello:
-		return errTwoHellos
+		return errSecondHello
 	case nil:
 		// A body of a later version.
 	default:
@@ -260,54 +260,54 @@
 	return nil
 }
 
-func (m *Mesh) handleHeartbeat(s *session, beat *peerpb.Heartbeat) {
-	held := time.Duration(beat.GetEchoHeldUs()) * time.Microsecond
-	s.trip.hear(m.opts.Clock.Now(), beat.GetSequence(), beat.GetEcho(), held)
+func (m *Mesh) handleHeartbeat(s *session, heartbeat *peerpb.Heartbeat) {
+	echoDelay := time.Duration(heartbeat.GetEchoHeldUs()) * time.Microsecond
+	s.roundTrip.receiveHeartbeat(m.opts.Clock.Now(), heartbeat.GetSequence(), heartbeat.GetEcho(), echoDelay)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.step(membership.HeartbeatHeard{
+	m.step(membership.HeartbeatReceived{
 		Session:  s.id,
-		Draining: beat.GetDraining(),
-		Members:  membersFrom(beat.GetMembers()),
+		Draining: heartbeat.GetDraining(),
+		Members:  membersFrom(heartbeat.GetMembers()),
 	})
 }
 
-// ended frees a session and tells membership.
-func (m *Mesh) ended(s *session, event membership.Event) {
+// sessionEnded frees a session and tells membership.
+func (m *Mesh) sessionEnded(s *session, event membership.Event) {
 	if s.mux != nil {
 		_ = s.mux.Close()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.sessions, s.id)
-	m.unroute(s)
-	m.countEnd(s)
+	m.removeAccepted(s)
+	m.countSessionEnd(s)
 	if event != nil {
 		m.step(event)
 	}
-	m.announce()
+	m.queueNotices()
 }
 
-// logFailed warns of a connection that never became a session, unless one side
+// logHandshakeFailure warns of a connection that never became a session, unless one side
 // was just stopping or starting.
-func (m *Mesh) logFailed(s *session) {
+func (m *Mesh) logHandshakeFailure(s *session) {
 	level := zerolog.WarnLevel
 	if errors.Is(s.err, errStopped) || errors.Is(s.err, io.EOF) {
 		level = zerolog.DebugLevel
 	}
-	m.strangers.WithLevel(level).Str("address", s.conn.RemoteAddr().String()).Err(s.err).Msg("peer handshake failed")
+	m.handshakeLog.WithLevel(level).Str("address", s.conn.RemoteAddr().String()).Err(s.err).Msg("peer handshake failed")
 }
 
-func (m *Mesh) countEnd(s *session) {
+func (m *Mesh) countSessionEnd(s *session) {
 	switch {
 	case !s.accepted && s.refusal == membership.RefusalNone:
-		m.events.Failed++
-		m.logFailed(s)
+		m.eventCounts.Failed++
+		m.logHandshakeFailure(s)
 		return
 	case !s.accepted:
 		return
 	case errors.Is(s.err, errOverflow):
-		m.events.Overflows++
+		m.eventCounts.Overflows++
 	}
 	m.opts.Log.Info().Str("router", string(s.peer.Router)).Err(s.err).Msg("peer session closed")
 }
--- a/transport/peer/convert.go
+++ b/transport/peer/convert.go
@@ -15,7 +15,7 @@
 // membership refuses.
 func helloFrom(m *peerpb.Hello) membership.Hello {
 	for _, name := range []string{m.GetRouter(), m.GetDataCentre(), m.GetFleet()} {
-		if len(name) > wire.MaxName {
+		if len(name) > wire.MaxNameBytes {
 			return membership.Hello{}
 		}
 	}
@@ -58,7 +58,7 @@
 func membersFrom(list []*peerpb.Member) []membership.Member {
 	var members []membership.Member
 	for _, m := range list[:min(len(list), maxMembers)] {
-		if !validAddress(m.GetPeerAddress()) || m.GetRouter() == "" || len(m.GetRouter()) > wire.MaxName {
+		if !validAddress(m.GetPeerAddress()) || m.GetRouter() == "" || len(m.GetRouter()) > wire.MaxNameBytes {
 			continue
 		}
 		members = append(members, membership.Member{
--- a/transport/peer/failure_test.go
+++ b/transport/peer/failure_test.go
@@ -29,9 +29,9 @@
 	for _, n := range f.nodes {
 		names = append(names, n.name)
 	}
-	f.until(func() bool {
+	f.advanceUntil(func() bool {
 		for _, n := range f.nodes {
-			if !n.sees(names...) || n.busy() || len(n.accepted()) != len(names)-1 {
+			if !n.seesExactly(names...) || n.handshaking() || len(n.acceptedSessions()) != len(names)-1 {
 				return false
 			}
 		}
@@ -47,12 +47,12 @@
 	a, b := f.startPair()
 	c := f.start("ramales-1", 1, a.Addr())
 	all := []state.Router{"castro-1", "laredo-1", "ramales-1"}
-	f.until(func() bool { return a.sees(all...) && b.sees(all...) && c.sees(all...) })
+	f.advanceUntil(func() bool { return a.seesExactly(all...) && b.seesExactly(all...) && c.seesExactly(all...) })
 	f.setLink("castro-1", "laredo-1", linkCut)
-	f.until(func() bool { return a.sees("castro-1", "ramales-1") && b.sees("laredo-1", "ramales-1") })
-	require.True(t, c.sees(all...))
+	f.advanceUntil(func() bool { return a.seesExactly("castro-1", "ramales-1") && b.seesExactly("laredo-1", "ramales-1") })
+	require.True(t, c.seesExactly(all...))
 	f.setLink("castro-1", "laredo-1", linkUp)
-	f.until(func() bool { return a.sees(all...) && b.sees(all...) && c.sees(all...) })
+	f.advanceUntil(func() bool { return a.seesExactly(all...) && b.seesExactly(all...) && c.seesExactly(all...) })
 }
 
 // A network partition cuts two data centres off from two others, without a
@@ -62,7 +62,9 @@
 	f := newFleet(t)
 	a, b := f.startPair()
 	c, d := f.start("ramales-1", 1, a.Addr()), f.start("santona-1", 1, a.Addr())
-	f.until(func() bool { return len(a.accepted())+len(b.accepted())+len(c.accepted())+len(d.accepted()) == 12 })
+	f.advanceUntil(func() bool {
+		return len(a.acceptedSessions())+len(b.acceptedSessions())+len(c.acceptedSessions())+len(d.acceptedSessions()) == 12
+	})
 	setCut := func(s linkState) {
 		for _, far := range []state.Router{"ramales-1", "ramales-2", "santona-1"} {
 			f.setLink("castro-1", far, s)
@@ -70,16 +72,16 @@
 		}
 	}
 	setCut(linkDead)
-	f.until(func() bool {
-		return a.sees("castro-1", "laredo-1") && b.sees("castro-1", "laredo-1") &&
-			c.sees("ramales-1", "santona-1") && d.sees("ramales-1", "santona-1")
+	f.advanceUntil(func() bool {
+		return a.seesExactly("castro-1", "laredo-1") && b.seesExactly("castro-1", "laredo-1") &&
+			c.seesExactly("ramales-1", "santona-1") && d.seesExactly("ramales-1", "santona-1")
 	})
 	e := f.start("ramales-2", 1, c.Addr())
-	f.until(func() bool { return d.sees("ramales-1", "ramales-2", "santona-1") })
+	f.advanceUntil(func() bool { return d.seesExactly("ramales-1", "ramales-2", "santona-1") })
 	setCut(linkUp)
-	f.until(func() bool {
+	f.advanceUntil(func() bool {
 		all := []state.Router{"castro-1", "laredo-1", "ramales-1", "ramales-2", "santona-1"}
-		return !slices.ContainsFunc([]*node{a, b, c, d, e}, func(n *node) bool { return !n.sees(all...) })
+		return !slices.ContainsFunc([]*node{a, b, c, d, e}, func(n *node) bool { return !n.seesExactly(all...) })
 	})
 }
 
@@ -91,10 +93,10 @@
 	f := newFleet(t)
 	a, b := f.startPair()
 	f.setLink("castro-1", "laredo-1", linkDead)
-	f.until(func() bool { return a.sees("castro-1") && b.sees("laredo-1") })
+	f.advanceUntil(func() bool { return a.seesExactly("castro-1") && b.seesExactly("laredo-1") })
 	require.Zero(t, a.Stats().Overflows+b.Stats().Overflows, "silence ends it, not a full queue")
 	f.setLink("castro-1", "laredo-1", linkUp)
-	f.until(func() bool { return a.sees("castro-1", "laredo-1") && b.sees("castro-1", "laredo-1") })
+	f.advanceUntil(func() bool { return a.seesExactly("castro-1", "laredo-1") && b.seesExactly("castro-1", "laredo-1") })
 }
 
 // A connection breaks and the pair reconnects within the grace. Nobody is
@@ -103,9 +105,9 @@
 func TestReconnectWithinGraceAsksForFullState(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
-	a.route("laredo-1").end(net.ErrClosed)
-	f.until(func() bool { return a.openedFrom("laredo-1") >= 2 && b.openedFrom("castro-1") >= 2 })
-	require.True(t, a.sees("castro-1", "laredo-1"))
+	a.sessionWith("laredo-1").end(net.ErrClosed)
+	f.advanceUntil(func() bool { return a.openedFrom("laredo-1") >= 2 && b.openedFrom("castro-1") >= 2 })
+	require.True(t, a.seesExactly("castro-1", "laredo-1"))
 }
 
 // A VM vanishes without closing its connections and its successor comes up
@@ -116,19 +118,19 @@
 	old := f.start("laredo-1", 1)
 	// The session that the smaller name dialled would win against a new one.
 	a := f.start("castro-1", 1, old.Addr())
-	f.until(func() bool { return a.sees("castro-1", "laredo-1") && old.sees("castro-1", "laredo-1") })
+	f.advanceUntil(func() bool { return a.seesExactly("castro-1", "laredo-1") && old.seesExactly("castro-1", "laredo-1") })
 	f.setLink("castro-1", "laredo-1", linkDead)
 	// A link is dead from the first byte that it loses.
-	require.True(t, a.Send("laredo-1", grant(1)))
+	require.True(t, a.Send("laredo-1", grantEnvelope(1)))
 	old.opts.FlushTimeout = 0
 	f.stop(old)
 	f.setLink("castro-1", "laredo-1", linkUp)
-	lingering := a.route("laredo-1")
+	lingering := a.sessionWith("laredo-1")
 	next := f.start("laredo-1", 2, a.Addr())
-	f.wait(func() bool {
-		return a.find("laredo-1").Incarnation == 2 && next.sees("castro-1", "laredo-1")
+	f.waitFor(func() bool {
+		return a.findPeer("laredo-1").Incarnation == 2 && next.seesExactly("castro-1", "laredo-1")
 	})
-	require.NotSame(t, lingering, a.route("laredo-1"))
+	require.NotSame(t, lingering, a.sessionWith("laredo-1"))
 }
 
 // A process is paused with its VM, and the platform starts a successor under
@@ -138,7 +140,7 @@
 	f := newFleet(t)
 	a, _ := f.startPair()
 	old := f.start("laredo-1", 1, a.Addr())
-	f.wait(func() bool { return a.Stats().Refused == 1 && !old.busy() })
+	f.waitFor(func() bool { return a.Stats().Refused == 1 && !old.handshaking() })
 	require.Zero(t, old.Stats().Sessions)
 	require.EqualValues(t, 1, a.Stats().Sessions)
 }
@@ -148,32 +150,32 @@
 // Where no two processes live under one name, it passes the old one's and joins.
 func TestRestartAfterTheClockWasSetBack(t *testing.T) {
 	f := newFleet(t)
-	f.tweak = func(o *Options) { o.Sole = true }
+	f.configure = func(o *Options) { o.SoleProcess = true }
 	a, old := f.startPair()
 	f.stop(old)
-	f.until(func() bool { return a.sees("castro-1") })
+	f.advanceUntil(func() bool { return a.seesExactly("castro-1") })
 	next := f.start("laredo-1", 1, a.Addr())
-	f.until(func() bool { return a.sees("castro-1", "laredo-1") && next.sees("castro-1", "laredo-1") })
-	require.EqualValues(t, 3, a.find("laredo-1").Incarnation)
+	f.advanceUntil(func() bool { return a.seesExactly("castro-1", "laredo-1") && next.seesExactly("castro-1", "laredo-1") })
+	require.EqualValues(t, 3, a.findPeer("laredo-1").Incarnation)
 }
 
 // A peer stops reading, as a frozen VM does, while a burst of messages is due
 // to it. Send must return at once every time, or the scheduler of this router
 // stops with it. The overflow drops the session, the other peer notices
 // nothing, and the frozen one gets a new session when it is back.
-func TestFrozenPeerBlocksNobody(t *testing.T) {
+func TestFrozenPeerDoesNotBlockSend(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
 	c := f.start("ramales-1", 1, a.Addr())
 	all := []state.Router{"castro-1", "laredo-1", "ramales-1"}
-	f.until(func() bool { return a.sees(all...) && b.sees(all...) && c.sees(all...) })
-	b.hold.Lock()
-	for a.Send("laredo-1", grant(1)) {
+	f.advanceUntil(func() bool { return a.seesExactly(all...) && b.seesExactly(all...) && c.seesExactly(all...) })
+	b.readBlock.Lock()
+	for a.Send("laredo-1", grantEnvelope(1)) {
 	}
-	require.True(t, a.Send("ramales-1", grant(2)))
-	f.wait(func() bool { return c.receivedFrom("castro-1") == 1 && a.Stats().Overflows == 1 })
-	b.hold.Unlock()
-	f.until(func() bool { return a.openedFrom("laredo-1") >= 2 && a.sees(all...) && b.sees(all...) })
+	require.True(t, a.Send("ramales-1", grantEnvelope(2)))
+	f.waitFor(func() bool { return c.receivedFrom("castro-1") == 1 && a.Stats().Overflows == 1 })
+	b.readBlock.Unlock()
+	f.advanceUntil(func() bool { return a.openedFrom("laredo-1") >= 2 && a.seesExactly(all...) && b.seesExactly(all...) })
 }
 
 // This process stands still for a minute and its timers run before its sockets
@@ -182,13 +184,15 @@
 	f := newFleet(t)
 	a, b := f.startPair()
 	// What was heard before the pause must not count as heard after it.
-	f.until(func() bool { return !a.route("laredo-1").heard.Load() && !b.route("castro-1").heard.Load() })
+	f.advanceUntil(func() bool {
+		return !a.sessionWith("laredo-1").messageReceived.Load() && !b.sessionWith("castro-1").messageReceived.Load()
+	})
 	f.tick(60 * membership.HeartbeatInterval)
-	f.wait(f.settled)
+	f.waitFor(f.settled)
 	f.tick(membership.TickInterval)
-	f.wait(f.settled)
+	f.waitFor(f.settled)
 	require.EqualValues(t, 1, a.Stats().Resumed)
-	require.True(t, a.sees("castro-1", "laredo-1"))
+	require.True(t, a.seesExactly("castro-1", "laredo-1"))
 	require.Equal(t, 1, a.openedFrom("laredo-1"))
 }
 
@@ -198,9 +202,9 @@
 	f := newFleet(t)
 	a, b := f.startPair()
 	b.SetDraining(true)
-	f.wait(func() bool { return a.find("laredo-1").Draining })
+	f.waitFor(func() bool { return a.findPeer("laredo-1").Draining })
 	f.stop(b)
-	f.wait(func() bool { return a.sees("castro-1") })
+	f.waitFor(func() bool { return a.seesExactly("castro-1") })
 }
 
 // A router stops while its last messages wait for a peer that is busy. They
@@ -210,18 +214,18 @@
 	a := f.start("castro-1", 1)
 	b := f.start("laredo-1", 1, a.Addr())
 
-	f.until(func() bool { return a.sees("castro-1", "laredo-1") && b.sees("castro-1", "laredo-1") })
-	a.hold.Lock()
+	f.advanceUntil(func() bool { return a.seesExactly("castro-1", "laredo-1") && b.seesExactly("castro-1", "laredo-1") })
+	a.readBlock.Lock()
 	const objects = 4
 	for range objects {
 		object := &peerpb.ConfigObject{Value: make([]byte, 1<<20)}
 		require.True(t, b.Send("castro-1", &peerpb.Envelope{Body: &peerpb.Envelope_ConfigObject{ConfigObject: object}}))
 	}
 	b.cancel()
-	f.wait(func() bool { return f.running() == 1 })
-	a.hold.Unlock()
+	f.waitFor(func() bool { return f.running() == 1 })
+	a.readBlock.Unlock()
 	f.stop(b)
-	f.wait(func() bool { return a.receivedFrom("laredo-1") == objects })
+	f.waitFor(func() bool { return a.receivedFrom("laredo-1") == objects })
 }
 
 // A router of another fleet, or of another protocol, is given our address by
@@ -229,16 +233,16 @@
 func TestForeignFleetIsRefused(t *testing.T) {
 	f := newFleet(t)
 	a := f.start("castro-1", 1)
-	f.tweak = func(o *Options) { o.Self.Fleet = "aravena" }
+	f.configure = func(o *Options) { o.Self.Fleet = "aravena" }
 	b := f.start("pudahuel-1", 1, a.Addr())
-	f.until(func() bool { return a.Stats().Refused > 0 && b.Stats().Refused > 0 })
-	require.True(t, a.sees("castro-1"))
-	require.True(t, b.sees("pudahuel-1"))
+	f.advanceUntil(func() bool { return a.Stats().Refused > 0 && b.Stats().Refused > 0 })
+	require.True(t, a.seesExactly("castro-1"))
+	require.True(t, b.seesExactly("pudahuel-1"))
 }
 
 // Somebody opens the peer port and sends noise, a frame beyond the limit, or
 // nothing. Each connection ends and the mesh goes on.
-func TestGarbageEndsTheConnectionAlone(t *testing.T) {
+func TestGarbageEndsOnlyItsOwnConnection(t *testing.T) {
 	f := newFleet(t)
 	a := f.start("castro-1", 1)
 	noise := make([]byte, 64<<10)
@@ -248,31 +252,31 @@
 		conn, err := net.Dial("tcp", a.Addr())
 		require.NoError(t, err)
 		_, _ = conn.Write(sent)
-		f.wait(func() bool {
+		f.waitFor(func() bool {
 			f.tick(membership.TickInterval)
 			return a.Stats().Failed == uint64(i+1)
 		})
 		require.NoError(t, conn.Close())
 	}
 	b := f.start("laredo-1", 1, a.Addr())
-	f.until(func() bool { return a.sees("castro-1", "laredo-1") && b.sees("castro-1", "laredo-1") })
-	s := b.route("castro-1")
-	oversized := make([]byte, wire.MaxControlFrame+1)
+	f.advanceUntil(func() bool { return a.seesExactly("castro-1", "laredo-1") && b.seesExactly("castro-1", "laredo-1") })
+	s := b.sessionWith("castro-1")
+	oversized := make([]byte, wire.MaxControlFrameBytes+1)
 	frame, err := wire.AppendFrame(nil, &peerpb.Envelope{Body: &peerpb.Envelope_ConfigObject{ConfigObject: &peerpb.ConfigObject{Value: oversized}}})
 	require.NoError(t, err)
 	require.True(t, s.enqueue(s.control, frame))
-	f.until(func() bool { return a.openedFrom("laredo-1") >= 2 && b.openedFrom("castro-1") >= 2 })
+	f.advanceUntil(func() bool { return a.openedFrom("laredo-1") >= 2 && b.openedFrom("castro-1") >= 2 })
 }
 
 // A router stops near the end of its grace period while a peer does not read.
 // It waited a second for that peer and was killed: "requests cut off at the end
 // of the grace period" at 7.5 s was its last line, "stopped" never came.
-func TestStopWaitsForNoPeerBeyondItsLimit(t *testing.T) {
+func TestStopWaitsAtMostTheFlushTimeout(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
-	b.hold.Lock()
-	defer b.hold.Unlock()
-	require.True(t, a.Send("laredo-1", grant(1)))
+	b.readBlock.Lock()
+	defer b.readBlock.Unlock()
+	require.True(t, a.Send("laredo-1", grantEnvelope(1)))
 	a.opts.FlushTimeout = time.Millisecond
 	f.stop(a)
 }
--- a/transport/peer/fleet_test.go
+++ b/transport/peer/fleet_test.go
@@ -21,42 +21,42 @@
 // fleet runs routers on loopback, with links that fail and a clock that only
 // the test moves.
 type fleet struct {
-	t     testing.TB
-	tweak func(*Options)
+	t         testing.TB
+	configure func(*Options)
 
 	// mu guards everything below and what the nodes were told.
-	mu    sync.Mutex
-	now   time.Time
-	ticks []chan time.Time
-	nodes []*node
-	down  map[pair]linkState
-	links []*link
+	mu         sync.Mutex
+	now        time.Time
+	ticks      []chan time.Time
+	nodes      []*node
+	linkStates map[pair]linkState
+	links      []*link
 }
 
 // node is a router under test and what its callbacks were told.
 type node struct {
 	*Mesh
-	fleet  *fleet
-	name   state.Router
-	cancel context.CancelFunc
-	ended  chan struct{}
-	// hold is read-locked by the handler: a writer stops it from reading.
-	hold sync.RWMutex
-
-	live     []scheduler.Peer
-	opened   map[state.Router]int
-	messages map[state.Router]int
+	fleet   *fleet
+	name    state.Router
+	cancel  context.CancelFunc
+	stopped chan struct{}
+	// readBlock is read-locked by the handler: a writer stops it from reading.
+	readBlock sync.RWMutex
+
+	livePeers []scheduler.Peer
+	opened    map[state.Router]int
+	messages  map[state.Router]int
 }
 
 func newFleet(t testing.TB) *fleet {
-	f := &fleet{t: t, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), down: make(map[pair]linkState)}
+	f := &fleet{t: t, now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), linkStates: make(map[pair]linkState)}
 	t.Cleanup(func() {
 		for _, n := range f.nodes {
 			n.opts.FlushTimeout = 0
 			n.cancel()
 		}
 		for _, n := range f.nodes {
-			<-n.ended
+			<-n.stopped
 		}
 		for _, l := range f.links {
 			_ = l.Conn.Close()
@@ -89,23 +89,23 @@
 }
 
 func (f *fleet) start(name string, incarnation uint64, seeds ...string) *node {
-	n := &node{fleet: f, name: state.Router(name), opened: map[state.Router]int{}, messages: map[state.Router]int{}, ended: make(chan struct{})}
+	n := &node{fleet: f, name: state.Router(name), opened: map[state.Router]int{}, messages: map[state.Router]int{}, stopped: make(chan struct{})}
 	opts := Options{
 		Self:   Self{Peer: Peer{Router: n.name, DataCentre: "sala-laredo", Incarnation: state.Incarnation(incarnation)}, Fleet: "cantabria"},
 		Listen: "127.0.0.1:0",
 		Seeds:  seeds,
 		Handler: func(from Peer, _ *peerpb.Envelope) {
-			n.hold.RLock()
-			defer n.hold.RUnlock()
+			n.readBlock.RLock()
+			defer n.readBlock.RUnlock()
 			locked(f, func() int { n.messages[from.Router]++; return 0 })
 		},
-		OnPeers:   func(peers []scheduler.Peer) { locked(f, func() int { n.live = peers; return 0 }) },
+		OnPeers:   func(peers []scheduler.Peer) { locked(f, func() int { n.livePeers = peers; return 0 }) },
 		OnSession: func(p Session) { locked(f, func() int { n.opened[p.Router]++; return 0 }) },
 		Log:       zerolog.Nop(),
 		Clock:     f,
 	}
-	if f.tweak != nil {
-		f.tweak(&opts)
+	if f.configure != nil {
+		f.configure(&opts)
 	}
 	mesh, err := New(opts)
 	require.NoError(f.t, err)
@@ -117,10 +117,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
 	go func() {
-		defer close(n.ended)
+		defer close(n.stopped)
 		_ = mesh.Run(ctx)
 	}()
-	f.wait(func() bool { return f.running() == others+1 })
+	f.waitFor(func() bool { return f.running() == others+1 })
 	return n
 }
 
@@ -128,30 +128,30 @@
 func (f *fleet) startPair() (castro, laredo *node) {
 	castro = f.start("castro-1", 2)
 	laredo = f.start("laredo-1", 2, castro.Addr())
-	f.until(func() bool { return castro.openedFrom("laredo-1") == 1 && laredo.openedFrom("castro-1") == 1 })
+	f.advanceUntil(func() bool { return castro.openedFrom("laredo-1") == 1 && laredo.openedFrom("castro-1") == 1 })
 	return castro, laredo
 }
 
 // stop ends a router as a planned stop does.
 func (f *fleet) stop(n *node) {
 	n.cancel()
-	<-n.ended
+	<-n.stopped
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.nodes = slices.DeleteFunc(f.nodes, func(other *node) bool { return other == n })
 }
 
-func (n *node) sees(names ...state.Router) bool {
+func (n *node) seesExactly(names ...state.Router) bool {
 	return locked(n.fleet, func() bool {
-		return slices.EqualFunc(n.live, names, func(p scheduler.Peer, name state.Router) bool { return p.Router == name })
+		return slices.EqualFunc(n.livePeers, names, func(p scheduler.Peer, name state.Router) bool { return p.Router == name })
 	})
 }
 
-// find returns what the router last published of another one.
-func (n *node) find(name state.Router) (found scheduler.Peer) {
+// findPeer returns what the router last published of another one.
+func (n *node) findPeer(name state.Router) (found scheduler.Peer) {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
-	for _, p := range n.live {
+	for _, p := range n.livePeers {
 		if p.Router == name {
 			found = p
 		}
@@ -167,25 +167,25 @@
 	return locked(n.fleet, func() int { return n.messages[name] })
 }
 
-func (n *node) route(to state.Router) *session {
+func (n *node) sessionWith(to state.Router) *session {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	return n.routes[to]
+	return n.acceptedByRouter[to]
 }
 
-// busy reports sessions without a verdict; a dial counts from its connection.
-func (n *node) busy() bool {
+// handshaking reports sessions without a verdict; a dial counts from its connection.
+func (n *node) handshaking() bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
-	return len(n.sessions) != len(n.routes)
+	return len(n.sessions) != len(n.acceptedByRouter)
 }
 
-// until moves the clock tick by tick until the condition holds. Time only moves
+// advanceUntil moves the clock tick by tick until the condition holds. Time only moves
 // once every heartbeat that can arrive has arrived, so that a slow machine
 // makes nobody silent; the limit is that of the test run alone.
-func (f *fleet) until(condition func() bool) {
+func (f *fleet) advanceUntil(condition func() bool) {
 	for {
-		f.wait(func() bool { return condition() || f.settled() })
+		f.waitFor(func() bool { return condition() || f.settled() })
 		if condition() {
 			return
 		}
@@ -198,7 +198,7 @@
 // the ticks would else keep it to themselves for minutes of their own time.
 func (f *fleet) yield() { time.Sleep(100 * time.Microsecond) }
 
-func (f *fleet) wait(condition func() bool) {
+func (f *fleet) waitFor(condition func() bool) {
 	for !condition() {
 		time.Sleep(time.Millisecond)
 	}
@@ -218,11 +218,11 @@
 
 func (f *fleet) settled() bool {
 	for i, a := range f.nodes {
-		if a.busy() {
+		if a.handshaking() {
 			return false
 		}
 		for _, b := range f.nodes[i+1:] {
-			if f.link(a.name, b.name) == linkUp && !inStep(a, b) {
+			if f.link(a.name, b.name) == linkUp && !heartbeatsDelivered(a, b) {
 				return false
 			}
 		}
@@ -230,23 +230,23 @@
 	return true
 }
 
-// inStep holds if neither router has a session with the other, or both have
+// heartbeatsDelivered holds if neither router has a session with the other, or both have
 // and every heartbeat has arrived.
-func inStep(a, b *node) bool {
-	toB, toA := a.route(b.name), b.route(a.name)
+func heartbeatsDelivered(a, b *node) bool {
+	toB, toA := a.sessionWith(b.name), b.sessionWith(a.name)
 	if toB == nil || toA == nil {
 		return toB == toA
 	}
-	return arrived(toB, toA) && arrived(toA, toB)
+	return lastHeartbeatDelivered(toB, toA) && lastHeartbeatDelivered(toA, toB)
 }
 
-func arrived(from, to *session) bool {
-	from.trip.mu.Lock()
-	sent := from.trip.sequence
-	from.trip.mu.Unlock()
-	to.trip.mu.Lock()
-	defer to.trip.mu.Unlock()
-	return to.trip.heard == sent
+func lastHeartbeatDelivered(from, to *session) bool {
+	from.roundTrip.mu.Lock()
+	sent := from.roundTrip.sequence
+	from.roundTrip.mu.Unlock()
+	to.roundTrip.mu.Lock()
+	defer to.roundTrip.mu.Unlock()
+	return to.roundTrip.receivedSequence == sent
 }
 
 type linkState int
@@ -268,9 +268,9 @@
 // dead for both ends, whatever becomes of the route.
 type link struct {
 	net.Conn
-	fleet *fleet
-	pair  pair
-	lost  bool
+	fleet     *fleet
+	pair      pair
+	lostBytes bool
 	// closed is closed with the dialler's end: the end of the other side is
 	// lost on a dead link too.
 	closed chan struct{}
@@ -278,16 +278,16 @@
 }
 
 func (f *fleet) link(a, b state.Router) linkState {
-	return locked(f, func() linkState { return f.down[pairOf(a, b)] })
+	return locked(f, func() linkState { return f.linkStates[pairOf(a, b)] })
 }
 
 // setLink waits for handshakes under way: on a dead link they would end by
 // their time limit alone, for which until does not move the clock.
 func (f *fleet) setLink(a, b state.Router, s linkState) {
-	f.wait(f.settled)
+	f.waitFor(f.settled)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.down[pairOf(a, b)] = s
+	f.linkStates[pairOf(a, b)] = s
 	for _, l := range f.links {
 		if l.pair == pairOf(a, b) && s == linkCut {
 			_ = l.Conn.Close()
@@ -320,8 +320,8 @@
 
 func (l *link) dead() bool {
 	return locked(l.fleet, func() bool {
-		l.lost = l.lost || l.fleet.down[l.pair] == linkDead
-		return l.lost
+		l.lostBytes = l.lostBytes || l.fleet.linkStates[l.pair] == linkDead
+		return l.lostBytes
 	})
 }
 
--- a/transport/peer/measure_test.go
+++ b/transport/peer/measure_test.go
@@ -31,13 +31,13 @@
 
 // Each message of a stream must leave in one segment, or small messages cost
 // twice the packets.
-func TestHeaderAndBodyLeaveTogether(t *testing.T) {
+func TestHeaderAndBodyAreWrittenTogether(t *testing.T) {
 	near, far := net.Pipe()
 	counted := &writeCounter{Conn: near}
 	cfg := yamux.DefaultConfig()
 	cfg.EnableKeepAlive = false
 	cfg.LogOutput = io.Discard
-	client, err := yamux.Client(&joinedConn{Conn: counted}, cfg)
+	client, err := yamux.Client(&frameJoiningConn{Conn: counted}, cfg)
 	require.NoError(t, err)
 	server, err := yamux.Server(far, cfg)
 	require.NoError(t, err)
@@ -57,7 +57,7 @@
 	require.Equal(t, 1+messages, counted.writes, "opening the stream is a frame of its own")
 }
 
-func demand(entries int) scheduler.Action {
+func demandAction(entries int) scheduler.Action {
 	var list []scheduler.DemandEntry
 	for i := range entries {
 		list = append(list, scheduler.DemandEntry{Workspace: state.Workspace(fmt.Sprintf("turismo-oriental-%02d", i)), Model: "borrador-7b-v3", Waiting: 12, HeadAge: 2 * time.Second, HeadCost: 1500 * state.CostUnit})
@@ -65,7 +65,7 @@
 	return scheduler.SendDemand{Demand: scheduler.Demand{Service: "redaccion-figstile", Entries: list}}
 }
 
-func usage(origin state.Router, entries int) scheduler.Action {
+func usageAction(origin state.Router, entries int) scheduler.Action {
 	var list []scheduler.UsageEntry
 	for i := range entries {
 		list = append(list, scheduler.UsageEntry{Service: "redaccion-figstile", Workspace: state.Workspace(fmt.Sprintf("turismo-oriental-%02d", i)), Charged: 250_000 * state.CostUnit, Reserved: 3000 * state.CostUnit, Lift: 90_000 * state.CostUnit})
@@ -78,15 +78,15 @@
 func BenchmarkMessage(b *testing.B) {
 	const router, service, workspace, upstream = "sala-laredo-1", "redaccion-figstile", "turismo-oriental-01", "redaccion-laredo-03"
 	for name, action := range map[string]scheduler.Action{
-		"demand-1":       demand(1),
-		"demand-16":      demand(16),
+		"demand-1":       demandAction(1),
+		"demand-16":      demandAction(16),
 		"grant":          scheduler.SendGrant{Grant: scheduler.Grant{Sequence: 5_000_000, Service: service, Workspace: workspace, Model: "borrador-7b-v3", Upstream: upstream, Lifetime: time.Second, Reserved: 1500 * state.CostUnit}},
 		"decline":        scheduler.SendDecline{Sequence: 5_000_000, Service: service, Demand: scheduler.DemandEntry{Workspace: workspace}},
 		"progress":       scheduler.SendProgress{Sequence: 5_000_000, Upstream: upstream, Service: service, Workspace: workspace, Cost: 64 * state.CostUnit},
 		"ended":          scheduler.SendEnded{Sequence: 5_000_000, Upstream: upstream, Service: service, Workspace: workspace, Cost: 64 * state.CostUnit, Outcome: scheduler.OutcomeServed},
-		"usage-1":        usage("", 1),
-		"usage-1-origin": usage(router, 1),
-		"usage-16":       usage("", 16),
+		"usage-1":        usageAction("", 1),
+		"usage-1-origin": usageAction(router, 1),
+		"usage-16":       usageAction("", 16),
 	} {
 		env, _, _ := wire.ToEnvelope(action)
 		b.Run(name, func(b *testing.B) { measureMessage(b, env) })
@@ -100,14 +100,14 @@
 func measureMessage(b *testing.B, env *peerpb.Envelope) {
 	f := newFleet(b)
 	from, to := f.startPair()
-	f.wait(f.settled)
+	f.waitFor(f.settled)
 	received := func() uint64 { return to.Stats().Total.MessagesIn }
-	before, already := from.Stats().Total, received()
+	before, receivedBefore := from.Stats().Total, received()
 	sent := uint64(0)
 	for b.Loop() {
 		require.True(b, from.Send(to.name, env))
 		sent++
-		f.wait(func() bool { return received() == already+sent })
+		f.waitFor(func() bool { return received() == receivedBefore+sent })
 	}
 	after := from.Stats().Total
 	b.ReportMetric(float64(after.BytesOut-before.BytesOut)/float64(sent), "wire-B/msg")
@@ -128,25 +128,25 @@
 func measureIdle(b *testing.B, routers int) {
 	f := newFleet(b)
 	f.start("sala-laredo-00", 1_767_225_600_000)
-	empty := inUse()
+	empty := memoryInUse()
 	for i := 1; i < routers; i++ {
 		f.start(fmt.Sprintf("sala-laredo-%02d", i), 1_767_225_600_000, f.nodes[0].Addr())
 	}
-	started := inUse()
-	f.until(func() bool {
+	started := memoryInUse()
+	f.advanceUntil(func() bool {
 		for _, n := range f.nodes {
-			if len(n.accepted()) != routers-1 {
+			if len(n.acceptedSessions()) != routers-1 {
 				return false
 			}
 		}
 		return f.settled()
 	})
-	connected := inUse()
+	connected := memoryInUse()
 	const span = 2 * membership.GossipInterval
 	bytes := f.bytesOut()
 	for range span / membership.TickInterval {
 		f.tick(membership.TickInterval)
-		f.wait(f.settled)
+		f.waitFor(f.settled)
 	}
 	b.ReportMetric(float64(f.bytesOut()-bytes)/span.Seconds()/float64(routers), "B/s/router")
 	b.ReportMetric(float64(connected-started)/float64(routers*(routers-1)), "mem-B/session")
@@ -160,8 +160,8 @@
 	return sum
 }
 
-// inUse returns the bytes of live heap and of stacks.
-func inUse() int64 {
+// memoryInUse returns the bytes of live heap and of stacks.
+func memoryInUse() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -23,9 +23,9 @@
 	handshakeTimeout = 5 * time.Second
 	// dialTimeout bounds a connect to an address that drops packets.
 	dialTimeout = 3 * time.Second
-	// maxPending bounds the connections without a hello, so that somebody
+	// maxPendingSessions bounds the connections without a hello, so that somebody
 	// who opens them in a loop takes no memory from the rest.
-	maxPending = 256
+	maxPendingSessions = 256
 )
 
 // Mesh holds the sessions with all peers.
@@ -35,32 +35,32 @@
 	listener net.Listener
 	notices  notices
 	// connectTo opens a connection.
-	connectTo func(ctx context.Context, address string) (net.Conn, error)
-	running   sync.WaitGroup
-	total     counters
-	// strangers logs connections that never became sessions.
-	strangers zerolog.Logger
+	connectTo    func(ctx context.Context, address string) (net.Conn, error)
+	goroutines   sync.WaitGroup
+	totalTraffic counters
+	// handshakeLog logs connections that never became sessions.
+	handshakeLog zerolog.Logger
 
-	// created is when this process began.
-	created time.Time
+	// startedAt is when this process began.
+	startedAt time.Time
 
 	mu sync.RWMutex
 	// ctx ends with Run; nil before.
-	ctx      context.Context
-	machine  *membership.Machine
-	lastID   membership.SessionID
-	sessions map[membership.SessionID]*session
-	routes   map[state.Router]*session
-	traffic  map[state.Router]*counters
-	events   EventCounts
-	// live and changed are what the present step has to announce.
-	live    []scheduler.Peer
-	changed []sessionNotice
+	ctx              context.Context
+	machine          *membership.Machine
+	lastID           membership.SessionID
+	sessions         map[membership.SessionID]*session
+	acceptedByRouter map[state.Router]*session
+	traffic          map[state.Router]*counters
+	eventCounts      EventCounts
+	// pendingPeers and changed are what the present step has to announce.
+	pendingPeers    []scheduler.Peer
+	pendingSessions []sessionNotice
 }
 
 // New opens the listener. Peers are dialled once Run is called.
 func New(opts Options) (*Mesh, error) {
-	if err := opts.complete(); err != nil {
+	if err := opts.validate(); err != nil {
 		return nil, err
 	}
 	listener, err := net.Listen("tcp", opts.Listen)
@@ -84,17 +84,17 @@
 		Capacity:    opts.Self.Capacity,
 	}
 	m := &Mesh{
-		opts:      opts,
-		self:      self,
-		listener:  listener,
-		connectTo: opts.Dial,
-		strangers: opts.Log.Sample(&zerolog.BurstSampler{Burst: strangerLines, Period: strangerPeriod}),
-		created:   opts.Clock.Now(),
-		notices:   newNotices(),
-		machine:   membership.New(membership.Config{Self: self, Seed: opts.Seed, Selective: opts.Selective}),
-		sessions:  make(map[membership.SessionID]*session),
-		routes:    make(map[state.Router]*session),
-		traffic:   make(map[state.Router]*counters),
+		opts:             opts,
+		self:             self,
+		listener:         listener,
+		connectTo:        opts.Dial,
+		handshakeLog:     opts.Log.Sample(&zerolog.BurstSampler{Burst: handshakeLogBurst, Period: handshakeLogPeriod}),
+		startedAt:        opts.Clock.Now(),
+		notices:          newNotices(),
+		machine:          membership.New(membership.Config{Self: self, Seed: opts.Seed, SelectiveDialing: opts.SelectiveDialing}),
+		sessions:         make(map[membership.SessionID]*session),
+		acceptedByRouter: make(map[state.Router]*session),
+		traffic:          make(map[state.Router]*counters),
 	}
 	return m, nil
 }
@@ -109,16 +109,16 @@
 	defer cancel()
 	m.mu.Lock()
 	m.ctx = inner
-	m.step(membership.Seeded{Addresses: m.opts.Seeds})
+	m.step(membership.SeedsAdded{Addresses: m.opts.Seeds})
 	m.mu.Unlock()
 
-	m.running.Go(m.accept)
-	m.running.Go(func() { m.notices.deliver(inner, m.opts) })
+	m.goroutines.Go(m.acceptConnections)
+	m.goroutines.Go(func() { m.notices.deliver(inner, m.opts) })
 	m.tickUntil(ctx)
 
 	m.flush()
 	m.stop(cancel)
-	m.running.Wait()
+	m.goroutines.Wait()
 	return nil
 }
 
@@ -142,7 +142,7 @@
 func (m *Mesh) flush() {
 	ctx, cancel := context.WithTimeout(context.Background(), m.opts.FlushTimeout)
 	defer cancel()
-	sessions := m.accepted()
+	sessions := m.acceptedSessions()
 	for _, s := range sessions {
 		s.flush(ctx)
 	}
@@ -150,14 +150,14 @@
 		s.conn.closeWrite()
 	}
 	for _, s := range sessions {
-		s.await(ctx)
+		s.awaitEnd(ctx)
 	}
 }
 
-func (m *Mesh) accepted() []*session {
+func (m *Mesh) acceptedSessions() []*session {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return slices.Collect(maps.Values(m.routes))
+	return slices.Collect(maps.Values(m.acceptedByRouter))
 }
 
 func (m *Mesh) stop(cancel context.CancelFunc) {
@@ -175,18 +175,18 @@
 // dropped so that both sides start again from full state.
 func (m *Mesh) Send(to state.Router, env *peerpb.Envelope) bool {
 	m.mu.RLock()
-	s, ok := m.routes[to]
+	s, ok := m.acceptedByRouter[to]
 	m.mu.RUnlock()
 	if !ok {
 		return false
 	}
-	lane := s.laneFor(env)
-	frame, ok := m.encode(env, lane.maxFrame)
-	return ok && s.enqueue(lane, frame)
+	stream := s.streamFor(env)
+	frame, ok := m.encode(env, stream.maxFrameBytes)
+	return ok && s.enqueue(stream, frame)
 }
 
 // Broadcast queues a message for all peers; it is encoded once.
-func (m *Mesh) Broadcast(env *peerpb.Envelope) { m.queue(m.accepted(), env) }
+func (m *Mesh) Broadcast(env *peerpb.Envelope) { m.enqueueEach(m.acceptedSessions(), env) }
 
 // SendEach queues a message for some peers; it is encoded once. Those without a
 // session are left out.
@@ -194,26 +194,26 @@
 	m.mu.RLock()
 	sessions := make([]*session, 0, len(to))
 	for _, router := range to {
-		if s, ok := m.routes[router]; ok {
+		if s, ok := m.acceptedByRouter[router]; ok {
 			sessions = append(sessions, s)
 		}
 	}
 	m.mu.RUnlock()
-	m.queue(sessions, env)
+	m.enqueueEach(sessions, env)
 }
 
-func (m *Mesh) queue(sessions []*session, env *peerpb.Envelope) {
+func (m *Mesh) enqueueEach(sessions []*session, env *peerpb.Envelope) {
 	var frame []byte
 	for _, s := range sessions {
-		lane := s.laneFor(env)
+		stream := s.streamFor(env)
 		if frame == nil {
-			encoded, ok := m.encode(env, lane.maxFrame)
+			encoded, ok := m.encode(env, stream.maxFrameBytes)
 			if !ok {
 				return
 			}
 			frame = encoded
 		}
-		s.enqueue(lane, frame)
+		s.enqueue(stream, frame)
 	}
 }
 
@@ -233,7 +233,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.self.Draining = draining
-	m.step(membership.DrainingSet{Draining: draining})
+	m.step(membership.DrainingChanged{Draining: draining})
 }
 
 // AddSeeds adds addresses to dial, such as those of the platform's VM list.
@@ -246,12 +246,12 @@
 		m.opts.Seeds = append(m.opts.Seeds, usable...)
 		return
 	}
-	m.step(membership.Seeded{Addresses: usable})
+	m.step(membership.SeedsAdded{Addresses: usable})
 }
 
 // Select replaces the routers that a selective mesh dials; see
 // membership.Selected.
-func (m *Mesh) Select(selected membership.Selected) {
+func (m *Mesh) Select(selected membership.SelectionChanged) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.step(selected)
@@ -261,7 +261,7 @@
 func (m *Mesh) Drop(router state.Router) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.step(membership.Dropped{Router: router})
+	m.step(membership.SessionUnneeded{Router: router})
 }
 
 // tick tells membership which sessions were heard, then lets limits pass.
@@ -270,10 +270,10 @@
 	defer m.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(m.sessions)) {
 		s := m.sessions[id]
-		if s.heard.Swap(false) {
-			m.step(membership.Heard{Session: id})
+		if s.messageReceived.Swap(false) {
+			m.step(membership.MessageReceived{Session: id})
 		}
-		if !s.accepted && m.opts.Clock.Now().Sub(s.began) > handshakeTimeout {
+		if !s.accepted && m.opts.Clock.Now().Sub(s.startedAt) > handshakeTimeout {
 			s.end(errHandshake)
 		}
 	}
@@ -286,71 +286,71 @@
 	for _, action := range m.machine.Step(m.opts.Clock.Now(), event) {
 		m.perform(action)
 	}
-	m.announce()
+	m.queueNotices()
 }
 
-// announce passes on what has changed. The caller holds the lock.
-func (m *Mesh) announce() {
-	if m.live != nil || m.changed != nil {
-		m.notices.add(m.live, m.changed)
-		m.live, m.changed = nil, nil
+// queueNotices passes on what has changed. The caller holds the lock.
+func (m *Mesh) queueNotices() {
+	if m.pendingPeers != nil || m.pendingSessions != nil {
+		m.notices.add(m.pendingPeers, m.pendingSessions)
+		m.pendingPeers, m.pendingSessions = nil, nil
 	}
 }
 
-// unroute takes a session that ends out of use. The caller holds the lock.
-func (m *Mesh) unroute(s *session) {
-	if m.routes[s.peer.Router] != s {
+// removeAccepted takes a session that ends out of use. The caller holds the lock.
+func (m *Mesh) removeAccepted(s *session) {
+	if m.acceptedByRouter[s.peer.Router] != s {
 		return
 	}
-	delete(m.routes, s.peer.Router)
-	m.changed = append(m.changed, sessionNotice{session: s, ended: true})
+	delete(m.acceptedByRouter, s.peer.Router)
+	m.pendingSessions = append(m.pendingSessions, sessionNotice{session: s, ended: true})
 }
 
 func (m *Mesh) perform(action membership.Action) {
 	switch a := action.(type) {
 	case membership.Dial:
 		m.startDial(a.Address)
-	case membership.Accept:
-		m.adopt(m.sessions[a.Session])
-	case membership.Refuse:
-		m.refuse(m.sessions[a.Session], a.Refusal)
-	case membership.Close:
-		m.close(m.sessions[a.Session], a.Reason)
+	case membership.AcceptSession:
+		m.acceptSession(m.sessions[a.Session])
+	case membership.RefuseSession:
+		m.refuseSession(m.sessions[a.Session], a.Refusal)
+	case membership.CloseSession:
+		m.closeSession(m.sessions[a.Session], a.Reason)
 	case membership.SendHeartbeat:
 		m.sendHeartbeat(m.sessions[a.Session], a.Members)
-	case membership.Publish:
-		m.publish(a.Peers)
-	case membership.Resumed:
-		m.events.Resumed++
+	case membership.PublishPeers:
+		m.publishPeers(a.Peers)
+	case membership.ProcessResumed:
+		m.eventCounts.Resumed++
 		m.opts.Log.Warn().Dur("gap", a.Gap).Msg("process resumed")
 	}
 }
 
-// adopt makes a greeted session the route to its peer. The acceptor's hello is
+// acceptSession makes a greeted session the route to its peer. The acceptor's hello is
 // the first frame in its queue.
-func (m *Mesh) adopt(s *session) {
+func (m *Mesh) acceptSession(s *session) {
 	s.accepted = true
 	m.attribute(s)
-	m.routes[s.peer.Router] = s
-	m.events.Sessions++
-	if s.dialled == "" {
+	m.acceptedByRouter[s.peer.Router] = s
+	m.eventCounts.Sessions++
+	if s.dialledAddress == "" {
 		m.enqueueControl(s, helloEnvelope(m.self, membership.RefusalNone, 0))
 	}
-	m.changed = append(m.changed, sessionNotice{session: s})
+	m.pendingSessions = append(m.pendingSessions, sessionNotice{session: s})
 	m.opts.Log.Info().Str("router", string(s.peer.Router)).Uint64("incarnation", uint64(s.peer.Incarnation)).
-		Str("data_centre", string(s.peer.DataCentre)).Bool("dialled", s.dialled != "").Msg("peer session opened")
+		Str("data_centre", string(s.peer.DataCentre)).Bool("dialled", s.dialledAddress != "").Msg("peer session opened")
 }
 
-func (m *Mesh) refuse(s *session, refusal membership.Refusal) {
+func (m *Mesh) refuseSession(s *session, refusal membership.Refusal) {
 	s.refusal = refusal
-	m.events.Refused++
+	m.eventCounts.Refused++
 	m.opts.Log.Warn().Str("router", string(s.peer.Router)).Uint64("incarnation", uint64(s.peer.Incarnation)).
 		Str("address", s.conn.RemoteAddr().String()).Stringer("reason", refusal).Msg("peer session refused")
 }
 
-// close ends a session on membership's orders, which then expects no Closed.
-func (m *Mesh) close(s *session, reason membership.CloseReason) {
-	m.unroute(s)
+// closeSession ends a session on membership's orders, which then expects no Closed.
+func (m *Mesh) closeSession(s *session, reason membership.CloseReason) {
+	m.removeAccepted(s)
 	s.end(closeError(reason))
 }
 
@@ -361,30 +361,30 @@
 func (e closeError) Error() string { return string(e) }
 
 func (m *Mesh) sendHeartbeat(s *session, members []membership.Member) {
-	sequence, echo, held := s.trip.beat(m.opts.Clock.Now())
-	beat := &peerpb.Heartbeat{
+	sequence, echo, echoDelay := s.roundTrip.nextHeartbeat(m.opts.Clock.Now())
+	heartbeat := &peerpb.Heartbeat{
 		Sequence:   sequence,
 		Draining:   m.self.Draining,
 		Members:    memberMessages(members),
 		Echo:       echo,
-		EchoHeldUs: uint64(max(held.Microseconds(), 0)),
+		EchoHeldUs: uint64(max(echoDelay.Microseconds(), 0)),
 	}
-	m.enqueueControl(s, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: beat}})
+	m.enqueueControl(s, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: heartbeat}})
 }
 
 func (m *Mesh) enqueueControl(s *session, env *peerpb.Envelope) {
-	if frame, ok := m.encode(env, s.control.maxFrame); ok {
+	if frame, ok := m.encode(env, s.control.maxFrameBytes); ok {
 		s.enqueue(s.control, frame)
 	}
 }
 
-// publish passes the live routers on and forgets the counters of others.
-func (m *Mesh) publish(peers []scheduler.Peer) {
+// publishPeers passes the live routers on and forgets the counters of others.
+func (m *Mesh) publishPeers(peers []scheduler.Peer) {
 	known := make(map[state.Router]bool)
 	for _, view := range m.machine.Members() {
 		known[view.Router] = true
 	}
 	maps.DeleteFunc(m.traffic, func(router state.Router, _ *counters) bool { return !known[router] })
-	m.live = peers
+	m.pendingPeers = peers
 	m.opts.Log.Info().Int("live", len(peers)).Msg("peers changed")
 }
--- a/transport/peer/notices.go
+++ b/transport/peer/notices.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func (n *notices) take() ([]scheduler.Peer, []sessionNotice) {
+func (n *notices) takeAll() ([]scheduler.Peer, []sessionNotice) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	live, sessions := n.live, n.sessions
@@ -58,7 +58,7 @@
 			return
 		case <-n.ready:
 		}
-		live, sessions := n.take()
+		live, sessions := n.takeAll()
 		if live != nil {
 			opts.OnPeers(live)
 		}
@@ -74,6 +74,6 @@
 		opts.OnSessionEnd(s.peer)
 		return
 	}
-	opts.OnSession(Session{Peer: s.peer, Address: s.address, Dialled: s.dialled != "", Capacity: s.capacity})
-	close(s.announced)
+	opts.OnSession(Session{Peer: s.peer, Address: s.address, Dialled: s.dialledAddress != "", Capacity: s.capacity})
+	close(s.peerAnnounced)
 }
--- a/transport/peer/options.go
+++ b/transport/peer/options.go
@@ -66,10 +66,10 @@
 	Advertise string
 	// Seeds are addresses to dial first. One live seed suffices.
 	Seeds []string
-	// Sole says that no two processes live under one name, whatever their
+	// SoleProcess says that no two processes live under one name, whatever their
 	// clocks say: a new run may then pass a later incarnation of its own that
 	// a peer remembers.
-	Sole bool
+	SoleProcess bool
 	// TLS secures the sessions if set. It must verify peers both ways.
 	TLS *tls.Config
 	// Dial opens a connection to a peer; nil means plain TCP. Tests put links
@@ -88,9 +88,9 @@
 	// OnSessionEnd is called, if set, once a session that was announced by
 	// OnSession has ended.
 	OnSessionEnd func(peer Peer)
-	// Selective says that only seeds are dialled until Select names others.
-	Selective bool
-	Log       zerolog.Logger
+	// SelectiveDialing says that only seeds are dialled until Select names others.
+	SelectiveDialing bool
+	Log              zerolog.Logger
 	// FlushTimeout bounds a stop: the last counters of a drained router should
 	// reach its peers, but one that does not read must not hold it. Zero means a
 	// second.
@@ -112,12 +112,12 @@
 	return fmt.Sprintf("peer: option %s: %s", e.Option, e.Reason)
 }
 
-// complete checks the options and fills in defaults.
-func (o *Options) complete() error {
+// validate checks the options and fills in defaults.
+func (o *Options) validate() error {
 	switch {
-	case o.Self.Router == "" || len(o.Self.Router) > wire.MaxName:
+	case o.Self.Router == "" || len(o.Self.Router) > wire.MaxNameBytes:
 		return &OptionError{"Self.Router", "missing or too long"}
-	case len(o.Self.DataCentre) > wire.MaxName || len(o.Self.Fleet) > wire.MaxName:
+	case len(o.Self.DataCentre) > wire.MaxNameBytes || len(o.Self.Fleet) > wire.MaxNameBytes:
 		return &OptionError{"Self", "data centre or fleet too long"}
 	case o.Self.Incarnation == 0:
 		return &OptionError{"Self.Incarnation", "missing"}
--- a/transport/peer/queue.go
+++ b/transport/peer/queue.go
@@ -3,20 +3,20 @@
 import "sync"
 
 const (
-	// maxQueued bounds the messages waiting for one stream. An idle pair has
+	// maxQueuedMessages bounds the messages waiting for one stream. An idle pair has
 	// none; a burst of grants and declines of one scheduling round fits.
-	maxQueued = 1024
+	maxQueuedMessages = 1024
 	// maxQueuedBytes bounds their size: a handful of configuration objects.
 	maxQueuedBytes = 8 << 20
-	// maxBatch is how many bytes of waiting messages share one yamux frame.
-	maxBatch = 16 << 10
+	// maxBatchBytes is how many bytes of waiting messages share one yamux frame.
+	maxBatchBytes = 16 << 10
 )
 
-// item is a frame to write, or a mark that is closed once all frames before it
+// queueItem is a frame to write, or a mark that is closed once all frames before it
 // were written.
-type item struct {
-	frame []byte
-	mark  chan struct{}
+type queueItem struct {
+	frame   []byte
+	written chan struct{}
 }
 
 // queue holds the frames of one stream. Pushing never blocks.
@@ -25,7 +25,7 @@
 	ready chan struct{}
 
 	mu    sync.Mutex
-	items []item
+	items []queueItem
 	bytes int
 }
 
@@ -40,10 +40,10 @@
 // the scheduler for everybody else. The bound turns that into an overflow,
 // which drops the session: nothing of it may be skipped silently, since later
 // messages build on earlier ones, and a new session begins with full state.
-func (q *queue) push(it item) bool {
+func (q *queue) push(it queueItem) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.items) >= maxQueued || q.bytes+len(it.frame) > maxQueuedBytes {
+	if len(q.items) >= maxQueuedMessages || q.bytes+len(it.frame) > maxQueuedBytes {
 		return false
 	}
 	q.items = append(q.items, it)
@@ -55,12 +55,12 @@
 	return true
 }
 
-// take removes what waits, up to a batch, and reports whether more waits.
-func (q *queue) take() (batch []item, more bool) {
+// takeBatch removes what waits, up to a batch, and reports whether more waits.
+func (q *queue) takeBatch() (batch []queueItem, more bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	size, n := 0, 0
-	for n < len(q.items) && (n == 0 || size+len(q.items[n].frame) <= maxBatch) {
+	for n < len(q.items) && (n == 0 || size+len(q.items[n].frame) <= maxBatchBytes) {
 		size += len(q.items[n].frame)
 		n++
 	}
--- a/transport/peer/session.go
+++ b/transport/peer/session.go
@@ -24,29 +24,29 @@
 	// writeTimeout ends a session whose TCP connection takes no bytes at
 	// all. Heartbeats find a dead peer earlier; this frees the goroutine.
 	writeTimeout = 10 * time.Second
-	// readBuffer of a stream: most messages are under a hundred bytes.
-	readBuffer = 512
+	// readBufferBytes of a stream: most messages are under a hundred bytes.
+	readBufferBytes = 512
 )
 
 // Errors that end a session.
 var (
-	errOverflow  = errors.New("send queue overflow")
-	errHandshake = errors.New("no hello in time")
-	errNoHello   = errors.New("first message is no hello")
-	errTwoHellos = errors.New("second hello")
-	errStopped   = errors.New("stopped")
+	errOverflow    = errors.New("send queue overflow")
+	errHandshake   = errors.New("no hello in time")
+	errNoHello     = errors.New("first message is no hello")
+	errSecondHello = errors.New("second hello")
+	errStopped     = errors.New("stopped")
 )
 
 // session is one yamux session, from the TCP connection on.
 type session struct {
-	id      membership.SessionID
-	dialled string
-	began   time.Time
-	conn    *countedConn
-	mux     *yamux.Session
-	control *lane
-	bulk    *lane
-	trip    roundTrip
+	id             membership.SessionID
+	dialledAddress string
+	startedAt      time.Time
+	conn           *countedConn
+	mux            *yamux.Session
+	control        *queuedStream
+	bulk           *queuedStream
+	roundTrip      roundTrip
 
 	// peer, the address where it listens and its capacity are set before the
 	// session is accepted.
@@ -58,71 +58,71 @@
 	accepted bool
 	refusal  membership.Refusal
 
-	// heard is set by every message and cleared by the mesh's tick.
-	heard atomic.Bool
-	// announced is closed once OnPeers knows the peer.
-	announced chan struct{}
+	// messageReceived is set by every message and cleared by the mesh's tick.
+	messageReceived atomic.Bool
+	// peerAnnounced is closed once OnPeers knows the peer.
+	peerAnnounced chan struct{}
 
-	once sync.Once
-	done chan struct{}
+	endOnce sync.Once
+	done    chan struct{}
 	// err is the cause of the end; read it after done.
 	err error
 }
 
-// lane is one stream of a session with its send queue.
-type lane struct {
-	queue    *queue
-	maxFrame int64
-	stream   *yamux.Stream
-	in       *wire.FrameReader
+// queuedStream is one stream of a session with its send queue.
+type queuedStream struct {
+	queue         *queue
+	maxFrameBytes int64
+	stream        *yamux.Stream
+	reader        *wire.FrameReader
 }
 
-func newLane(maxFrame int64) *lane {
-	return &lane{queue: newQueue(), maxFrame: maxFrame}
+func newQueuedStream(maxFrameBytes int64) *queuedStream {
+	return &queuedStream{queue: newQueue(), maxFrameBytes: maxFrameBytes}
 }
 
-func (l *lane) attach(stream *yamux.Stream) {
+func (l *queuedStream) attach(stream *yamux.Stream) {
 	l.stream = stream
-	l.in = wire.NewFrameReader(bufio.NewReaderSize(stream, readBuffer), l.maxFrame)
+	l.reader = wire.NewFrameReader(bufio.NewReaderSize(stream, readBufferBytes), l.maxFrameBytes)
 }
 
 // newSession wraps a connection; nothing is sent yet.
-func newSession(id membership.SessionID, conn net.Conn, dialled string, now time.Time, total *counters) *session {
+func newSession(id membership.SessionID, conn net.Conn, dialledAddress string, now time.Time, total *counters) *session {
 	return &session{
-		id:        id,
-		dialled:   dialled,
-		began:     now,
-		conn:      &countedConn{Conn: conn, total: total},
-		control:   newLane(wire.MaxControlFrame),
-		bulk:      newLane(wire.MaxBulkFrame),
-		announced: make(chan struct{}),
-		done:      make(chan struct{}),
+		id:             id,
+		dialledAddress: dialledAddress,
+		startedAt:      now,
+		conn:           &countedConn{Conn: conn, total: total},
+		control:        newQueuedStream(wire.MaxControlFrameBytes),
+		bulk:           newQueuedStream(wire.MaxBulkFrameBytes),
+		peerAnnounced:  make(chan struct{}),
+		done:           make(chan struct{}),
 	}
 }
 
 // start runs TLS, if any, and yamux on the connection and opens the control
 // stream.
-func (s *session) start(secure *tls.Config) error {
+func (s *session) start(tlsConfig *tls.Config) error {
 	inner := net.Conn(s.conn)
-	if secure != nil {
-		inner = s.secured(secure)
+	if tlsConfig != nil {
+		inner = s.withTLS(tlsConfig)
 	}
-	joined := &joinedConn{Conn: inner}
+	joined := &frameJoiningConn{Conn: inner}
 	mux, err := s.multiplex(joined)
 	if err != nil {
 		return err
 	}
 	s.mux = mux
-	return s.openLane(s.control)
+	return s.openStream(s.control)
 }
 
-func (s *session) secured(cfg *tls.Config) net.Conn {
-	if s.dialled == "" {
+func (s *session) withTLS(cfg *tls.Config) net.Conn {
+	if s.dialledAddress == "" {
 		return tls.Server(s.conn, cfg)
 	}
 	cfg = cfg.Clone()
 	if cfg.ServerName == "" {
-		cfg.ServerName, _, _ = net.SplitHostPort(s.dialled)
+		cfg.ServerName, _, _ = net.SplitHostPort(s.dialledAddress)
 	}
 	return tls.Client(s.conn, cfg)
 }
@@ -136,17 +136,17 @@
 	// The handshake has its own limit; this would cost a goroutine.
 	cfg.StreamOpenTimeout = 0
 	cfg.LogOutput = io.Discard
-	if s.dialled == "" {
+	if s.dialledAddress == "" {
 		return yamux.Server(conn, cfg)
 	}
 	return yamux.Client(conn, cfg)
 }
 
-// openLane opens the next stream if this router dialled, and awaits it
+// openStream opens the next stream if this router dialled, and awaits it
 // otherwise. Both sides open the control stream first.
-func (s *session) openLane(l *lane) error {
+func (s *session) openStream(l *queuedStream) error {
 	open := s.mux.OpenStream
-	if s.dialled == "" {
+	if s.dialledAddress == "" {
 		open = s.mux.AcceptStream
 	}
 	stream, err := open()
@@ -168,7 +168,7 @@
 }
 
 func (s *session) readHello() (*peerpb.Hello, error) {
-	env, err := s.control.in.Next()
+	env, err := s.control.reader.Next()
 	if err != nil {
 		return nil, err
 	}
@@ -179,8 +179,8 @@
 	return hello, nil
 }
 
-// laneFor picks the stream of a message.
-func (s *session) laneFor(env *peerpb.Envelope) *lane {
+// streamFor picks the stream of a message.
+func (s *session) streamFor(env *peerpb.Envelope) *queuedStream {
 	if env.GetConfigObject() != nil || env.GetCatalogueEnd() != nil {
 		return s.bulk
 	}
@@ -188,33 +188,33 @@
 }
 
 // enqueue queues a frame, or ends the session if its queue is full.
-func (s *session) enqueue(l *lane, frame []byte) bool {
-	if !l.queue.push(item{frame: frame}) {
+func (s *session) enqueue(l *queuedStream, frame []byte) bool {
+	if !l.queue.push(queueItem{frame: frame}) {
 		s.end(errOverflow)
 		return false
 	}
 	return true
 }
 
-// write sends what is queued until the session ends.
-func (s *session) write(l *lane) {
+// writeLoop sends what is queued until the session ends.
+func (s *session) writeLoop(l *queuedStream) {
 	for {
 		select {
 		case <-s.done:
 			return
 		case <-l.queue.ready:
 		}
-		if err := s.writeWaiting(l); err != nil {
+		if err := s.writeQueued(l); err != nil {
 			s.end(err)
 			return
 		}
 	}
 }
 
-func (s *session) writeWaiting(l *lane) error {
+func (s *session) writeQueued(l *queuedStream) error {
 	for more := true; more; {
-		var batch []item
-		batch, more = l.queue.take()
+		var batch []queueItem
+		batch, more = l.queue.takeBatch()
 		if err := s.writeBatch(l, batch); err != nil {
 			return err
 		}
@@ -222,7 +222,7 @@
 	return nil
 }
 
-func (s *session) writeBatch(l *lane, batch []item) error {
+func (s *session) writeBatch(l *queuedStream, batch []queueItem) error {
 	var out []byte
 	for _, it := range batch {
 		out = append(out, it.frame...)
@@ -233,8 +233,8 @@
 		}
 	}
 	for _, it := range batch {
-		if it.mark != nil {
-			close(it.mark)
+		if it.written != nil {
+			close(it.written)
 			continue
 		}
 		s.conn.countMessageOut()
@@ -242,16 +242,16 @@
 	return nil
 }
 
-// read passes on messages until the session ends.
-func (s *session) read(l *lane, handle func(*peerpb.Envelope) error) {
+// readLoop passes on messages until the session ends.
+func (s *session) readLoop(l *queuedStream, handle func(*peerpb.Envelope) error) {
 	select {
-	case <-s.announced:
+	case <-s.peerAnnounced:
 	case <-s.done:
 	}
 	for {
-		env, err := l.in.Next()
+		env, err := l.reader.Next()
 		if err == nil {
-			s.heard.Store(true)
+			s.messageReceived.Store(true)
 			s.conn.countMessageIn()
 			err = handle(env)
 		}
@@ -262,8 +262,8 @@
 	}
 }
 
-// await returns once the session or the context has ended.
-func (s *session) await(ctx context.Context) {
+// awaitEnd returns once the session or the context has ended.
+func (s *session) awaitEnd(ctx context.Context) {
 	select {
 	case <-s.done:
 	case <-ctx.Done():
@@ -273,13 +273,13 @@
 // flush returns once what is queued was written or the session or the context
 // has ended.
 func (s *session) flush(ctx context.Context) {
-	for _, l := range []*lane{s.control, s.bulk} {
-		mark := make(chan struct{})
-		if !l.queue.push(item{mark: mark}) {
+	for _, l := range []*queuedStream{s.control, s.bulk} {
+		written := make(chan struct{})
+		if !l.queue.push(queueItem{written: written}) {
 			continue
 		}
 		select {
-		case <-mark:
+		case <-written:
 		case <-s.done:
 		case <-ctx.Done():
 			return
@@ -290,7 +290,7 @@
 // end marks the session as over. It does not block; the goroutine of the
 // session cleans up.
 func (s *session) end(err error) {
-	s.once.Do(func() {
+	s.endOnce.Do(func() {
 		s.err = err
 		close(s.done)
 		// The bare connection: closing TLS could wait for a peer that
--- a/transport/peer/stats.go
+++ b/transport/peer/stats.go
@@ -40,7 +40,7 @@
 func (m *Mesh) Stats() Stats {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	stats := Stats{EventCounts: m.events, Total: m.total.load()}
+	stats := Stats{EventCounts: m.eventCounts, Total: m.totalTraffic.load()}
 	for router, counted := range m.traffic {
 		stats.Peers = append(stats.Peers, m.peerStats(router, counted))
 	}
@@ -50,9 +50,9 @@
 
 func (m *Mesh) peerStats(router state.Router, counted *counters) PeerStats {
 	stats := PeerStats{Router: router, Traffic: counted.load()}
-	if s, ok := m.routes[router]; ok {
+	if s, ok := m.acceptedByRouter[router]; ok {
 		stats.Connected = true
-		stats.RoundTrip = s.trip.latest()
+		stats.RoundTrip = s.roundTrip.latest()
 	}
 	return stats
 }
--- a/transport/peer/tls_test.go
+++ b/transport/peer/tls_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// authority signs itself; it stands for a fleet's own certificate authority.
-func authority(t *testing.T) *tls.Config {
+// newAuthority signs itself; it stands for a fleet's own certificate authority.
+func newAuthority(t *testing.T) *tls.Config {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	template := &x509.Certificate{
@@ -40,18 +40,18 @@
 
 // A process without the fleet's certificate reaches the peer port. It gets no
 // session in either direction, while routers with one talk as before.
-func TestOnlyVerifiedPeersTalk(t *testing.T) {
+func TestOnlyVerifiedPeersConnect(t *testing.T) {
 	f := newFleet(t)
-	ours, theirs := authority(t), authority(t)
-	f.tweak = func(o *Options) { o.TLS = ours }
+	ours, theirs := newAuthority(t), newAuthority(t)
+	f.configure = func(o *Options) { o.TLS = ours }
 	a := f.start("castro-1", 1)
 	b := f.start("laredo-1", 1, a.Addr())
-	f.tweak = func(o *Options) { o.TLS = theirs }
+	f.configure = func(o *Options) { o.TLS = theirs }
 	c := f.start("ramales-1", 1, a.Addr())
-	f.until(func() bool { return a.sees("castro-1", "laredo-1") && b.sees("castro-1", "laredo-1") })
-	f.until(func() bool { return a.Stats().Failed >= 2 && c.Stats().Failed >= 2 })
-	require.True(t, c.sees("ramales-1"))
-	require.True(t, a.sees("castro-1", "laredo-1"))
+	f.advanceUntil(func() bool { return a.seesExactly("castro-1", "laredo-1") && b.seesExactly("castro-1", "laredo-1") })
+	f.advanceUntil(func() bool { return a.Stats().Failed >= 2 && c.Stats().Failed >= 2 })
+	require.True(t, c.seesExactly("ramales-1"))
+	require.True(t, a.seesExactly("castro-1", "laredo-1"))
 
 	_, err := New(Options{Self: a.opts.Self, Handler: a.opts.Handler, OnPeers: a.opts.OnPeers, TLS: &tls.Config{}})
 	var option *OptionError
--- a/transport/settings/errors.go
+++ b/transport/settings/errors.go
@@ -55,7 +55,7 @@
 
 // Result returns PlatformUnavailable.
 func (e *UnavailableError) Result() result.Result {
-	return result.New(result.PlatformUnavailable, e.Error()).After(retryAfter)
+	return result.New(result.PlatformUnavailable, e.Error()).WithRetryAfter(retryAfter)
 }
 
 // UnknownError says that a write was sent and that nobody could tell in time
@@ -79,7 +79,7 @@
 
 // Result returns ConfigUnknown.
 func (e *UnknownError) Result() result.Result {
-	return result.New(result.ConfigUnknown, e.Error()).After(retryAfter)
+	return result.New(result.ConfigUnknown, e.Error()).WithRetryAfter(retryAfter)
 }
 
 // NotFoundError says that the platform holds no object of this key.
--- a/transport/settings/source.go
+++ b/transport/settings/source.go
@@ -101,7 +101,7 @@
 	if held, ok := s.tree.Object(key); ok && held.Version >= version {
 		return true
 	}
-	return s.tree.Refused(key) == version
+	return s.tree.InvalidVersion(key) == version
 }
 
 // settle finds out whether the tree is whole: it has a root, and all that the
