--- a/transport/caller/follow.go
+++ b/transport/caller/follow.go
@@ -72,7 +72,7 @@
 }
 
 // cutOff says whether the router has ended the request because it stops.
-func (x *exchange) cutOff() bool { return conntrack.IsCutOff(x.ctx) }
+func (x *exchange) cutOff() bool { return conntrack.IsCancelled(x.ctx) }
 
 func (x *exchange) stoppedResult() result.Result {
 	if x.sent {
@@ -195,13 +195,13 @@
 
 func (x *exchange) attempt(id state.AttemptID, base string) upstream.Attempt {
 	return upstream.Attempt{
-		ID:      id,
-		BaseURL: base,
-		Target:  x.job.target,
-		Method:  x.job.method,
-		Header:  x.job.header,
-		Body:    x.job.body,
-		Fresh:   !x.job.request.Repeatable,
+		ID:            id,
+		BaseURL:       base,
+		Target:        x.job.target,
+		Method:        x.job.method,
+		Header:        x.job.header,
+		Body:          x.job.body,
+		NewConnection: !x.job.request.Repeatable,
 	}
 }
 
--- a/transport/conntrack/conn.go
+++ b/transport/conntrack/conn.go
@@ -19,14 +19,14 @@
 
 	mu   sync.Mutex
 	busy bool
-	// ahead is set if bytes were read since the last ones were written.
-	ahead bool
-	// served is set once a request was answered.
-	served bool
+	// readAhead is set if bytes were read since the last ones were written.
+	readAhead bool
+	// answered is set once a request was answered.
+	answered bool
 	// unusedSince is when it was last used, or accepted.
 	unusedSince time.Time
-	// retired is set once it is to be closed as unused.
-	retired bool
+	// closing is set once it is to be closed as unused.
+	closing bool
 }
 
 // Read implements net.Conn. The close of an unused connection may cross the
@@ -39,16 +39,16 @@
 		return 0, nil
 	}
 	var n int
-	var failed error
+	var readErr error
 	err := c.raw.Read(func(fd uintptr) bool {
-		n, failed = c.tryRead(int(fd), p)
-		return failed != unix.EAGAIN
+		n, readErr = c.tryRead(int(fd), p)
+		return readErr != unix.EAGAIN
 	})
 	switch {
 	case err != nil:
 		return 0, err
-	case failed != nil:
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", failed)}
+	case readErr != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", readErr)}
 	case n == 0:
 		return 0, io.EOF
 	default:
@@ -60,7 +60,7 @@
 func (c *conn) tryRead(fd int, p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.retired {
+	if c.closing {
 		return 0, net.ErrClosed
 	}
 	for {
@@ -69,7 +69,7 @@
 			continue
 		}
 		if n > 0 {
-			c.busy, c.ahead = true, true
+			c.busy, c.readAhead = true, true
 		}
 		return max(n, 0), err
 	}
@@ -77,22 +77,22 @@
 
 // Write implements net.Conn.
 func (c *conn) Write(p []byte) (int, error) {
-	c.answer()
+	c.beginAnswer()
 	return c.TCPConn.Write(p)
 }
 
 // ReadFrom implements io.ReaderFrom, which net/http takes instead of Write.
 func (c *conn) ReadFrom(from io.Reader) (int64, error) {
-	c.answer()
+	c.beginAnswer()
 	return c.TCPConn.ReadFrom(from)
 }
 
-// answer notes that bytes are written. It comes before the write: the caller's
+// beginAnswer notes that bytes are written. It comes before the write: the caller's
 // next request may be read before a write returns.
-func (c *conn) answer() {
+func (c *conn) beginAnswer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.ahead = false
+	c.readAhead = false
 }
 
 // markBusy notes that the server has a request, which it may have had in its
@@ -111,49 +111,49 @@
 func (c *conn) markUnused(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.busy, c.served = c.ahead, true
+	c.busy, c.answered = c.readAhead, true
 	c.unusedSince = now
 }
 
 func (c *conn) isBusy() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.busy && !c.retired
+	return c.busy && !c.closing
 }
 
 // closeUnused closes the connection if it is unused and a condition on it holds.
 func (c *conn) closeUnused(condition func(c *conn) bool) {
-	if c.retire(condition) {
+	if c.markClosing(condition) {
 		_ = c.Close()
 	}
 }
 
-// retire says whether the connection is to be closed. One whose next request has
+// markClosing says whether the connection is to be closed. One whose next request has
 // arrived but was not read yet is busy: its caller gets an answer, not a reset.
-func (c *conn) retire(condition func(c *conn) bool) bool {
+func (c *conn) markClosing(condition func(c *conn) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy || c.retired || !condition(c) {
+	if c.busy || c.closing || !condition(c) {
 		return false
 	}
-	c.busy = c.hasBytes()
-	c.retired = !c.busy
-	return c.retired
+	c.busy = c.hasUnreadBytes()
+	c.closing = !c.busy
+	return c.closing
 }
 
-// hasBytes looks at what the kernel has received and takes nothing of it.
-func (c *conn) hasBytes() bool {
-	n, failed, err := Peek(c.raw)
-	return err == nil && failed == nil && n > 0
+// hasUnreadBytes looks at what the kernel has received and takes nothing of it.
+func (c *conn) hasUnreadBytes() bool {
+	n, recvErr, err := Peek(c.raw)
+	return err == nil && recvErr == nil && n > 0
 }
 
 // Peek looks at what the kernel has received on a connection and takes nothing
 // of it: the number of bytes, at most one, or with what the call failed. The last
 // error is that the connection is closed at this end.
-func Peek(raw syscall.RawConn) (n int, failed, closed error) {
+func Peek(raw syscall.RawConn) (n int, recvErr, closedErr error) {
 	var first [1]byte
-	closed = raw.Control(func(fd uintptr) {
-		n, _, failed = unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	closedErr = raw.Control(func(fd uintptr) {
+		n, _, recvErr = unix.Recvfrom(int(fd), first[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
-	return n, failed, closed
+	return n, recvErr, closedErr
 }
--- a/transport/conntrack/tracker.go
+++ b/transport/conntrack/tracker.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// drainPoll is how often Drain looks whether requests are still under way.
-const drainPoll = 10 * time.Millisecond
+// drainPollInterval is how often Drain looks whether requests are still under way.
+const drainPollInterval = 10 * time.Millisecond
 
 // errNotTCP is returned by Accept for a connection of another kind.
 var errNotTCP = errors.New("conntrack: the listener is not of TCP")
@@ -22,16 +22,16 @@
 // them to guess.
 var ErrStopping = errors.New("conntrack: the server stops")
 
-// IsCutOff says whether CutOff has ended a request's context.
-func IsCutOff(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrStopping) }
+// IsCancelled says whether CutOff has ended a request's context.
+func IsCancelled(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrStopping) }
 
 // Tracker tracks the connections of one HTTP server. It is safe for concurrent
 // use.
 type Tracker struct {
 	now func() time.Time
-	// requests is the context of all requests, which cutOff ends.
-	requests context.Context
-	cutOff   context.CancelCauseFunc
+	// baseContext is the context of all requests, which cutOff ends.
+	baseContext    context.Context
+	cancelRequests context.CancelCauseFunc
 	// accepting counts the calls of Accept, which may be about to add a
 	// connection.
 	accepting atomic.Int64
@@ -42,15 +42,15 @@
 // New returns a tracker with a clock.
 func New(now func() time.Time) *Tracker {
 	t := &Tracker{now: now, conns: make(map[*conn]struct{})}
-	t.requests, t.cutOff = context.WithCancelCause(context.Background())
+	t.baseContext, t.cancelRequests = context.WithCancelCause(context.Background())
 	return t
 }
 
 // BaseContext is the server's hook for the context of its requests.
-func (t *Tracker) BaseContext(net.Listener) context.Context { return t.requests }
+func (t *Tracker) BaseContext(net.Listener) context.Context { return t.baseContext }
 
-// CutOff ends the contexts of the requests under way, and of any to come.
-func (t *Tracker) CutOff() { t.cutOff(ErrStopping) }
+// CancelRequests ends the contexts of the requests under way, and of any to come.
+func (t *Tracker) CancelRequests() { t.cancelRequests(ErrStopping) }
 
 // Listener returns a listener whose connections are tracked; inner must be of
 // TCP. The server must call StateChanged. What wraps the connections must give
@@ -62,12 +62,12 @@
 
 // StateChanged is the server's hook on the state of connections.
 func (t *Tracker) StateChanged(of net.Conn, state http.ConnState) {
-	c, ok := unwrap(of)
+	c, ok := trackedConn(of)
 	if !ok {
 		return
 	}
 	if speaksHTTP2(of) {
-		t.forget(c)
+		t.remove(c)
 		return
 	}
 	switch state {
@@ -76,12 +76,12 @@
 	case http.StateIdle:
 		c.markUnused(t.now())
 	case http.StateClosed, http.StateHijacked:
-		t.forget(c)
+		t.remove(c)
 	}
 }
 
-// unwrap finds the tracked connection below TLS and other wrappers.
-func unwrap(of net.Conn) (*conn, bool) {
+// trackedConn finds the tracked connection below TLS and other wrappers.
+func trackedConn(of net.Conn) (*conn, bool) {
 	for {
 		if c, ok := of.(*conn); ok {
 			return c, true
@@ -106,7 +106,7 @@
 // ReadHeaderTimeout.
 func (t *Tracker) CloseIdle(limit time.Duration) {
 	now := t.now()
-	t.closeUnused(func(c *conn) bool { return c.served && now.Sub(c.unusedSince) > limit })
+	t.closeUnused(func(c *conn) bool { return c.answered && now.Sub(c.unusedSince) > limit })
 }
 
 // closeUnused closes the unused connections that a condition holds for.
@@ -142,7 +142,7 @@
 		if expired() {
 			return false
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	return true
 }
@@ -168,7 +168,7 @@
 	return c, nil
 }
 
-func (t *Tracker) forget(c *conn) {
+func (t *Tracker) remove(c *conn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.conns, c)
--- a/transport/conntrack/tracker_test.go
+++ b/transport/conntrack/tracker_test.go
@@ -23,10 +23,10 @@
 	tracker  *Tracker
 	listener net.Listener
 	address  string
-	secured  bool
+	useTLS   bool
 	// seconds is the time.
 	seconds atomic.Int64
-	begun   chan struct{}
+	started chan struct{}
 	release chan struct{}
 }
 
@@ -41,7 +41,7 @@
 func serveTLS(t *testing.T, headerTimeout time.Duration) *fixture {
 	t.Helper()
 	f, server := newFixture(t)
-	f.secured = true
+	f.useTLS = true
 	certified := httptest.NewTLSServer(http.NotFoundHandler())
 	certified.Close()
 	server.TLSConfig = &tls.Config{Certificates: certified.TLS.Certificates}
@@ -57,7 +57,7 @@
 	require.NoError(t, err)
 	f := &fixture{
 		listener: inner, address: inner.Addr().String(),
-		begun: make(chan struct{}), release: make(chan struct{}),
+		started: make(chan struct{}), release: make(chan struct{}),
 	}
 	f.tracker = New(func() time.Time { return time.Unix(f.seconds.Load(), 0) })
 	server := &http.Server{Handler: f, ConnState: f.tracker.StateChanged}
@@ -67,18 +67,18 @@
 
 func (f *fixture) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/held" {
-		f.hold()
+		f.block()
 	}
 	w.Header().Set("Content-Length", "5")
 	_, _ = io.WriteString(w, "whole")
 	if r.URL.Path == "/flushed" {
 		_ = http.NewResponseController(w).Flush()
-		f.hold()
+		f.block()
 	}
 }
 
-func (f *fixture) hold() {
-	f.begun <- struct{}{}
+func (f *fixture) block() {
+	f.started <- struct{}{}
 	<-f.release
 }
 
@@ -93,7 +93,7 @@
 	conn, err := net.Dial("tcp", f.address)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
-	if f.secured {
+	if f.useTLS {
 		secured := tls.Client(conn, &tls.Config{InsecureSkipVerify: true})
 		_ = secured.Handshake()
 		conn = secured
@@ -148,17 +148,17 @@
 // awaitReadAhead waits until the server has read beyond its answer.
 func (f *fixture) awaitReadAhead(t *testing.T) {
 	t.Helper()
-	require.Eventually(t, f.tracker.readAhead, 10*time.Second, time.Millisecond)
+	require.Eventually(t, f.tracker.hasReadAhead, 10*time.Second, time.Millisecond)
 }
 
-// readAhead says whether more was read on a connection after its last answer.
-func (t *Tracker) readAhead() bool {
+// hasReadAhead says whether more was read on a connection after its last answer.
+func (t *Tracker) hasReadAhead() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.conns {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.ahead {
+		if c.readAhead {
 			return true
 		}
 	}
@@ -168,23 +168,23 @@
 // Operators raise the limit on unused connections. Callers then count on theirs
 // for longer; one that is closed by the old limit costs them a new connection,
 // and the request that crosses the close may be lost.
-func TestIdleConnectionsEndByTheLimitInForce(t *testing.T) {
+func TestIdleConnectionsCloseAtTheCurrentLimit(t *testing.T) {
 	f := serve(t)
-	idle, busy, fresh := f.dial(t), f.dial(t), f.dial(t)
+	idle, busy, neverUsed := f.dial(t), f.dial(t), f.dial(t)
 	for _, c := range []*caller{idle, busy} {
 		c.send(t, "/")
 		c.receive(t)
 	}
 	f.awaitBusy(t, 0)
 	busy.send(t, "/held")
-	<-f.begun
+	<-f.started
 
 	f.seconds.Add(20)
 	f.tracker.CloseIdle(30 * time.Second)
 	require.True(t, idle.open())
 	f.tracker.CloseIdle(15 * time.Second)
 	idle.awaitClosed(t)
-	require.True(t, fresh.open(), "its first request may be on its way")
+	require.True(t, neverUsed.open(), "its first request may be on its way")
 	f.release <- struct{}{}
 	busy.receive(t)
 }
@@ -192,40 +192,40 @@
 // A router stops while a page is under way. On a connection that was opened
 // before, a caller sends a request meanwhile: it is answered. The connections
 // are closed once nothing is under way, among them one that was never used.
-func TestDrainAnswersWhatArrivesMeanwhile(t *testing.T) {
+func TestDrainAnswersRequestsThatArriveMeanwhile(t *testing.T) {
 	f := serve(t)
-	held, late, unused := f.dial(t), f.dial(t), f.dial(t)
-	held.send(t, "/held")
-	<-f.begun
+	blocked, second, unused := f.dial(t), f.dial(t), f.dial(t)
+	blocked.send(t, "/held")
+	<-f.started
 	require.NoError(t, f.listener.Close())
 	drained := make(chan bool, 1)
 	go func() { drained <- f.tracker.Drain(func() bool { return false }) }()
 
 	for range 3 {
-		late.send(t, "/")
-		late.receive(t)
+		second.send(t, "/")
+		second.receive(t)
 	}
 	f.release <- struct{}{}
-	held.receive(t)
+	blocked.receive(t)
 	require.True(t, <-drained)
-	for _, c := range []*caller{held, late, unused} {
+	for _, c := range []*caller{blocked, second, unused} {
 		c.awaitClosed(t)
 	}
 }
 
 func TestDrainExpires(t *testing.T) {
 	f := serve(t)
-	held := f.dial(t)
-	held.send(t, "/held")
-	<-f.begun
+	blocked := f.dial(t)
+	blocked.send(t, "/held")
+	<-f.started
 	require.False(t, f.tracker.Drain(func() bool { return true }))
 	f.release <- struct{}{}
-	held.receive(t)
+	blocked.receive(t)
 }
 
 // Half of a request's head was read when its connection is to be closed as
 // unused: it stays open, and the request is answered.
-func TestRequestThatIsComingInKeepsItsConnection(t *testing.T) {
+func TestPartlyReadRequestKeepsItsConnection(t *testing.T) {
 	f := serve(t)
 	read, closed := f.dial(t), f.dial(t)
 	_, err := io.WriteString(read, "GET")
@@ -243,7 +243,7 @@
 // is used up. Its connection is not closed as unused: its caller would see a
 // reset where an answer could have been given. Once a connection is to be
 // closed, nothing is read from it any more.
-func TestArrivedBytesKeepAConnection(t *testing.T) {
+func TestUnreadBytesKeepAConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -260,7 +260,7 @@
 	waiting, sender := accept()
 	_, err = io.WriteString(sender, "GET")
 	require.NoError(t, err)
-	require.Eventually(t, waiting.hasBytes, 10*time.Second, time.Millisecond)
+	require.Eventually(t, waiting.hasUnreadBytes, 10*time.Second, time.Millisecond)
 	tracker.closeUnused(func(*conn) bool { return true })
 	require.Equal(t, 1, tracker.Busy())
 	read := make([]byte, 8)
@@ -268,16 +268,16 @@
 	require.NoError(t, err)
 	require.Equal(t, "GET", string(read[:n]))
 
-	unused, late := accept()
-	require.True(t, unused.retire(func(*conn) bool { return true }))
-	_, err = io.WriteString(late, "GET")
+	unused, lateSender := accept()
+	require.True(t, unused.markClosing(func(*conn) bool { return true }))
+	_, err = io.WriteString(lateSender, "GET")
 	require.NoError(t, err)
 	_, err = unused.Read(read)
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
 // The tracker holds nothing of connections that are gone.
-func TestClosedConnectionsAreForgotten(t *testing.T) {
+func TestClosedConnectionsAreRemoved(t *testing.T) {
 	f := serve(t)
 	for range 3 {
 		c := f.dial(t)
@@ -293,17 +293,17 @@
 // connection while that request ran: over TLS, and with two requests in one
 // segment, the server had it in its buffers when the first one ended, so that no
 // further read told of it.
-func TestRequestReadAheadIsUnderWay(t *testing.T) {
+func TestRequestReadAheadKeepsTheConnectionBusy(t *testing.T) {
 	for name, f := range map[string]*fixture{"plain": serve(t), "TLS": serveTLS(t, time.Minute)} {
 		t.Run(name, func(t *testing.T) {
 			c := f.dial(t)
 			c.send(t, "/flushed")
-			<-f.begun
+			<-f.started
 			c.receive(t)
 			c.send(t, "/held")
 			f.awaitReadAhead(t)
 			f.release <- struct{}{}
-			<-f.begun
+			<-f.started
 			require.Equal(t, 1, f.tracker.Busy())
 			f.tracker.closeUnused(func(*conn) bool { return true })
 			f.release <- struct{}{}
@@ -315,13 +315,13 @@
 // A caller sends two requests at once. The second is read ahead with the first;
 // while it runs, the connection counts as busy though nothing is read from it.
 // Closed as unused, it cut off a request that an upstream was running.
-func TestPipelinedRequestIsUnderWay(t *testing.T) {
+func TestPipelinedRequestKeepsTheConnectionBusy(t *testing.T) {
 	f := serve(t)
 	c := f.dial(t)
 	_, err := io.WriteString(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\nGET /held HTTP/1.1\r\nHost: h\r\n\r\n")
 	require.NoError(t, err)
 	c.receive(t)
-	<-f.begun
+	<-f.started
 	require.Equal(t, 1, f.tracker.Busy())
 	f.tracker.closeUnused(func(*conn) bool { return true })
 	f.release <- struct{}{}
@@ -331,7 +331,7 @@
 // A caller opens a connection over TLS ahead of its first request, which never
 // comes. Its handshake counts as a part of a request; the server's limit on the
 // time for a head ends that, so that it does not hold a stop for longer.
-func TestHandshakeAloneDoesNotHoldADrain(t *testing.T) {
+func TestHandshakeAloneDoesNotDelayADrain(t *testing.T) {
 	f := serveTLS(t, 100*time.Millisecond)
 	unused := f.dial(t)
 	require.NoError(t, f.listener.Close())
--- a/transport/daemon/listener.go
+++ b/transport/daemon/listener.go
@@ -53,7 +53,7 @@
 	if l.close(finish) == nil {
 		return nil
 	}
-	l.conns.CutOff()
+	l.conns.CancelRequests()
 	return l.close(answers)
 }
 
--- a/transport/edge/absence_test.go
+++ b/transport/edge/absence_test.go
@@ -7,36 +7,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stay has a router be busy for some rounds and calm until it is ready again,
+// overloadUntilReady has a router be busy for some rounds and calm until it is ready again,
 // and returns how long it was away.
-func stay(p *pressure) time.Duration {
-	load(p, 0.7)
-	away := 60 * scanEvery
-	for !p.welcomes() {
-		p.observe(0, scanEvery)
-		away += scanEvery
+func overloadUntilReady(p *pressure) time.Duration {
+	applyLoad(p, 0.7)
+	notReady := 60 * tickInterval
+	for !p.acceptsNewCallers() {
+		p.observe(0, tickInterval)
+		notReady += tickInterval
 	}
-	return away
+	return notReady
 }
 
 // A small router was flooded by the same callers every other second.
-func TestFloodedRouterStaysAwayLonger(t *testing.T) {
-	p := newPressure(0, smallVM, frozen)
-	require.True(t, p.welcomes())
-	for _, want := range []time.Duration{minAway, 2 * minAway, maxAway, maxAway} {
-		_ = stay(p)
-		require.Equal(t, want, p.away.length)
+func TestNotReadyPeriodDoublesWhenOverloadRepeats(t *testing.T) {
+	p := newPressure(0, smallVMCores, frozen)
+	require.True(t, p.acceptsNewCallers())
+	for _, want := range []time.Duration{minNotReady, 2 * minNotReady, maxNotReady, maxNotReady} {
+		_ = overloadUntilReady(p)
+		require.Equal(t, want, p.notReady.duration)
 	}
 }
 
 // A router that served for a while since its last flood begins anew.
-func TestCalmForgetsFloods(t *testing.T) {
-	p := newPressure(0, smallVM, frozen)
-	_, _ = stay(p), stay(p)
-	require.Equal(t, 2*minAway, p.away.length)
-	for range int(relapseWithin/scanEvery) + 1 {
-		p.observe(0, scanEvery)
+func TestNotReadyPeriodResetsAfterQuietTime(t *testing.T) {
+	p := newPressure(0, smallVMCores, frozen)
+	_, _ = overloadUntilReady(p), overloadUntilReady(p)
+	require.Equal(t, 2*minNotReady, p.notReady.duration)
+	for range int(backoffResetAfter/tickInterval) + 1 {
+		p.observe(0, tickInterval)
 	}
-	require.LessOrEqual(t, stay(p), 60*scanEvery+minAway)
-	require.Equal(t, minAway, p.away.length)
+	require.LessOrEqual(t, overloadUntilReady(p), 60*tickInterval+minNotReady)
+	require.Equal(t, minNotReady, p.notReady.duration)
 }
--- a/transport/edge/arrival.go
+++ b/transport/edge/arrival.go
@@ -15,64 +15,64 @@
 
 // arrival is when a connection was accepted, until its first request is read.
 type arrival struct {
-	at   time.Time
-	conn net.Conn
-	once sync.Once
+	acceptedAt time.Time
+	conn       net.Conn
+	once       sync.Once
 }
 
-// arrivals measures how long requests wait unread in this process. A router whose
+// readDelayTracker measures how long requests wait unread in this process. A router whose
 // processor is used up accepts connections and turns to them seconds later; the
 // time that callers give is counted from the reading, and would be too long.
-type arrivals struct {
+type readDelayTracker struct {
 	now func() time.Time
-	// onRead is called once the first request of a connection was read.
-	onRead func()
+	// onFirstRead is called once the first request of a connection was read.
+	onFirstRead func()
 
 	mu  sync.Mutex
 	lag workload.ReadLag
-	// unread are the connections without a first request.
-	unread map[net.Conn]struct{}
+	// unreadConns are the connections without a first request.
+	unreadConns map[net.Conn]struct{}
 }
 
-func newArrivals(now func() time.Time, onRead func()) *arrivals {
-	return &arrivals{now: now, onRead: onRead, unread: make(map[net.Conn]struct{})}
+func newReadDelayTracker(now func() time.Time, onFirstRead func()) *readDelayTracker {
+	return &readDelayTracker{now: now, onFirstRead: onFirstRead, unreadConns: make(map[net.Conn]struct{})}
 }
 
 // withArrival notes when a connection was accepted.
-func (a *arrivals) withArrival(ctx context.Context, conn net.Conn) context.Context {
+func (a *readDelayTracker) withArrival(ctx context.Context, conn net.Conn) context.Context {
 	a.mu.Lock()
-	a.unread[conn] = struct{}{}
+	a.unreadConns[conn] = struct{}{}
 	a.mu.Unlock()
-	return withConn(context.WithValue(ctx, arrivalKey{}, &arrival{at: a.now(), conn: conn}), conn)
+	return withConn(context.WithValue(ctx, arrivalKey{}, &arrival{acceptedAt: a.now(), conn: conn}), conn)
 }
 
-// closed notes that a connection has ended, and says whether nothing was read on
+// connClosed notes that a connection has ended, and says whether nothing was read on
 // it.
-func (a *arrivals) closed(conn net.Conn) (unread bool) {
+func (a *readDelayTracker) connClosed(conn net.Conn) (unread bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	_, unread = a.unread[conn]
-	delete(a.unread, conn)
+	_, unread = a.unreadConns[conn]
+	delete(a.unreadConns, conn)
 	return unread
 }
 
-// waited returns how long a request is taken to have waited unread.
-func (a *arrivals) waited(r *http.Request) time.Duration {
-	from, ok := r.Context().Value(arrivalKey{}).(*arrival)
+// requestDelay returns how long a request is taken to have waited unread.
+func (a *readDelayTracker) requestDelay(r *http.Request) time.Duration {
+	accepted, ok := r.Context().Value(arrivalKey{}).(*arrival)
 	if !ok {
 		return 0
 	}
-	own := time.Duration(0)
-	from.once.Do(func() {
-		a.closed(from.conn)
-		own = a.read(from.at)
+	connDelay := time.Duration(0)
+	accepted.once.Do(func() {
+		a.connClosed(accepted.conn)
+		connDelay = a.recordFirstRead(accepted.acceptedAt)
 	})
-	return min(own, a.estimate())
+	return min(connDelay, a.estimate())
 }
 
-// read takes the first request of a connection and returns how long it waited.
-func (a *arrivals) read(accepted time.Time) time.Duration {
-	a.onRead()
+// recordFirstRead takes the first request of a connection and returns how long it waited.
+func (a *readDelayTracker) recordFirstRead(accepted time.Time) time.Duration {
+	a.onFirstRead()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
@@ -82,19 +82,19 @@
 }
 
 // estimate returns how long requests wait unread at present.
-func (a *arrivals) estimate() time.Duration {
+func (a *readDelayTracker) estimate() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lag.Lag(a.now())
 }
 
-// late is the estimate as far as it tells of what waits now. It is renewed by what
+// backlogDelay is the estimate as far as it tells of what waits now. It is renewed by what
 // is read alone: a router that turned callers away for it would go on for as long
 // as it remembers, with nothing left to read.
-func (a *arrivals) late() time.Duration {
+func (a *readDelayTracker) backlogDelay() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.unread) == 0 {
+	if len(a.unreadConns) == 0 {
 		return 0
 	}
 	return a.lag.Lag(a.now())
--- a/transport/edge/arrival_test.go
+++ b/transport/edge/arrival_test.go
@@ -13,58 +13,58 @@
 )
 
 // A flooded router turns to connections two seconds after it accepted them.
-func TestTimeUnreadCountsForCallers(t *testing.T) {
+func TestReadDelayIsEstimatedFromFirstRequests(t *testing.T) {
 	clock := newClock()
-	p := newPressure(0, smallVM, clock.now)
+	p := newPressure(0, smallVMCores, clock.now)
 	first := func(after time.Duration) time.Duration {
 		r := httptest.NewRequest("POST", "/", nil)
-		ctx := p.arrivals.withArrival(r.Context(), nil)
+		ctx := p.readDelay.withArrival(r.Context(), nil)
 		clock.advance(after)
 		r = r.WithContext(ctx)
-		waited := p.arrivals.waited(r)
-		require.Zero(t, p.arrivals.waited(r), "the next request of the connection came later")
+		waited := p.readDelay.requestDelay(r)
+		require.Zero(t, p.readDelay.requestDelay(r), "the next request of the connection came later")
 		return waited
 	}
 	require.Zero(t, first(2*time.Second), "one slow caller is no flood")
 	for range 8 {
 		for range 8 {
-			p.arrivals.read(clock.now().Add(-2 * time.Second))
+			p.readDelay.recordFirstRead(clock.now().Add(-2 * time.Second))
 		}
 	}
-	require.Equal(t, 2*time.Second, p.arrivals.estimate())
-	_ = p.arrivals.withArrival(t.Context(), nil)
-	require.True(t, p.full(), "one more waits")
-	require.False(t, p.take())
+	require.Equal(t, 2*time.Second, p.readDelay.estimate())
+	_ = p.readDelay.withArrival(t.Context(), nil)
+	require.True(t, p.atCapacity(), "one more waits")
+	require.False(t, p.admitConn())
 	for range 8 {
-		p.arrivals.read(clock.now())
+		p.readDelay.recordFirstRead(clock.now())
 	}
-	require.False(t, p.full())
-	require.True(t, p.take())
+	require.False(t, p.atCapacity())
+	require.True(t, p.admitConn())
 }
 
 // Guards against connections that are closed unread for a second after the last one
 // that waited was read.
-func TestSheddingEndsWithItsBacklog(t *testing.T) {
+func TestSheddingEndsWithTheBacklog(t *testing.T) {
 	clock := newClock()
-	p := newPressure(0, smallVM, clock.now)
+	p := newPressure(0, smallVMCores, clock.now)
 	for range 8 {
-		p.arrivals.read(clock.now().Add(-2 * time.Second))
+		p.readDelay.recordFirstRead(clock.now().Add(-2 * time.Second))
 	}
 	shed := 0
 	for range 9 {
 		clock.advance(100 * time.Millisecond)
-		if !p.take() {
+		if !p.admitConn() {
 			shed++
 			continue
 		}
-		p.arrivals.read(clock.now())
+		p.readDelay.recordFirstRead(clock.now())
 	}
 	require.LessOrEqual(t, shed, 1, "nothing waits unread")
 }
 
 // Of a deadline of four seconds three have passed before the router reads the
 // request.
-func TestRequestReadTooLateIsNotSentOn(t *testing.T) {
+func TestRequestWithTooLittleTimeLeftIsNotAdmitted(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.setTable(routing.NewTable(routing.Config{Services: []routing.Service{{Name: "s"}}}))
 	f.dispatcher.setUpstream("u", directory.Upstream{ID: "u", Service: "s", Slots: 6}, true)
--- a/transport/edge/bench_test.go
+++ b/transport/edge/bench_test.go
@@ -19,8 +19,8 @@
 	// large fleet relays.
 	benchCallers = 200
 	// benchEvents and benchPace are a usual stream's.
-	benchEvents = 55
-	benchPace   = 5 * time.Millisecond
+	benchEvents   = 55
+	benchEventGap = 5 * time.Millisecond
 )
 
 // BenchmarkRouter relays paced streams through a whole router: listeners,
@@ -31,7 +31,7 @@
 	work := make(chan struct{})
 	var callers sync.WaitGroup
 	for range benchCallers {
-		callers.Go(func() { callInTurn(b, address, work) })
+		callers.Go(func() { sendRequests(b, address, work) })
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -41,7 +41,7 @@
 	callers.Wait()
 }
 
-func callInTurn(b *testing.B, address string, work <-chan struct{}) {
+func sendRequests(b *testing.B, address string, requests <-chan struct{}) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		b.Error(err)
@@ -49,7 +49,7 @@
 	}
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
-	for range work {
+	for range requests {
 		_, _ = io.WriteString(conn, "POST /a/ HTTP/1.1\r\nHost: h\r\nAttempt: x\r\nContent-Length: 5\r\n\r\nhello")
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
@@ -60,16 +60,16 @@
 	}
 }
 
-// refusedBody is the size of a long prompt's request.
-const refusedBody = 12_000
+// refusedBodyBytes is the size of a long prompt's request.
+const refusedBodyBytes = 12_000
 
 // BenchmarkRefusal refuses requests for lack of room, each on a connection
 // of its own, as callers that were refused come back. Its processor time
 // includes that of the caller, which is a plain loop over sockets.
 func BenchmarkRefusal(b *testing.B) {
-	for name, size := range map[string]int{"short": 5, "long": refusedBody} {
+	for name, size := range map[string]int{"short": 5, "long": refusedBodyBytes} {
 		b.Run(name, func(b *testing.B) {
-			address := startRouterOf(b, startPacedEngine(b), reservedFiles+1)
+			address := startRouterWithFiles(b, startPacedEngine(b), reservedFiles+1)
 			request := fmt.Sprintf("POST /a/ HTTP/1.1\r\nHost: h\r\nAttempt: x\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
 			require.Equal(b, http.StatusTooManyRequests, callOnce(b, address, request))
 			b.ReportAllocs()
@@ -96,14 +96,14 @@
 
 func startRouter(b *testing.B, engine string) string {
 	b.Helper()
-	return startRouterOf(b, engine, benchFiles)
+	return startRouterWithFiles(b, engine, testMaxFiles)
 }
 
-// startRouterOf starts a router that may open so many descriptors.
-func startRouterOf(b *testing.B, engine string, maxFiles int) string {
+// startRouterWithFiles starts a router that may open so many descriptors.
+func startRouterWithFiles(b *testing.B, engine string, maxFiles int) string {
 	b.Helper()
-	router, _ := runRouterOf(b, engine, 2*benchCallers, time.Second, maxFiles)
-	return router.callers.Addr().String()
+	router, _ := runRouterWithFiles(b, engine, 2*benchCallers, time.Second, maxFiles)
+	return router.callerListener.Addr().String()
 }
 
 // startPacedEngine answers each request with events at a steady pace.
@@ -128,7 +128,7 @@
 func servePaced(conn net.Conn, event string) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
-	ticker := time.NewTicker(benchPace)
+	ticker := time.NewTicker(benchEventGap)
 	defer ticker.Stop()
 	for {
 		request, err := http.ReadRequest(reader)
--- a/transport/edge/catalogue.go
+++ b/transport/edge/catalogue.go
@@ -16,13 +16,13 @@
 	"github.com/figstile/figstile/state/routing"
 )
 
-// returnGrace is how long after the store's return an upstream whose entry
+// storeReturnGrace is how long after the store's return an upstream whose entry
 // lapsed while the store was away is still used: it registers again within
 // about two seconds if it lives.
-const returnGrace = 2200 * time.Millisecond
+const storeReturnGrace = 2200 * time.Millisecond
 
-// lapse is a removal that is not in force yet.
-type lapse struct {
+// pendingRemoval is a removal that is not in force yet.
+type pendingRemoval struct {
 	removal Object
 	due     time.Time
 }
@@ -35,62 +35,62 @@
 	log        zerolog.Logger
 	now        func() time.Time
 
-	// decoding is held while a configuration is decoded, without mu.
-	decoding sync.Mutex
+	// decodeMu is held while a configuration is decoded, without mu.
+	decodeMu sync.Mutex
 
 	mu     sync.Mutex
 	config Object
-	// earlier are configurations that peers may still hold, the latest last.
-	earlier []Object
-	// encoded are the forms in which the configuration was sent, by the
+	// earlierConfigs are configurations that peers may still hold, the latest last.
+	earlierConfigs []Object
+	// encodedConfigs are the forms in which the configuration was sent, by the
 	// revision that each builds on.
-	encoded  map[uint64][]byte
-	version  uint64
-	objects  map[string]Object
-	upstream *directory.Directory
-	// digest is of what the entries say, without their revisions.
-	digest uint64
-	// lapsed are upstreams whose entries may have lapsed while the store was
+	encodedConfigs map[uint64][]byte
+	configVersion  uint64
+	objects        map[string]Object
+	directory      *directory.Directory
+	// upstreamDigest is of what the entries say, without their revisions.
+	upstreamDigest uint64
+	// pendingRemovals are upstreams whose entries may have lapsed while the store was
 	// away; settled are removals that no longer wait and are yet to be told.
-	lapsed  map[state.Upstream]lapse
-	settled []Object
-	// away is set while the store does not answer; returned is when it last
+	pendingRemovals   map[state.Upstream]pendingRemoval
+	confirmedRemovals []Object
+	// storeUnavailable is set while the store does not answer; returned is when it last
 	// came back.
-	away     bool
-	returned time.Time
+	storeUnavailable bool
+	storeReturnedAt  time.Time
 }
 
 func newCatalogue(platform Platform, dispatcher *dispatcher, log zerolog.Logger, now func() time.Time) *catalogue {
 	return &catalogue{
 		platform: platform, dispatcher: dispatcher, log: log, now: now,
-		objects:  make(map[string]Object),
-		upstream: directory.New(),
-		lapsed:   make(map[state.Upstream]lapse),
+		objects:         make(map[string]Object),
+		directory:       directory.New(),
+		pendingRemovals: make(map[state.Upstream]pendingRemoval),
 	}
 }
 
-// take applies an object and says whether peers should hear of it. Source is
+// applyObject applies an object and says whether peers should hear of it. Source is
 // for the log.
-func (c *catalogue) take(kind Kind, o Object, source string) bool {
+func (c *catalogue) applyObject(kind Kind, o Object, source string) bool {
 	if kind == KindConfig {
-		return c.takeConfig(o, source)
+		return c.applyConfig(o, source)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.takeUpstream(o, source)
+	return c.applyUpstream(o, source)
 }
 
-// decodePause is the pause between parts of a configuration that is decoded: on
+// decodeYieldTime is the pause between parts of a configuration that is decoded: on
 // a small part of a core, requests come first.
-const decodePause = 5 * time.Millisecond
+const decodeYieldTime = 5 * time.Millisecond
 
-func (c *catalogue) takeConfig(o Object, source string) bool {
-	c.decoding.Lock()
-	defer c.decoding.Unlock()
-	if o.Removed || o.Revision <= c.holding().ConfigRevision {
+func (c *catalogue) applyConfig(o Object, source string) bool {
+	c.decodeMu.Lock()
+	defer c.decodeMu.Unlock()
+	if o.Removed || o.Revision <= c.contentSummary().ConfigRevision {
 		return false
 	}
-	config, err := c.platform.DecodeConfig(o.Spec, func() { time.Sleep(decodePause) })
+	config, err := c.platform.DecodeConfig(o.Spec, func() { time.Sleep(decodeYieldTime) })
 	if err != nil {
 		c.log.Error().Err(err).Uint64("revision", o.Revision).Str("source", source).Msg("configuration refused")
 		return false
@@ -99,30 +99,30 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.replaceConfig(o)
-	if config.Version < c.version {
-		c.log.Warn().Uint64("version", config.Version).Uint64("held", c.version).Msg("configuration older than the one in force")
+	if config.Version < c.configVersion {
+		c.log.Warn().Uint64("version", config.Version).Uint64("held", c.configVersion).Msg("configuration older than the one in force")
 		return false
 	}
-	c.version = config.Version
+	c.configVersion = config.Version
 	c.dispatcher.setTable(table)
 	c.log.Info().Uint64("version", config.Version).Uint64("revision", o.Revision).Str("source", source).
 		Int("routes", len(config.Routes)).Int("workspaces", len(config.Workspaces)).Msg("configuration taken")
 	return true
 }
 
-func (c *catalogue) takeUpstream(o Object, source string) bool {
-	entry := c.entryOf(o)
-	if l, ok := c.lapsed[state.Upstream(o.Name)]; ok && c.judgeLapsed(l, o, entry, source) {
+func (c *catalogue) applyUpstream(o Object, source string) bool {
+	entry := c.decodeEntry(o)
+	if pending, ok := c.pendingRemovals[state.Upstream(o.Name)]; ok && c.resolvePendingRemoval(pending, o, entry, source) {
 		return false
 	}
-	if source == sourceStore && c.mayHaveLapsed(o, entry) {
-		c.hold(o)
+	if source == sourceStore && c.mayHaveExpired(o, entry) {
+		c.deferRemoval(o)
 		return false
 	}
-	return c.apply(o, entry, source)
+	return c.applyEntry(o, entry, source)
 }
 
-func (c *catalogue) entryOf(o Object) directory.Entry {
+func (c *catalogue) decodeEntry(o Object) directory.Entry {
 	entry := directory.Entry{Revision: o.Revision}
 	if o.Removed {
 		return entry
@@ -135,44 +135,46 @@
 	return entry
 }
 
-// apply puts an entry in force, and says whether that changed anything that is
+// applyEntry puts an entry in force, and says whether that changed anything that is
 // decided on.
-func (c *catalogue) apply(o Object, entry directory.Entry, source string) bool {
+func (c *catalogue) applyEntry(o Object, entry directory.Entry, source string) bool {
 	id := state.Upstream(o.Name)
-	before, _ := c.upstream.Entry(id)
-	if !c.upstream.Apply(id, entry) {
+	before, _ := c.directory.Entry(id)
+	if !c.directory.Apply(id, entry) {
 		return false
 	}
-	delete(c.lapsed, id)
+	delete(c.pendingRemovals, id)
 	c.objects[o.Name] = o
-	c.digest ^= digestOf(before) ^ digestOf(entry)
-	c.show(id, before, entry, source)
-	return !same(before, entry)
+	c.upstreamDigest ^= entryDigest(before) ^ entryDigest(entry)
+	c.updateDispatcher(id, before, entry, source)
+	return !sameContent(before, entry)
 }
 
-// digestOf recognises what an entry says; one that names no upstream says
+// entryDigest recognises what an entry says; one that names no upstream says
 // nothing.
-func digestOf(entry directory.Entry) uint64 {
+func entryDigest(entry directory.Entry) uint64 {
 	if !entry.Present {
 		return 0
 	}
 	return xxhash.Sum64String(fmt.Sprintf("%+v", entry.Upstream))
 }
 
-// holding recognises what is held. Two routers that hold the same agree on it,
+// contentSummary recognises what is held. Two routers that hold the same agree on it,
 // whoever told them.
-func (c *catalogue) holding() exchange.StateSummary {
+func (c *catalogue) contentSummary() exchange.StateSummary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return exchange.StateSummary{ConfigRevision: c.config.Revision, UpstreamsDigest: c.digest}
+	return exchange.StateSummary{ConfigRevision: c.config.Revision, UpstreamsDigest: c.upstreamDigest}
 }
 
-// same says whether two entries differ in nothing that is decided on.
-func same(a, b directory.Entry) bool { return a.Present == b.Present && a.Upstream == b.Upstream }
+// sameContent says whether two entries differ in nothing that is decided on.
+func sameContent(a, b directory.Entry) bool {
+	return a.Present == b.Present && a.Upstream == b.Upstream
+}
 
-// show tells the dispatcher of a changed entry.
-func (c *catalogue) show(id state.Upstream, before, entry directory.Entry, source string) {
-	if same(before, entry) {
+// updateDispatcher tells the dispatcher of a changed entry.
+func (c *catalogue) updateDispatcher(id state.Upstream, before, entry directory.Entry, source string) {
+	if sameContent(before, entry) {
 		return
 	}
 	c.dispatcher.setUpstream(id, entry.Upstream, entry.Present)
@@ -181,109 +183,109 @@
 		Uint64("revision", entry.Revision).Str("source", source).Msg("upstream changed")
 }
 
-// mayHaveLapsed says whether an entry that the store no longer holds may only
+// mayHaveExpired says whether an entry that the store no longer holds may only
 // have lapsed while the store was away. This router cannot tell that from
 // having been cut off itself, so only the store's word is in doubt: a peer
 // tells of a removal once it is sure.
-func (c *catalogue) mayHaveLapsed(o Object, entry directory.Entry) bool {
+func (c *catalogue) mayHaveExpired(o Object, entry directory.Entry) bool {
 	id := state.Upstream(o.Name)
-	held, _ := c.upstream.Entry(id)
-	if entry.Present || !held.Present || held.Upstream.Leaving || !c.upstream.IsNewer(id, entry) {
+	current, _ := c.directory.Entry(id)
+	if entry.Present || !current.Present || current.Upstream.Leaving || !c.directory.IsNewer(id, entry) {
 		return false
 	}
-	return !c.returned.IsZero() && c.now().Sub(c.returned) < returnGrace
+	return !c.storeReturnedAt.IsZero() && c.now().Sub(c.storeReturnedAt) < storeReturnGrace
 }
 
-// hold keeps an upstream in use whose entry may have lapsed. The directory and
+// deferRemoval keeps an upstream in use whose entry may have lapsed. The directory and
 // its digest keep the entry and peers are not told: they would take the
 // upstream as gone, and drop one that is about to register again.
-func (c *catalogue) hold(o Object) {
+func (c *catalogue) deferRemoval(o Object) {
 	id := state.Upstream(o.Name)
-	held, ok := c.lapsed[id]
+	pending, ok := c.pendingRemovals[id]
 	if !ok {
-		held.due = c.returned.Add(returnGrace)
+		pending.due = c.storeReturnedAt.Add(storeReturnGrace)
 		c.log.Info().Str("upstream", o.Name).Uint64("revision", o.Revision).Msg("upstream may have lapsed")
 	}
-	held.removal = o
-	c.lapsed[id] = held
+	pending.removal = o
+	c.pendingRemovals[id] = pending
 }
 
-// judgeLapsed weighs what is told of an upstream that may have lapsed, and says
+// resolvePendingRemoval weighs what is told of an upstream that may have lapsed, and says
 // whether nothing else is to be made of it. The upstream is gone if a peer says
 // so, or if it said that it leaves before its entry went. Without the peer's
 // word a router that was cut off itself sends requests for two seconds to an
 // upstream that all others know to be gone. The word holds because peers give
 // it only when they are sure; one no newer than the entry held here is of an
 // earlier end, and does not count.
-func (c *catalogue) judgeLapsed(l lapse, o Object, entry directory.Entry, source string) bool {
-	outdated := o.Revision <= l.removal.Revision
+func (c *catalogue) resolvePendingRemoval(pending pendingRemoval, o Object, entry directory.Entry, source string) bool {
+	outdated := o.Revision <= pending.removal.Revision
 	removed := !entry.Present && source != sourceStore
-	left := entry.Upstream.Leaving && outdated
-	if !removed && !left || !c.upstream.IsNewer(state.Upstream(o.Name), entry) {
+	wasLeaving := entry.Upstream.Leaving && outdated
+	if !removed && !wasLeaving || !c.directory.IsNewer(state.Upstream(o.Name), entry) {
 		return outdated
 	}
 	if outdated {
-		o = l.removal
+		o = pending.removal
 	}
-	c.settle(o, source)
+	c.confirmRemoval(o, source)
 	return true
 }
 
-// settle takes an upstream as gone that may have lapsed.
-func (c *catalogue) settle(removal Object, source string) {
+// confirmRemoval takes an upstream as gone that may have lapsed.
+func (c *catalogue) confirmRemoval(removal Object, source string) {
 	c.log.Info().Str("upstream", removal.Name).Str("source", source).Msg("upstream gone after the store's return")
-	if c.apply(removal, directory.Entry{Revision: removal.Revision}, source) {
-		c.settled = append(c.settled, removal)
+	if c.applyEntry(removal, directory.Entry{Revision: removal.Revision}, source) {
+		c.confirmedRemovals = append(c.confirmedRemovals, removal)
 	}
 }
 
-// settleLapsed drops upstreams that did not register again in time, and returns
+// confirmDueRemovals drops upstreams that did not register again in time, and returns
 // the removals that peers are to be told of.
-func (c *catalogue) settleLapsed() []Object {
+func (c *catalogue) confirmDueRemovals() []Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	for _, l := range c.lapsed {
-		if !now.Before(l.due) {
-			c.settle(l.removal, sourceStore)
+	for _, pending := range c.pendingRemovals {
+		if !now.Before(pending.due) {
+			c.confirmRemoval(pending.removal, sourceStore)
 		}
 	}
-	settled := c.settled
-	c.settled = nil
-	return settled
+	confirmed := c.confirmedRemovals
+	c.confirmedRemovals = nil
+	return confirmed
 }
 
-// doubtful says whether there are upstreams that may have lapsed.
-func (c *catalogue) doubtful() bool {
+// hasPendingRemovals says whether there are upstreams that may have lapsed.
+func (c *catalogue) hasPendingRemovals() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.lapsed) > 0
+	return len(c.pendingRemovals) > 0
 }
 
-// replace takes a whole list: what it lacks is gone.
-func (c *catalogue) replace(objects []Object, revision uint64, source string) []Object {
-	var news []Object
+// replaceUpstreams takes a whole list: what it lacks is gone.
+func (c *catalogue) replaceUpstreams(objects []Object, revision uint64, source string) []Object {
+	var changed []Object
 	listed := make(map[string]bool, len(objects))
 	for _, o := range objects {
 		listed[o.Name] = true
-		if c.take(KindUpstream, o, source) {
-			news = append(news, o)
+		if c.applyObject(KindUpstream, o, source) {
+			changed = append(changed, o)
 		}
 	}
-	for _, name := range c.missing(listed, revision) {
-		gone := Object{Name: name, Revision: revision, Removed: true}
-		if c.take(KindUpstream, gone, source) {
-			news = append(news, gone)
+	for _, name := range c.missingUpstreams(listed, revision) {
+		removed := Object{Name: name, Revision: revision, Removed: true}
+		if c.applyObject(KindUpstream, removed, source) {
+			changed = append(changed, removed)
 		}
 	}
-	return news
+	return changed
 }
 
-func (c *catalogue) missing(listed map[string]bool, revision uint64) []string {
+func (c *catalogue) missingUpstreams(listed map[string]bool, revision uint64) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var names []string
-	for id, entry := range c.upstream.Entries() {
+	for id, entry := range c.directory.Entries() {
 		if entry.Present && !listed[string(id)] && entry.Revision <= revision {
 			names = append(names, string(id))
 		}
@@ -291,36 +293,36 @@
 	return names
 }
 
-// reached and unreached note whether the store answers.
-func (c *catalogue) reached() {
+// markStoreAvailable and unreached note whether the store answers.
+func (c *catalogue) markStoreAvailable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.away {
-		c.away = false
-		c.returned = c.now()
+	if c.storeUnavailable {
+		c.storeUnavailable = false
+		c.storeReturnedAt = c.now()
 		c.log.Info().Msg("store regained")
 	}
 }
 
-func (c *catalogue) unreached(err error) {
+func (c *catalogue) markStoreUnavailable(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.away {
-		c.away = true
+	if !c.storeUnavailable {
+		c.storeUnavailable = true
 		c.log.Warn().Err(err).Msg("store lost")
 	}
 }
 
-// empty says whether no configuration is held.
-func (c *catalogue) empty() bool {
+// hasNoConfig says whether no configuration is held.
+func (c *catalogue) hasNoConfig() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.config.Revision == 0
 }
 
-// upstreams returns every object of an upstream that is held, for a peer that
+// upstreamObjects returns every object of an upstream that is held, for a peer that
 // starts from nothing.
-func (c *catalogue) upstreams() []Object {
+func (c *catalogue) upstreamObjects() []Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Collect(maps.Values(c.objects))
--- a/transport/edge/dial.go
+++ b/transport/edge/dial.go
@@ -14,13 +14,13 @@
 	// are a few milliseconds away; a lost opening packet is sent again after
 	// a second, which is too late for most requests.
 	dialTimeout = 700 * time.Millisecond
-	// silentAfter is how long a peer's machine may acknowledge nothing before
+	// unackedTimeout is how long a peer's machine may acknowledge nothing before
 	// the connection is given up: a VM that lost power or is behind a
 	// partition sends no reset. A busy process still acknowledges, so this
 	// ends no answer that is only slow.
-	silentAfter = 3 * time.Second
-	// probeEvery is the pause between keep-alive probes.
-	probeEvery = time.Second
+	unackedTimeout = 3 * time.Second
+	// keepAliveInterval is the pause between keep-alive probes.
+	keepAliveInterval = time.Second
 )
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
@@ -31,9 +31,9 @@
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     probeEvery,
-			Interval: probeEvery,
-			Count:    int(silentAfter / probeEvery),
+			Idle:     keepAliveInterval,
+			Interval: keepAliveInterval,
+			Count:    int(unackedTimeout / keepAliveInterval),
 		},
 		Control: setUserTimeout,
 	}
@@ -42,12 +42,12 @@
 // setUserTimeout bounds how long sent bytes may stay unacknowledged; without
 // it they are sent again for a quarter of an hour.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentAfter.Milliseconds()))
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockoptErr
 }
--- a/transport/edge/dispatcher.go
+++ b/transport/edge/dispatcher.go
@@ -19,9 +19,9 @@
 	"github.com/figstile/figstile/transport/ingress"
 )
 
-// currentWithin is how long after the last word of the store, or of a peer
+// configCurrentFor is how long after the last word of the store, or of a peer
 // that reads it, this router still claims to hold the newest configuration.
-const currentWithin = 3 * time.Second
+const configCurrentFor = 3 * time.Second
 
 // dispatcher hosts the decisions behind one lock: each takes microseconds, and all
 // need the same picture.
@@ -30,46 +30,46 @@
 	now      func() time.Time
 	pressure *pressure
 
-	mu      sync.Mutex
-	table   *routing.Table
-	picture *placement.View
-	ledger  *shares.Ledger
-	budgets map[state.Service]*budget.Budget
-	blocked *quarantine.List
+	mu           sync.Mutex
+	table        *routing.Table
+	loadView     *placement.View
+	ledger       *shares.Ledger
+	retryBudgets map[state.Service]*budget.Budget
+	quarantined  *quarantine.List
 	// suspicions are requests whose connection broke, lostRuns the runs of
 	// upstreams that those were on.
-	suspicions quarantine.Suspicions
-	lostRuns   map[state.Upstream]quarantine.Run
-	returns    admission.RetryTracker
-	routers    int
-	heard      time.Time
-	// course is that of the stop, once the router was told to.
-	course  drain.Drain
-	watched map[*placement.Ticket]func()
+	suspicions      quarantine.Suspicions
+	lostRuns        map[state.Upstream]quarantine.Run
+	refusedRequests admission.RetryTracker
+	routerCount     int
+	confirmedAt     time.Time
+	// drain is that of the stop, once the router was told to.
+	drain          drain.Drain
+	stallCallbacks map[*placement.Ticket]func()
 	// charges are what workspaces were charged for attempts under way.
 	charges map[*placement.Ticket]charge
-	// urgent asks for this router's load to be told at once.
-	urgent chan struct{}
-	onLost func(f state.Fingerprint, run quarantine.Run)
+	// urgentPublish asks for this router's load to be told at once.
+	urgentPublish chan struct{}
+	onLostRequest func(f state.Fingerprint, run quarantine.Run)
 }
 
 func newDispatcher(settings Settings, now func() time.Time) *dispatcher {
-	picture := placement.New(settings.DataCentre)
-	picture.SeedScatter(xxhash.Sum64String(string(settings.Router)))
+	loadView := placement.New(settings.DataCentre)
+	loadView.SeedScatter(xxhash.Sum64String(string(settings.Router)))
 	return &dispatcher{
-		settings: settings,
-		now:      now,
-		pressure: newPressure(settings.MaxFiles, settings.Processors, now),
-		picture:  picture,
-		ledger:   shares.New(),
-		budgets:  make(map[state.Service]*budget.Budget),
-		blocked:  quarantine.New(quarantine.DefaultCapacity),
-		lostRuns: make(map[state.Upstream]quarantine.Run),
-		watched:  make(map[*placement.Ticket]func()),
-		charges:  make(map[*placement.Ticket]charge),
-		routers:  1,
-		urgent:   make(chan struct{}, 1),
-		onLost:   func(state.Fingerprint, quarantine.Run) {},
+		settings:       settings,
+		now:            now,
+		pressure:       newPressure(settings.MaxFiles, settings.CPUCores, now),
+		loadView:       loadView,
+		ledger:         shares.New(),
+		retryBudgets:   make(map[state.Service]*budget.Budget),
+		quarantined:    quarantine.New(quarantine.DefaultCapacity),
+		lostRuns:       make(map[state.Upstream]quarantine.Run),
+		stallCallbacks: make(map[*placement.Ticket]func()),
+		charges:        make(map[*placement.Ticket]charge),
+		routerCount:    1,
+		urgentPublish:  make(chan struct{}, 1),
+		onLostRequest:  func(state.Fingerprint, quarantine.Run) {},
 	}
 }
 
@@ -82,94 +82,94 @@
 	return d.table
 }
 
-// Current implements ingress.Dispatcher.
-func (d *dispatcher) Current() bool {
+// ConfigCurrent implements ingress.Dispatcher.
+func (d *dispatcher) ConfigCurrent() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return !d.heard.IsZero() && d.now().Sub(d.heard) <= currentWithin
+	return !d.confirmedAt.IsZero() && d.now().Sub(d.confirmedAt) <= configCurrentFor
 }
 
 // Admit implements ingress.Dispatcher.
-func (d *dispatcher) Admit(r admission.Request, repeat bool) (admission.Verdict, *placement.Ticket) {
+func (d *dispatcher) Admit(r admission.Request, retry bool) (admission.Verdict, *placement.Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	if !repeat {
-		d.budget(r.Service).RecordRequest(now, d.retryLimits())
+	if !retry {
+		d.retryBudget(r.Service).RecordRequest(now, d.retryLimits())
 		d.ledger.RecordRequested(now, r.Workspace, r.Cost)
 	}
-	verdict := d.judge(now, r)
+	verdict := d.decide(now, r)
 	if !verdict.IsAdmitted() {
 		if len(r.Prompt) > 0 {
-			d.returns.RecordRefusal(now, r.Fingerprint, r.Elapsed)
+			d.refusedRequests.RecordRefusal(now, r.Fingerprint, r.Elapsed)
 		}
 		return verdict, nil
 	}
-	best := verdict.Estimate
-	if best.UncachedTokens >= longPrompt {
-		d.wakeUp()
+	estimate := verdict.Estimate
+	if estimate.UncachedTokens >= longPromptTokens {
+		d.requestPublish()
 	}
-	ticket := d.picture.Place(now, r.Work, best)
+	ticket := d.loadView.Place(now, r.Work, estimate)
 	if r.Cost > 0 && !r.Resumed {
 		d.ledger.RecordAdmitted(now, r.Workspace, r.Cost)
 		d.charges[ticket] = charge{at: now, workspace: r.Workspace, cost: r.Cost}
 	}
-	d.pressure.requested(ticket.OnEngine())
+	d.pressure.countRequest(ticket.OnEngine())
 	return verdict, ticket
 }
 
-// wakeUp asks for what changed to be told before its turn.
-func (d *dispatcher) wakeUp() {
+// requestPublish asks for what changed to be told before its turn.
+func (d *dispatcher) requestPublish() {
 	select {
-	case d.urgent <- struct{}{}:
+	case d.urgentPublish <- struct{}{}:
 	default:
 	}
 }
 
-// judge judges a request by its workspace's standing.
-func (d *dispatcher) judge(now time.Time, r admission.Request) admission.Verdict {
+// decide judges a request by its workspace's standing.
+func (d *dispatcher) decide(now time.Time, r admission.Request) admission.Verdict {
 	standing := shares.Standing{}
 	if r.Cost > 0 && d.table != nil {
 		standing = d.ledger.Standing(now, r.Workspace, d.table.Limits().Throughput)
 	}
-	if d.course.Begun() {
-		r.RouterRemaining = max(d.course.RunTimeLeft(now), time.Nanosecond)
+	if d.drain.Begun() {
+		r.RouterRemaining = max(d.drain.RunTimeLeft(now), time.Nanosecond)
 	}
-	return admission.Admit(now, d.picture, r, standing, rand.Float64())
+	return admission.Admit(now, d.loadView, r, standing, rand.Float64())
 }
 
-// Watch implements ingress.Dispatcher.
-func (d *dispatcher) Watch(t *placement.Ticket, giveUp func()) {
+// OnStall implements ingress.Dispatcher.
+func (d *dispatcher) OnStall(t *placement.Ticket, cancel func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watched[t] = giveUp
+	d.stallCallbacks[t] = cancel
 }
 
-// Output implements ingress.Dispatcher.
-func (d *dispatcher) Output(t *placement.Ticket, first bool) {
+// ReportOutput implements ingress.Dispatcher.
+func (d *dispatcher) ReportOutput(t *placement.Ticket, first bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if first {
 		if t.OnEngine() {
-			d.pressure.work.StreamStarted()
+			d.pressure.cpuEstimate.StreamStarted()
 		}
-		d.picture.RecordFirstOutput(d.now(), t)
+		d.loadView.RecordFirstOutput(d.now(), t)
 		return
 	}
-	d.picture.RecordOutput(d.now(), t)
+	d.loadView.RecordOutput(d.now(), t)
 }
 
-// giveUpStalled ends the attempts whose answers will not come.
-func (d *dispatcher) giveUpStalled() int {
+// cancelStalled ends the attempts whose answers will not come.
+func (d *dispatcher) cancelStalled() int {
 	d.mu.Lock()
-	stalled := d.picture.TakeStalled(d.now(), d.repeat)
-	var giveUp []func()
+	stalled := d.loadView.TakeStalled(d.now(), d.spendRetry)
+	var cancels []func()
 	for _, t := range stalled {
-		giveUp = append(giveUp, d.watched[t])
+		cancels = append(cancels, d.stallCallbacks[t])
 	}
 	d.mu.Unlock()
-	for _, f := range giveUp {
-		f()
+	for _, cancel := range cancels {
+		cancel()
 	}
 	return len(stalled)
 }
@@ -177,21 +177,21 @@
 // End implements ingress.Dispatcher.
 func (d *dispatcher) End(t *placement.Ticket, outcome placement.Outcome) {
 	d.mu.Lock()
-	delete(d.watched, t)
+	delete(d.stallCallbacks, t)
 	if t.OnEngine() {
-		d.pressure.streamEnded(t.Answering(), eventsOf(t, outcome))
+		d.pressure.countStreamEnd(t.Answering(), answeredEvents(t, outcome))
 		if outcome == placement.Unconnected || outcome == placement.Rejected {
-			d.pressure.unsent()
+			d.pressure.countUnsentStream()
 		}
 	}
-	d.settle(t, outcome)
-	d.picture.RecordEnd(d.now(), t, outcome)
-	var news []lostRequest
+	d.refundUnstarted(t, outcome)
+	d.loadView.RecordEnd(d.now(), t, outcome)
+	var lost []lostRequest
 	if outcome == placement.Unconnected {
-		news = d.fell(t.Upstream())
+		lost = d.recordUpstreamLoss(t.Upstream())
 	}
 	d.mu.Unlock()
-	d.tellLost(news)
+	d.reportLost(lost)
 }
 
 // charge is what a workspace was charged for an attempt.
@@ -201,10 +201,10 @@
 	cost      float64
 }
 
-// settle takes back the charge of an attempt that did not begin. An upstream that
+// refundUnstarted takes back the charge of an attempt that did not begin. An upstream that
 // is down looks idle, and a workspace near its share would be refused for what it
 // was sent there.
-func (d *dispatcher) settle(t *placement.Ticket, outcome placement.Outcome) {
+func (d *dispatcher) refundUnstarted(t *placement.Ticket, outcome placement.Outcome) {
 	c, ok := d.charges[t]
 	delete(d.charges, t)
 	if ok && outcome != placement.Answered && !t.Answering() {
@@ -212,20 +212,20 @@
 	}
 }
 
-// eventsOf returns how many parts the stream of a ticket had; zero unless it was
+// answeredEvents returns how many parts the stream of a ticket had; zero unless it was
 // answered whole.
-func eventsOf(t *placement.Ticket, outcome placement.Outcome) int {
+func answeredEvents(t *placement.Ticket, outcome placement.Outcome) int {
 	if outcome != placement.Answered {
 		return 0
 	}
 	return t.Outputs()
 }
 
-func (d *dispatcher) budget(service state.Service) *budget.Budget {
-	b := d.budgets[service]
+func (d *dispatcher) retryBudget(service state.Service) *budget.Budget {
+	b := d.retryBudgets[service]
 	if b == nil {
 		b = &budget.Budget{}
-		d.budgets[service] = b
+		d.retryBudgets[service] = b
 	}
 	return b
 }
@@ -234,59 +234,59 @@
 	return budget.Limits{Ratio: d.settings.RetryRatio, Slack: d.settings.RetrySlack, Window: d.settings.RetryWindow}
 }
 
-// Repeat implements ingress.Dispatcher.
-func (d *dispatcher) Repeat(service state.Service) bool {
+// SpendRetry implements ingress.Dispatcher.
+func (d *dispatcher) SpendRetry(service state.Service) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.repeat(service)
+	return d.spendRetry(service)
 }
 
-// repeat is Repeat for callers that hold the lock.
-func (d *dispatcher) repeat(service state.Service) bool {
-	return d.budget(service).TryRepeat(d.now(), d.retryLimits(), d.routers)
+// spendRetry is Repeat for callers that hold the lock.
+func (d *dispatcher) spendRetry(service state.Service) bool {
+	return d.retryBudget(service).TryRepeat(d.now(), d.retryLimits(), d.routerCount)
 }
 
-// Elapsed implements ingress.Dispatcher.
-func (d *dispatcher) Elapsed(f state.Fingerprint) time.Duration {
+// ElapsedSinceFirst implements ingress.Dispatcher.
+func (d *dispatcher) ElapsedSinceFirst(f state.Fingerprint) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.returns.Elapsed(d.now(), f)
+	return d.refusedRequests.Elapsed(d.now(), f)
 }
 
-// Blocked implements ingress.Dispatcher.
-func (d *dispatcher) Blocked(f state.Fingerprint) bool {
+// Quarantined implements ingress.Dispatcher.
+func (d *dispatcher) Quarantined(f state.Fingerprint) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.blocked.Blocked(d.now(), f)
+	return d.quarantined.Blocked(d.now(), f)
 }
 
-// Lost implements ingress.Dispatcher. A lost connection is no proof that the request
+// ReportLost implements ingress.Dispatcher. A lost connection is no proof that the request
 // took the upstream down: answers are lost on good upstreams too, and two such
 // losses would shut out a page that many callers fetch. It counts once the
 // upstream is seen to have fallen.
-func (d *dispatcher) Lost(f state.Fingerprint, t *placement.Ticket) {
+func (d *dispatcher) ReportLost(f state.Fingerprint, t *placement.Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.suspicions.Add(d.now(), f, t.Upstream())
 	d.lostRuns[t.Upstream()] = t.Run()
 }
 
-// fell counts the requests whose connections an upstream took along, and
+// recordUpstreamLoss counts the requests whose connections an upstream took along, and
 // returns what peers have to know. The caller holds the lock.
-func (d *dispatcher) fell(id state.Upstream) []lostRequest {
+func (d *dispatcher) recordUpstreamLoss(id state.Upstream) []lostRequest {
 	run, ok := d.lostRuns[id]
 	if !ok {
 		return nil
 	}
 	delete(d.lostRuns, id)
 	now := d.now()
-	var news []lostRequest
+	var lost []lostRequest
 	for _, f := range d.suspicions.Confirm(now, id) {
-		if d.blocked.RecordCrash(now, f, run) {
-			news = append(news, lostRequest{f, run})
+		if d.quarantined.RecordCrash(now, f, run) {
+			lost = append(lost, lostRequest{f, run})
 		}
 	}
-	return news
+	return lost
 }
 
 // lostRequest is a request that was running when a run of an upstream fell.
@@ -295,44 +295,44 @@
 	run         quarantine.Run
 }
 
-// tellLost tells peers; it is called without the lock.
-func (d *dispatcher) tellLost(news []lostRequest) {
-	for _, n := range news {
-		d.onLost(n.fingerprint, n.run)
+// reportLost tells peers; it is called without the lock.
+func (d *dispatcher) reportLost(lost []lostRequest) {
+	for _, n := range lost {
+		d.onLostRequest(n.fingerprint, n.run)
 	}
 }
 
-// heardLost takes a peer's word that an upstream broke off under a request.
-func (d *dispatcher) heardLost(f state.Fingerprint, run quarantine.Run) {
+// receiveLost takes a peer's word that an upstream broke off under a request.
+func (d *dispatcher) receiveLost(f state.Fingerprint, run quarantine.Run) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.blocked.RecordCrash(d.now(), f, run)
+	d.quarantined.RecordCrash(d.now(), f, run)
 }
 
-// Served implements ingress.Dispatcher.
-func (d *dispatcher) Served(f state.Fingerprint) {
+// ReportServed implements ingress.Dispatcher.
+func (d *dispatcher) ReportServed(f state.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.blocked.ForgetUnblocked(f)
+	d.quarantined.ForgetUnblocked(f)
 }
 
 // Drain implements ingress.Dispatcher.
 func (d *dispatcher) Drain() drain.Drain {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.course
+	return d.drain
 }
 
-// Full implements ingress.Dispatcher.
-func (d *dispatcher) Full() bool { return d.pressure.full() }
+// AtCapacity implements ingress.Dispatcher.
+func (d *dispatcher) AtCapacity() bool { return d.pressure.atCapacity() }
 
-// FullFor implements ingress.Dispatcher.
-func (d *dispatcher) FullFor(ws state.Workspace) bool {
-	return d.pressure.tight() && d.served(ws)
+// AtCapacityFor implements ingress.Dispatcher.
+func (d *dispatcher) AtCapacityFor(ws state.Workspace) bool {
+	return d.pressure.nearCapacity() && d.usedFairShare(ws)
 }
 
-// served says whether a workspace has had its fair share.
-func (d *dispatcher) served(ws state.Workspace) bool {
+// usedFairShare says whether a workspace has had its fair share.
+func (d *dispatcher) usedFairShare(ws state.Workspace) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if ws == "" || d.table == nil {
@@ -345,10 +345,10 @@
 func (d *dispatcher) beginDrain() drain.Drain {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.course.Begun() {
-		d.course = drain.Begin(d.now(), d.settings.GracePeriod)
+	if !d.drain.Begun() {
+		d.drain = drain.Begin(d.now(), d.settings.GracePeriod)
 	}
-	return d.course
+	return d.drain
 }
 
 // setTable takes a newer configuration.
@@ -356,35 +356,35 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.table = table
-	d.picture.SetServices(table.Services())
+	d.loadView.SetServices(table.Services())
 }
 
 // setUpstream takes what is known of an upstream; present is false if it is
 // gone.
 func (d *dispatcher) setUpstream(id state.Upstream, u directory.Upstream, present bool) {
 	d.mu.Lock()
-	var news []lostRequest
+	var lost []lostRequest
 	if !present || d.lostRuns[id] != placement.RunOf(u) {
-		news = d.fell(id)
+		lost = d.recordUpstreamLoss(id)
 	}
 	if present {
-		d.picture.SetUpstream(u)
+		d.loadView.SetUpstream(u)
 	} else {
-		d.picture.RemoveUpstream(id)
+		d.loadView.RemoveUpstream(id)
 	}
 	d.mu.Unlock()
-	d.tellLost(news)
+	d.reportLost(lost)
 }
 
-// confirm notes that the configuration is the newest as of now.
-func (d *dispatcher) confirm() {
+// confirmConfig notes that the configuration is the newest as of now.
+func (d *dispatcher) confirmConfig() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard = d.now()
+	d.confirmedAt = d.now()
 }
 
 func (d *dispatcher) ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.table != nil && !d.course.Begun() && d.pressure.welcomes()
+	return d.table != nil && !d.drain.Begun() && d.pressure.acceptsNewCallers()
 }
--- a/transport/edge/dispatcher_peers.go
+++ b/transport/edge/dispatcher_peers.go
@@ -10,68 +10,68 @@
 func (d *dispatcher) ownLoads() map[state.Upstream]placement.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.picture.OwnLoads()
+	return d.loadView.OwnLoads()
 }
 
 func (d *dispatcher) takeChangedLoads() map[state.Upstream]placement.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picture.ExpirePeerLoads(d.now())
-	return d.picture.TakeChangedLoads()
+	d.loadView.ExpirePeerLoads(d.now())
+	return d.loadView.TakeChangedLoads()
 }
 
-// takeSums returns what all routers on this side of a link have, or what has
+// takeLoadSums returns what all routers on this side of a link have, or what has
 // changed of it.
-func (d *dispatcher) takeSums(peer state.Router, all bool) map[state.Upstream]placement.Load {
+func (d *dispatcher) takeLoadSums(peer state.Router, all bool) map[state.Upstream]placement.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picture.ExpirePeerLoads(d.now())
-	return d.picture.TakeLinkSums(peer, all)
+	d.loadView.ExpirePeerLoads(d.now())
+	return d.loadView.TakeLinkSums(peer, all)
 }
 
-func (d *dispatcher) takePlaced() []placement.PlacedPrompt {
+func (d *dispatcher) takePlacedPrompts() []placement.PlacedPrompt {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.picture.TakePlacedPrompts()
+	return d.loadView.TakePlacedPrompts()
 }
 
-func (d *dispatcher) heardPlaced(placed []placement.PlacedPrompt) {
+func (d *dispatcher) receivePlacedPrompts(placed []placement.PlacedPrompt) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, prompt := range placed {
-		d.picture.ReceivePlacedPrompt(d.now(), prompt)
+		d.loadView.ReceivePlacedPrompt(d.now(), prompt)
 	}
 }
 
-// takeRefused returns the requests refused since the last call.
-func (d *dispatcher) takeRefused() []uint32 {
+// takeRefusedRequests returns the requests refused since the last call.
+func (d *dispatcher) takeRefusedRequests() []uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.returns.TakeUnannounced()
+	return d.refusedRequests.TakeUnannounced()
 }
 
-func (d *dispatcher) heardRefused(keys []uint32) {
+func (d *dispatcher) receiveRefusedRequests(keys []uint32) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.returns.ReceiveRefusals(d.now(), keys)
+	d.refusedRequests.ReceiveRefusals(d.now(), keys)
 }
 
-func (d *dispatcher) unreachable() []directory.Upstream {
+func (d *dispatcher) unreachableUpstreams() []directory.Upstream {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.picture.UnreachableUpstreams()
+	return d.loadView.UnreachableUpstreams()
 }
 
-func (d *dispatcher) reached(id state.Upstream) {
+func (d *dispatcher) markReachable(id state.Upstream) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picture.MarkReachable(d.now(), id)
+	d.loadView.MarkReachable(d.now(), id)
 }
 
-func (d *dispatcher) heardLoads(from state.Router, loads map[state.Upstream]placement.Load, full bool) {
+func (d *dispatcher) receiveLoads(from state.Router, loads map[state.Upstream]placement.Load, full bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picture.ReceiveLoads(d.now(), from, loads, full)
+	d.loadView.ReceiveLoads(d.now(), from, loads, full)
 }
 
 func (d *dispatcher) ownSpending() map[state.Workspace]shares.Usage {
@@ -80,34 +80,34 @@
 	return d.ledger.ReportedUsage(d.now())
 }
 
-func (d *dispatcher) heardSpending(from state.Router, usage map[state.Workspace]shares.Usage) {
+func (d *dispatcher) receiveSpending(from state.Router, usage map[state.Workspace]shares.Usage) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ledger.ReceiveUsage(d.now(), from, usage)
 }
 
-// spendingBeyond returns the counts of all routers on this side of a link.
-func (d *dispatcher) spendingBeyond(peer state.Router) map[state.Workspace]shares.Usage {
+// spendingForLink returns the counts of all routers on this side of a link.
+func (d *dispatcher) spendingForLink(peer state.Router) map[state.Workspace]shares.Usage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ledger.ReportedUsageExcluding(d.now(), peer)
 }
 
-// setRouters takes the number of live routers and forgets the work of those that
+// setLiveRouters takes the number of live routers and forgets the work of those that
 // went.
-func (d *dispatcher) setRouters(live int, gone []state.Router) {
+func (d *dispatcher) setLiveRouters(count int, removed []state.Router) {
 	d.mu.Lock()
-	d.routers = live
+	d.routerCount = count
 	d.mu.Unlock()
-	for _, router := range gone {
-		d.forget(router)
+	for _, router := range removed {
+		d.forgetPeer(router)
 	}
 }
 
-// forget drops what a peer told of work.
-func (d *dispatcher) forget(peer state.Router) {
+// forgetPeer drops what a peer told of work.
+func (d *dispatcher) forgetPeer(peer state.Router) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.picture.RemovePeer(peer)
+	d.loadView.RemovePeer(peer)
 	d.ledger.RemovePeer(peer)
 }
--- a/transport/edge/dispatcher_test.go
+++ b/transport/edge/dispatcher_test.go
@@ -18,44 +18,44 @@
 )
 
 // Guards against a request that crashes worker after worker, sent again at any router.
-func TestCrashingRequestIsBlockedAcrossRouters(t *testing.T) {
+func TestCrashingRequestIsQuarantinedAcrossRouters(t *testing.T) {
 	f, g := newFixture(), newFixture()
-	f.dispatcher.onLost = func(fp state.Fingerprint, run quarantine.Run) { g.dispatcher.heardLost(fp, run) }
-	g.dispatcher.onLost = func(fp state.Fingerprint, run quarantine.Run) { f.dispatcher.heardLost(fp, run) }
+	f.dispatcher.onLostRequest = func(fp state.Fingerprint, run quarantine.Run) { g.dispatcher.receiveLost(fp, run) }
+	g.dispatcher.onLostRequest = func(fp state.Fingerprint, run quarantine.Run) { f.dispatcher.receiveLost(fp, run) }
 	for _, name := range []string{"a", "b"} {
 		for _, x := range []*fixture{f, g} {
-			x.catalogue.take(KindUpstream, upstreamObject(name, 1, false), sourceStore)
+			x.catalogue.applyObject(KindUpstream, upstreamObject(name, 1, false), sourceStore)
 		}
 	}
-	lose := func(x *fixture, excluded ...state.Upstream) {
+	loseConnection := func(x *fixture, excluded ...state.Upstream) {
 		_, ticket := x.dispatcher.Admit(admission.Request{Work: placement.Work{Service: "s", Excluded: excluded}}, true)
-		x.dispatcher.Lost(7, ticket)
+		x.dispatcher.ReportLost(7, ticket)
 		x.dispatcher.End(ticket, placement.Broken)
-		x.catalogue.take(KindUpstream, removal(string(ticket.Upstream()), 2), sourceStore)
+		x.catalogue.applyObject(KindUpstream, removal(string(ticket.Upstream()), 2), sourceStore)
 	}
-	lose(f, "a")
-	require.False(t, g.dispatcher.Blocked(7))
-	lose(g, "b")
-	require.True(t, f.dispatcher.Blocked(7))
-	require.True(t, g.dispatcher.Blocked(7))
+	loseConnection(f, "a")
+	require.False(t, g.dispatcher.Quarantined(7))
+	loseConnection(g, "b")
+	require.True(t, f.dispatcher.Quarantined(7))
+	require.True(t, g.dispatcher.Quarantined(7))
 }
 
 // Guards against a popular page that is shut out because its answers are lost on their way.
-func TestLostAnswersShutNobodyOut(t *testing.T) {
+func TestLostAnswersDoNotQuarantine(t *testing.T) {
 	f := newFixture()
-	f.catalogue.take(KindUpstream, upstreamObject("a", 1, false), sourceStore)
-	f.catalogue.take(KindUpstream, upstreamObject("b", 2, false), sourceStore)
+	f.catalogue.applyObject(KindUpstream, upstreamObject("a", 1, false), sourceStore)
+	f.catalogue.applyObject(KindUpstream, upstreamObject("b", 2, false), sourceStore)
 	for range 6 {
 		_, ticket := f.dispatcher.Admit(admission.Request{Work: placement.Work{Service: "s"}}, true)
-		f.dispatcher.Lost(7, ticket)
+		f.dispatcher.ReportLost(7, ticket)
 		f.dispatcher.End(ticket, placement.Broken)
 	}
-	f.catalogue.take(KindUpstream, upstreamObject("a", 3, true), sourceStore)
-	require.False(t, f.dispatcher.Blocked(7))
+	f.catalogue.applyObject(KindUpstream, upstreamObject("a", 3, true), sourceStore)
+	require.False(t, f.dispatcher.Quarantined(7))
 }
 
 // Guards against a small VM that takes too much since streams count only when they end.
-func TestRequestsCountAsWorkOnArrival(t *testing.T) {
+func TestRequestsCountAsLoadOnArrival(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.pressure = newPressure(0, 0.2, frozen)
 	f.dispatcher.setUpstream("u", directory.Upstream{ID: "u", Service: "s", Slots: 100_000}, true)
@@ -63,9 +63,9 @@
 		for range 45 {
 			f.dispatcher.Admit(admission.Request{Work: placement.Work{Service: "s"}}, false)
 		}
-		f.dispatcher.pressure.observe(0, scanEvery)
+		f.dispatcher.pressure.observe(0, tickInterval)
 	}
-	require.True(t, f.dispatcher.pressure.busy.Load())
+	require.True(t, f.dispatcher.pressure.overloaded.Load())
 }
 
 // Guards against a router that refuses all in the end, or never, as streams are miscounted.
@@ -79,22 +79,22 @@
 		require.True(t, verdict.IsAdmitted())
 		return ticket
 	}
-	idle := f.dispatcher.pressure.work.ExpectedLoad()
+	idle := f.dispatcher.pressure.cpuEstimate.ExpectedLoad()
 	tickets := []*placement.Ticket{admit(), admit(), admit()}
-	require.Greater(t, f.dispatcher.pressure.work.ExpectedLoad(), idle)
-	f.dispatcher.Output(tickets[0], true)
-	f.dispatcher.Output(tickets[0], false)
+	require.Greater(t, f.dispatcher.pressure.cpuEstimate.ExpectedLoad(), idle)
+	f.dispatcher.ReportOutput(tickets[0], true)
+	f.dispatcher.ReportOutput(tickets[0], false)
 	f.dispatcher.End(tickets[0], placement.Answered)
 	f.dispatcher.End(tickets[1], placement.Withdrawn)
-	f.dispatcher.Output(tickets[2], true)
+	f.dispatcher.ReportOutput(tickets[2], true)
 	f.dispatcher.End(tickets[2], placement.Broken)
-	require.InDelta(t, idle, f.dispatcher.pressure.work.ExpectedLoad(), 1e-9)
+	require.InDelta(t, idle, f.dispatcher.pressure.cpuEstimate.ExpectedLoad(), 1e-9)
 }
 
-func TestReadinessAndClosing(t *testing.T) {
+func TestReadinessAndDraining(t *testing.T) {
 	f := newFixture()
 	require.False(t, f.dispatcher.ready(), "no configuration yet")
-	f.catalogue.take(KindConfig, configObject(1, 1), sourceStore)
+	f.catalogue.applyObject(KindConfig, configObject(1, 1), sourceStore)
 	require.True(t, f.dispatcher.ready())
 	f.dispatcher.settings.GracePeriod = 8 * time.Second
 	f.dispatcher.beginDrain()
@@ -106,7 +106,7 @@
 }
 
 // Guards against streams that a stopping router takes and then cuts off.
-func TestStoppingRouterTakesWhatCanEnd(t *testing.T) {
+func TestDrainingRouterAdmitsRequestsThatCanFinish(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.settings.GracePeriod = 8 * time.Second
 	f.dispatcher.setTable(routing.NewTable(routing.Config{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 64, CacheTokens: 1000}}}}))
@@ -123,51 +123,51 @@
 }
 
 // Guards against streams that are broken off where no other engine can go on with them.
-func TestStreamIsGivenUpOnlyIfItCanGoOnElsewhere(t *testing.T) {
+func TestStalledStreamIsCancelledOnlyIfItCanResumeElsewhere(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.settings.RetryWindow, f.dispatcher.settings.RetrySlack = 10*time.Second, 2
 	f.dispatcher.setTable(routing.NewTable(routing.Config{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 64, CacheTokens: 1000}}}}))
 	f.dispatcher.setUpstream("slow", directory.Upstream{ID: "slow", Service: "s", Slots: 64}, true)
-	begin := func() *int {
+	startStream := func() *int {
 		_, ticket := f.dispatcher.Admit(admission.Request{Work: placement.Work{Service: "s", Repeatable: true}}, false)
 		require.Equal(t, state.Upstream("slow"), ticket.Upstream())
-		f.dispatcher.Output(ticket, true)
-		givenUp := new(int)
-		f.dispatcher.Watch(ticket, func() { *givenUp++ })
-		return givenUp
+		f.dispatcher.ReportOutput(ticket, true)
+		cancelled := new(int)
+		f.dispatcher.OnStall(ticket, func() { *cancelled++ })
+		return cancelled
 	}
-	alone := begin()
+	onlyEngine := startStream()
 	f.clock.advance(2 * time.Second)
-	f.dispatcher.giveUpStalled()
-	require.Zero(t, *alone, "there is no other engine")
+	f.dispatcher.cancelStalled()
+	require.Zero(t, *onlyEngine, "there is no other engine")
 
 	f.dispatcher.setUpstream("other", directory.Upstream{ID: "other", Service: "s", Slots: 64}, true)
-	f.dispatcher.giveUpStalled()
-	require.Equal(t, 1, *alone)
+	f.dispatcher.cancelStalled()
+	require.Equal(t, 1, *onlyEngine)
 
-	f.dispatcher.picture.MarkReachable(f.clock.now(), "slow")
+	f.dispatcher.loadView.MarkReachable(f.clock.now(), "slow")
 	f.dispatcher.setUpstream("other", directory.Upstream{ID: "other", Service: "s", Slots: 64, Leaving: true}, true)
-	unpaid := begin()
+	withoutBudget := startStream()
 	f.dispatcher.setUpstream("other", directory.Upstream{ID: "other", Service: "s", Slots: 64}, true)
-	for f.dispatcher.Repeat("s") {
+	for f.dispatcher.SpendRetry("s") {
 	}
 	f.clock.advance(2 * time.Second)
-	f.dispatcher.giveUpStalled()
-	require.Zero(t, *unpaid, "the budget for retries is spent")
+	f.dispatcher.cancelStalled()
+	require.Zero(t, *withoutBudget, "the budget for retries is spent")
 }
 
 // Guards against connections closed, or kept, by another limit than the configuration's.
 func TestIdleLimitFollowsTheConfiguration(t *testing.T) {
 	f := newFixture()
-	require.Equal(t, defaultIdle, f.dispatcher.idleLimit())
+	require.Equal(t, defaultIdleTimeout, f.dispatcher.idleTimeout())
 	f.dispatcher.setTable(routing.NewTable(routing.Config{}))
-	require.Equal(t, defaultIdle, f.dispatcher.idleLimit())
+	require.Equal(t, defaultIdleTimeout, f.dispatcher.idleTimeout())
 	f.dispatcher.setTable(routing.NewTable(routing.Config{Limits: routing.Limits{IdleTimeout: 30 * time.Second}}))
-	require.Equal(t, 30*time.Second, f.dispatcher.idleLimit())
+	require.Equal(t, 30*time.Second, f.dispatcher.idleTimeout())
 }
 
 // Guards against a workspace with its full share that takes the last room of a router.
-func TestLittleRoomIsForWhoGotLittle(t *testing.T) {
+func TestLastCapacityIsKeptForWorkspacesBelowTheirShare(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.setTable(routing.NewTable(routing.Config{Version: 1, Limits: routing.Limits{Throughput: 100}}))
 	f.dispatcher.pressure = newPressure(0, 0.2, frozen)
@@ -176,18 +176,18 @@
 		f.dispatcher.ledger.RecordRequested(now, ws, 1000)
 	}
 	f.dispatcher.ledger.RecordAdmitted(now, "served", 180)
-	require.False(t, f.dispatcher.FullFor("served"), "there is room")
-	load(f.dispatcher.pressure, 0.8)
-	require.True(t, f.dispatcher.FullFor("served"))
-	require.False(t, f.dispatcher.FullFor("starved"))
-	require.False(t, f.dispatcher.FullFor(""), "plain requests are small")
-	require.False(t, f.dispatcher.Full())
-	load(f.dispatcher.pressure, 0.9)
-	require.True(t, f.dispatcher.Full())
+	require.False(t, f.dispatcher.AtCapacityFor("served"), "there is room")
+	applyLoad(f.dispatcher.pressure, 0.8)
+	require.True(t, f.dispatcher.AtCapacityFor("served"))
+	require.False(t, f.dispatcher.AtCapacityFor("starved"))
+	require.False(t, f.dispatcher.AtCapacityFor(""), "plain requests are small")
+	require.False(t, f.dispatcher.AtCapacity())
+	applyLoad(f.dispatcher.pressure, 0.9)
+	require.True(t, f.dispatcher.AtCapacity())
 }
 
 // Guards against a workspace that is refused for a share of engines that are down.
-func TestShareIsOfWhatBegan(t *testing.T) {
+func TestOnlyStartedAttemptsCountAgainstTheShare(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		begun   bool
@@ -215,7 +215,7 @@
 			require.Positive(t, use(), "until it is known")
 			f.clock.advance(500 * time.Millisecond)
 			if c.begun {
-				f.dispatcher.Output(ticket, true)
+				f.dispatcher.ReportOutput(ticket, true)
 			}
 			f.dispatcher.End(ticket, c.outcome)
 			f.clock.advance(500 * time.Millisecond)
@@ -226,16 +226,16 @@
 }
 
 // Guards against refusals that cost a router time which nothing counts.
-func TestRefusalsOfAllKindsAreCharged(t *testing.T) {
-	p := newPressure(0, smallVM, frozen)
+func TestEveryRefusalIsChargedToTheCPUBudget(t *testing.T) {
+	p := newPressure(0, smallVMCores, frozen)
 	o := observer{metrics: metrics.New("r", "dc"), pressure: p}
-	left := p.budget.RemainingFraction(frozen())
+	remaining := p.cpuBudget.RemainingFraction(frozen())
 	for _, code := range []result.Code{result.NotReady, result.BadRequest, result.UnknownService, result.Draining, result.OverShare} {
 		o.Finished(ingress.Record{Result: result.New(code, "")})
-		now := p.budget.RemainingFraction(frozen())
-		require.Less(t, now, left, code)
-		left = now
+		now := p.cpuBudget.RemainingFraction(frozen())
+		require.Less(t, now, remaining, code)
+		remaining = now
 	}
 	o.Finished(ingress.Record{Result: result.New(result.OK, ""), Attempts: 1})
-	require.InDelta(t, left, p.budget.RemainingFraction(frozen()), 0)
+	require.InDelta(t, remaining, p.cpuBudget.RemainingFraction(frozen()), 0)
 }
--- a/transport/edge/fakes_test.go
+++ b/transport/edge/fakes_test.go
@@ -99,4 +99,4 @@
 	return f
 }
 
-func (f *fixture) usable() int { return f.dispatcher.picture.CountUsable("s") }
+func (f *fixture) usableUpstreams() int { return f.dispatcher.loadView.CountUsable("s") }
--- a/transport/edge/figures_test.go
+++ b/transport/edge/figures_test.go
@@ -15,10 +15,10 @@
 func TestAgesOfViews(t *testing.T) {
 	f := newFixture()
 	require.Zero(t, f.dispatcher.viewAges())
-	f.dispatcher.confirm()
-	f.dispatcher.heardLoads("r2", map[state.Upstream]placement.Load{}, true)
+	f.dispatcher.confirmConfig()
+	f.dispatcher.receiveLoads("r2", map[state.Upstream]placement.Load{}, true)
 	f.clock.advance(2 * time.Second)
-	f.dispatcher.heardLoads("r3", map[state.Upstream]placement.Load{}, true)
+	f.dispatcher.receiveLoads("r3", map[state.Upstream]placement.Load{}, true)
 	f.clock.advance(time.Second)
 	require.Equal(t, viewAges{configuration: 3 * time.Second, loads: 3 * time.Second}, f.dispatcher.viewAges())
 }
--- a/transport/edge/fleet.go
+++ b/transport/edge/fleet.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// scanEvery is the period of the fleet's own work.
-	scanEvery = 100 * time.Millisecond
-	// aliveEvery is how long a router says nothing if nothing has changed.
-	aliveEvery = 400 * time.Millisecond
-	// loadsEvery is the period at which peers hear of this router's load. Ten
+	// tickInterval is the period of the fleet's own work.
+	tickInterval = 100 * time.Millisecond
+	// heartbeatInterval is how long a router says nothing if nothing has changed.
+	heartbeatInterval = 400 * time.Millisecond
+	// loadsInterval is the period at which peers hear of this router's load. Ten
 	// times a second leaves two requests per engine unseen at twenty requests
 	// a second each.
-	loadsEvery = 100 * time.Millisecond
-	// sumsEvery is the period at which the peer of a link hears all sums anew,
+	loadsInterval = 100 * time.Millisecond
+	// fullSumsInterval is the period at which the peer of a link hears all sums anew,
 	// those of upstreams included that one side did not know before.
-	sumsEvery = 2 * time.Second
-	// urgentGap bounds how often long prompts make this router tell its load,
+	fullSumsInterval = 2 * time.Second
+	// minUrgentGap bounds how often long prompts make this router tell its load,
 	// before its turn. In a tree the same goes for what others' links bring, and
 	// linkGap for each link of this router if that is more, so that a router
 	// with many does not spend more on them than one with few.
-	urgentGap = 20 * time.Millisecond
-	linkGap   = 2500 * time.Microsecond
-	// longPrompt is the number of tokens that keeps an engine from other
+	minUrgentGap     = 20 * time.Millisecond
+	urgentGapPerLink = 2500 * time.Microsecond
+	// longPromptTokens is the number of tokens that keeps an engine from other
 	// prompts for so long that peers must not wait to hear of it: some fifty
 	// milliseconds.
-	longPrompt = 3000
-	// spendingEvery is the same for workspaces, whose shares are measured
+	longPromptTokens = 3000
+	// spendingInterval is the same for workspaces, whose shares are measured
 	// over seconds.
-	spendingEvery = 250 * time.Millisecond
-	// lateScan is a delay of the ticker that tells of a pause of the process
+	spendingInterval = 250 * time.Millisecond
+	// maxTickDelay is a delay of the ticker that tells of a pause of the process
 	// or a busy processor; catchUp is how long what waited then may take to
 	// be read.
-	lateScan = 3 * scanEvery
-	catchUp  = time.Second
+	maxTickDelay = 3 * tickInterval
+	resumeGrace  = time.Second
 )
 
 // sender takes messages for peers and returns at once; a message to a peer
@@ -59,11 +59,11 @@
 
 var _ sender = (*peer.Mesh)(nil)
 
-// readerWord is a peer's last word that it reads the store.
-type readerWord struct {
-	heard time.Time
-	// upstreams is the digest of those that it holds.
-	upstreams uint64
+// readerClaim is a peer's last word that it reads the store.
+type readerClaim struct {
+	receivedAt time.Time
+	// upstreamDigest is the digest of those that it holds.
+	upstreamDigest uint64
 }
 
 // fleet talks with the peers.
@@ -75,46 +75,46 @@
 	log        zerolog.Logger
 	now        func() time.Time
 
-	// readDelay is how long after its start the router does not read the store.
-	readDelay time.Duration
-	started   time.Time
+	// storeReadDelay is how long after its start the router does not read the store.
+	storeReadDelay time.Duration
+	startedAt      time.Time
 
 	mu sync.Mutex
 	// overlay decides on sessions and links, live are the routers that it
 	// knows to live.
-	overlay *overlay.Overlay
-	live    []scheduler.Peer
-	// links are what waits to be told over links.
-	links map[state.Router]*outbox
-	// names are the upstreams that peers have numbered in their messages.
-	names  map[state.Router]names
-	claims map[state.Router]readerWord
-	// answered is when the store last answered this router, failed when a
+	overlay   *overlay.Overlay
+	livePeers []scheduler.Peer
+	// linkOutboxes are what waits to be told over links.
+	linkOutboxes map[state.Router]*outbox
+	// peerNames are the upstreams that peers have numbered in their messages.
+	peerNames    map[state.Router]upstreamNames
+	readerClaims map[state.Router]readerClaim
+	// lastAnswer is when the store last answered this router, failed when a
 	// call last failed; each kind is followed by itself.
-	answered time.Time
-	failed   time.Time
-	// reading is set while this router reads the store.
-	reading bool
-	// aloneSince is when a peer last said that it reads the store.
-	aloneSince time.Time
-	catchUp    exchange.CatchUp
-	fetch      exchange.Fetch
+	lastAnswer  time.Time
+	lastFailure time.Time
+	// readingStore is set while this router reads the store.
+	readingStore bool
+	// noReaderSince is when a peer last said that it reads the store.
+	noReaderSince time.Time
+	catchUp       exchange.CatchUp
+	fetch         exchange.Fetch
 	// caughtUp is set once a peer has told all that it holds: what other answers
 	// bring that is new is told to the other links.
 	caughtUp bool
-	// scanned is when stalled requests were last looked for, resumed when
+	// lastTick is when stalled requests were last looked for, resumed when
 	// that was last late; used by run alone.
-	scanned time.Time
-	resumed time.Time
+	lastTick  time.Time
+	resumedAt time.Time
 }
 
 func newFleet(self scheduler.Peer, dispatcher *dispatcher, catalogue *catalogue, log zerolog.Logger, now func() time.Time) *fleet {
 	f := &fleet{
-		self: self, dispatcher: dispatcher, catalogue: catalogue, log: log, now: now, started: now(),
-		claims: make(map[state.Router]readerWord), links: make(map[state.Router]*outbox), names: make(map[state.Router]names),
+		self: self, dispatcher: dispatcher, catalogue: catalogue, log: log, now: now, startedAt: now(),
+		readerClaims: make(map[state.Router]readerClaim), linkOutboxes: make(map[state.Router]*outbox), peerNames: make(map[state.Router]upstreamNames),
 	}
 	f.join(membership.Member{Router: self.Router, DataCentre: self.DataCentre, Incarnation: self.Incarnation})
-	dispatcher.onLost = f.sendLost
+	dispatcher.onLostRequest = f.sendLostRequest
 	return f
 }
 
@@ -123,57 +123,57 @@
 func (f *fleet) join(self membership.Member) {
 	f.self.Incarnation = self.Incarnation
 	f.overlay = overlay.New(self)
-	f.live = f.overlay.LiveRouters()
+	f.livePeers = f.overlay.LiveRouters()
 }
 
-func (f *fleet) onAnswer() {
+func (f *fleet) onStoreAnswer() {
 	f.mu.Lock()
-	f.answered = f.now()
+	f.lastAnswer = f.now()
 	f.mu.Unlock()
-	f.dispatcher.confirm()
+	f.dispatcher.confirmConfig()
 }
 
-func (f *fleet) onFailure() {
+func (f *fleet) onStoreFailure() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.failed = f.now()
+	f.lastFailure = f.now()
 }
 
-// claim says whether this router may tell peers that it follows the store.
-func (f *fleet) claim() bool {
+// mayClaimReading says whether this router may tell peers that it follows the store.
+func (f *fleet) mayClaimReading() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.reading && !f.answered.IsZero() && f.answered.After(f.failed) && f.now().Sub(f.answered) <= readHealthy
+	return f.readingStore && !f.lastAnswer.IsZero() && f.lastAnswer.After(f.lastFailure) && f.now().Sub(f.lastAnswer) <= readingClaimedFor
 }
 
-// giveUpStalled skips a round after a pause of this process, in which every
+// checkStalled skips a round after a pause of this process, in which every
 // upstream looks silent: what they sent meanwhile has yet to be read.
-func (f *fleet) giveUpStalled() {
+func (f *fleet) checkStalled() {
 	now := f.now()
-	if f.scanned.IsZero() {
-		f.scanned = now
+	if f.lastTick.IsZero() {
+		f.lastTick = now
 	}
-	late := now.Sub(f.scanned)
-	f.scanned = now
-	f.watchPressure(late)
-	if late > lateScan {
-		f.resumed = now
+	sinceLastTick := now.Sub(f.lastTick)
+	f.lastTick = now
+	f.updatePressure(sinceLastTick)
+	if sinceLastTick > maxTickDelay {
+		f.resumedAt = now
 	}
-	if now.Sub(f.resumed) < catchUp {
+	if now.Sub(f.resumedAt) < resumeGrace {
 		return
 	}
-	if n := f.dispatcher.giveUpStalled(); n > 0 {
+	if n := f.dispatcher.cancelStalled(); n > 0 {
 		f.log.Warn().Int("requests", n).Msg("stalled requests given up")
 	}
 }
 
-// watchPressure logs when the router becomes busy or calm.
-func (f *fleet) watchPressure(sinceScan time.Duration) {
+// updatePressure logs when the router becomes busy or calm.
+func (f *fleet) updatePressure(sinceLastTick time.Duration) {
 	p := f.dispatcher.pressure
-	busy, changed := p.observe(min(max(sinceScan-scanEvery, 0), time.Second), sinceScan)
+	overloaded, changed := p.observe(min(max(sinceLastTick-tickInterval, 0), time.Second), sinceLastTick)
 	if changed {
-		f.log.Warn().Bool("busy", busy).Int64("callers", p.callers.Load()).Int64("upstreams", p.upstreams.Load()).
-			Dur("lag", time.Duration(p.lag.Load())).Float64("processor", p.work.ExpectedLoad()).
-			Int64("shed", p.work.Totals().Shed).Msg("pressure changed")
+		f.log.Warn().Bool("busy", overloaded).Int64("callers", p.callerConns.Load()).Int64("upstreams", p.upstreamConns.Load()).
+			Dur("lag", time.Duration(p.tickLag.Load())).Float64("processor", p.cpuEstimate.ExpectedLoad()).
+			Int64("shed", p.cpuEstimate.Totals().Shed).Msg("pressure changed")
 	}
 }
--- a/transport/edge/fleet_test.go
+++ b/transport/edge/fleet_test.go
@@ -17,19 +17,19 @@
 
 func (f *fixture) fleet(name state.Router) *fleet {
 	fleet := newFleet(scheduler.Peer{Router: name}, f.dispatcher, f.catalogue, zerolog.Nop(), f.clock.now)
-	fleet.mesh = nobody{}
+	fleet.mesh = discardSender{}
 	return fleet
 }
 
-// nobody takes messages that no test looks at.
-type nobody struct{}
+// discardSender takes messages that no test looks at.
+type discardSender struct{}
 
-func (nobody) Send(state.Router, *peerpb.Envelope) bool  { return false }
-func (nobody) SendEach([]state.Router, *peerpb.Envelope) {}
-func (nobody) Select(membership.SelectionChanged)        {}
-func (nobody) Drop(state.Router)                         {}
+func (discardSender) Send(state.Router, *peerpb.Envelope) bool  { return false }
+func (discardSender) SendEach([]state.Router, *peerpb.Envelope) {}
+func (discardSender) Select(membership.SelectionChanged)        {}
+func (discardSender) Drop(state.Router)                         {}
 
-func live(n int) []scheduler.Peer {
+func peersNamed(n int) []scheduler.Peer {
 	var peers []scheduler.Peer
 	for i := range n {
 		peers = append(peers, scheduler.Peer{Router: state.Router(fmt.Sprintf("r%02d", i))})
@@ -48,16 +48,16 @@
 		f.clock = clock
 		one := f.fleet(state.Router(fmt.Sprintf("r%02d", i)))
 		one.now = clock.now
-		one.onPeers(live(routers))
+		one.onPeers(peersNamed(routers))
 		fleets = append(fleets, one)
 	}
 	for range 10 {
-		clock.advance(scanEvery)
+		clock.advance(tickInterval)
 		for i, from := range fleets {
-			if from.reads() {
-				from.onAnswer()
+			if from.shouldReadStore() {
+				from.onStoreAnswer()
 			}
-			claim := from.claim()
+			claim := from.mayClaimReading()
 			for j, to := range fleets {
 				if i != j {
 					to.onReading(from.self.Router, &peerpb.Reading{Store: claim})
@@ -67,11 +67,11 @@
 	}
 	reading := 0
 	for _, f := range fleets {
-		if f.reads() {
+		if f.shouldReadStore() {
 			reading++
 		}
 	}
-	require.Equal(t, readers, reading)
+	require.Equal(t, targetReaders, reading)
 }
 
 // The routers that read the store lose power: no reset, no word. The others
@@ -79,36 +79,36 @@
 func TestSilentReadersAreReplaced(t *testing.T) {
 	f := newFixture()
 	fleet := f.fleet("r09")
-	fleet.onPeers(live(10))
-	for i := range readers {
+	fleet.onPeers(peersNamed(10))
+	for i := range targetReaders {
 		fleet.onReading(state.Router(fmt.Sprintf("r%02d", i)), &peerpb.Reading{Store: true})
 	}
-	require.False(t, fleet.reads())
+	require.False(t, fleet.shouldReadStore())
 	f.clock.advance(claimExpiry + time.Millisecond)
-	fleet.reads()
-	f.clock.advance(aloneFor)
-	require.True(t, fleet.reads())
+	fleet.shouldReadStore()
+	f.clock.advance(noReaderTimeout)
+	require.True(t, fleet.shouldReadStore())
 }
 
 // The store is away from all. A few routers look for its return eagerly, the
 // others now and then: each call is paid for.
-func TestFewRoutersCallAStoreThatIsAway(t *testing.T) {
-	early, late := newFixture(), newFixture()
-	first, last := early.fleet("r00"), late.fleet("r09")
-	for _, f := range []*fixture{early, late} {
-		f.catalogue.take(KindConfig, configObject(1, 1), sourceStore)
+func TestFewRoutersCallAnUnavailableStore(t *testing.T) {
+	firstFixture, lastFixture := newFixture(), newFixture()
+	first, last := firstFixture.fleet("r00"), lastFixture.fleet("r09")
+	for _, f := range []*fixture{firstFixture, lastFixture} {
+		f.catalogue.applyObject(KindConfig, configObject(1, 1), sourceStore)
 	}
-	first.onPeers(live(10))
-	last.onPeers(live(10))
-	require.Equal(t, firstRetry, first.retryPause(firstRetry))
-	require.GreaterOrEqual(t, last.retryPause(firstRetry), lateRetry/2)
-	require.True(t, first.reads())
-	require.False(t, last.reads())
-	late.clock.advance(aloneFor)
-	require.True(t, last.reads(), "nobody says that it reads")
+	first.onPeers(peersNamed(10))
+	last.onPeers(peersNamed(10))
+	require.Equal(t, minRetryDelay, first.retryDelay(minRetryDelay))
+	require.GreaterOrEqual(t, last.retryDelay(minRetryDelay), nonReaderRetryDelay/2)
+	require.True(t, first.shouldReadStore())
+	require.False(t, last.shouldReadStore())
+	lastFixture.clock.advance(noReaderTimeout)
+	require.True(t, last.shouldReadStore(), "nobody says that it reads")
 	empty := newFixture().fleet("r09")
-	empty.onPeers(live(10))
-	require.True(t, empty.reads(), "who holds nothing does not wait")
+	empty.onPeers(peersNamed(10))
+	require.True(t, empty.shouldReadStore(), "who holds nothing does not wait")
 }
 
 // A router starts in a running fleet. It gives its peers a moment to tell it all
@@ -116,60 +116,60 @@
 // first time; only seeds read at once.
 func TestStartingRouterWaitsForItsPeers(t *testing.T) {
 	settings := Settings{Addresses: Addresses{Peers: "10.0.0.9:1"}, Seeds: []string{"10.0.0.1:1"}}
-	require.Equal(t, startReadDelay, readDelay(settings))
+	require.Equal(t, startReadDelay, storeReadDelay(settings))
 	f := newFixture()
 	fleet := f.fleet("r00")
-	fleet.readDelay = readDelay(settings)
-	require.False(t, fleet.reads())
+	fleet.storeReadDelay = storeReadDelay(settings)
+	require.False(t, fleet.shouldReadStore())
 	f.clock.advance(startReadDelay)
-	require.True(t, fleet.reads(), "nobody told it")
+	require.True(t, fleet.shouldReadStore(), "nobody told it")
 	settings.FirstStart = true
-	require.Equal(t, firstReadDelay, readDelay(settings))
+	require.Equal(t, firstStartReadDelay, storeReadDelay(settings))
 	settings.Seeds = []string{"10.0.0.9:1"}
-	require.Zero(t, readDelay(settings))
-	require.Zero(t, readDelay(Settings{}))
+	require.Zero(t, storeReadDelay(settings))
+	require.Zero(t, storeReadDelay(Settings{}))
 }
 
 // The store turns this router away. It must not tell peers that it follows the
 // store, or they would rely on it.
-func TestRouterThatIsTurnedAwayDoesNotClaim(t *testing.T) {
+func TestRouterRejectedByTheStoreDoesNotClaimToRead(t *testing.T) {
 	f := newFixture()
 	fleet := f.fleet("r00")
-	require.True(t, fleet.reads())
-	require.False(t, fleet.claim(), "no answer yet")
+	require.True(t, fleet.shouldReadStore())
+	require.False(t, fleet.mayClaimReading(), "no answer yet")
 	f.clock.advance(time.Second)
-	fleet.onAnswer()
-	require.True(t, fleet.claim())
+	fleet.onStoreAnswer()
+	require.True(t, fleet.mayClaimReading())
 	f.clock.advance(time.Millisecond)
-	fleet.onFailure()
-	require.False(t, fleet.claim())
+	fleet.onStoreFailure()
+	require.False(t, fleet.mayClaimReading())
 }
 
 // A configuration and a leaving upstream reach a router that the store turns
 // away through a peer; so does the word that the peer's view is the newest.
-func TestPeersTellWhatTheStoreDoesNot(t *testing.T) {
+func TestPeersProvideWhatTheStoreDoesNot(t *testing.T) {
 	f := newFixture()
 	fleet := f.fleet("r00")
 	from := peer.Peer{Router: "r01"}
 	fleet.onEnvelope(from, objectEnvelope(KindConfig, configObject(5, 2)))
 	fleet.onEnvelope(from, objectEnvelope(KindUpstream, upstreamObject("u", 6, false)))
 	require.EqualValues(t, 2, f.dispatcher.Table().Version())
-	require.Equal(t, 1, f.usable())
-	require.True(t, f.dispatcher.Current(), "it has just read the store")
-	f.clock.advance(currentWithin + time.Second)
-	require.False(t, f.dispatcher.Current())
+	require.Equal(t, 1, f.usableUpstreams())
+	require.True(t, f.dispatcher.ConfigCurrent(), "it has just read the store")
+	f.clock.advance(configCurrentFor + time.Second)
+	require.False(t, f.dispatcher.ConfigCurrent())
 	fleet.onEnvelope(from, fleet.readingEnvelope(true))
-	require.True(t, f.dispatcher.Current())
+	require.True(t, f.dispatcher.ConfigCurrent())
 	fleet.onEnvelope(from, objectEnvelope(KindUpstream, removal("u", 7)))
-	require.Zero(t, f.usable())
-	f.clock.advance(currentWithin + time.Second)
-	require.False(t, f.dispatcher.Current())
+	require.Zero(t, f.usableUpstreams())
+	f.clock.advance(configCurrentFor + time.Second)
+	require.False(t, f.dispatcher.ConfigCurrent())
 }
 
 // A router starts and learns the configuration from a peer. A caller with an
 // unknown key must not be put off, if that peer follows the store; if it does
 // not, the key may be one that was added meanwhile.
-func TestAnswerOfAReaderIsTheNewest(t *testing.T) {
+func TestCatalogueFromAReaderIsCurrent(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		f := newFixture()
 		fleet := f.fleet("r00")
@@ -177,24 +177,24 @@
 		answer.GetConfigObject().Answer = true
 		from := peer.Peer{Router: "r01"}
 		fleet.onEnvelope(from, answer)
-		require.False(t, f.dispatcher.Current())
+		require.False(t, f.dispatcher.ConfigCurrent())
 		fleet.onEnvelope(from, &peerpb.Envelope{Body: &peerpb.Envelope_CatalogueEnd{
 			CatalogueEnd: &peerpb.CatalogueEnd{Holds: true, ReadsStore: reads},
 		}})
-		require.Equal(t, reads, f.dispatcher.Current())
+		require.Equal(t, reads, f.dispatcher.ConfigCurrent())
 	}
 }
 
 // This process stood still for two seconds. All upstreams look silent then,
 // and the requests on them must not be given up for that.
-func TestNothingIsGivenUpAfterAPause(t *testing.T) {
+func TestNothingIsCancelledAfterAPause(t *testing.T) {
 	f := newFixture()
 	fleet := f.fleet("r00")
-	fleet.giveUpStalled()
-	f.clock.advance(scanEvery)
-	fleet.giveUpStalled()
-	require.Zero(t, fleet.resumed)
+	fleet.checkStalled()
+	f.clock.advance(tickInterval)
+	fleet.checkStalled()
+	require.Zero(t, fleet.resumedAt)
 	f.clock.advance(2 * time.Second)
-	fleet.giveUpStalled()
-	require.Equal(t, f.clock.now(), fleet.resumed)
+	fleet.checkStalled()
+	require.Equal(t, f.clock.now(), fleet.resumedAt)
 }
--- a/transport/edge/flood_test.go
+++ b/transport/edge/flood_test.go
@@ -12,20 +12,20 @@
 
 // What a small VM's processor spends, and the streams that it relays.
 const (
-	floodAccept  = 16 * time.Microsecond
-	floodListen  = 40 * time.Microsecond
-	floodRead    = 60 * time.Microsecond
-	floodRefuse  = 70 * time.Microsecond
-	floodRequest = 340 * time.Microsecond
-	floodEvent   = 25 * time.Microsecond
-
-	floodEvents     = 25
-	floodFirst      = 150 * time.Millisecond
-	floodPause      = 40 * time.Millisecond
-	floodLongest    = 300 * time.Millisecond
-	floodPauseLimit = 2 * time.Second
-	floodTime       = 6 * time.Second
-	floodSettle     = 2 * time.Second
+	floodAcceptCost  = 16 * time.Microsecond
+	floodListenCost  = 40 * time.Microsecond
+	floodReadCost    = 60 * time.Microsecond
+	floodRefuseCost  = 70 * time.Microsecond
+	floodRequestCost = 340 * time.Microsecond
+	floodEventCost   = 25 * time.Microsecond
+
+	floodStreamEvents = 25
+	floodFirstEvent   = 150 * time.Millisecond
+	floodEventGap     = 40 * time.Millisecond
+	floodOnTimeGap    = 300 * time.Millisecond
+	floodAbortGap     = 2 * time.Second
+	floodDuration     = 6 * time.Second
+	floodWarmUp       = 2 * time.Second
 )
 
 // floodedVM plays a router on a processor that runs what waits for it in order of
@@ -33,17 +33,17 @@
 type floodedVM struct {
 	p   *pressure
 	now time.Time
-	// queue is what waits for the processor, timers what waits for its time.
-	queue  []func()
-	timers []floodTimer
+	// cpuQueue is what waits for the processor, timers what waits for its time.
+	cpuQueue []func()
+	timers   []floodTimer
 	// backlog are connections that were not accepted yet.
 	backlog   int
 	accepting bool
-	// paused is set while the port is closed.
-	paused bool
-	// overShare is the part of requests that are refused for their share.
-	overShare float64
-	draw      *rand.Rand
+	// portClosed is set while the port is closed.
+	portClosed bool
+	// overShareFraction is the part of requests that are refused for their share.
+	overShareFraction float64
+	random            *rand.Rand
 	// onTime counts streams that were relayed without a long pause, admitted all.
 	onTime, admitted int
 }
@@ -54,14 +54,14 @@
 }
 
 func newFloodedVM(overShare float64) *floodedVM {
-	vm := &floodedVM{now: frozen(), overShare: overShare, draw: rand.New(rand.NewPCG(5, 5))}
-	vm.p = newPressure(0, smallVM, func() time.Time { return vm.now })
+	vm := &floodedVM{now: frozen(), overShareFraction: overShare, random: rand.New(rand.NewPCG(5, 5))}
+	vm.p = newPressure(0, smallVMCores, func() time.Time { return vm.now })
 	return vm
 }
 
-// spend lets the processor work for a time of a whole core.
-func (vm *floodedVM) spend(cost time.Duration) {
-	vm.now = vm.now.Add(time.Duration(float64(cost) / smallVM))
+// useCPU lets the processor work for a time of a whole core.
+func (vm *floodedVM) useCPU(cost time.Duration) {
+	vm.now = vm.now.Add(time.Duration(float64(cost) / smallVMCores))
 }
 
 func (vm *floodedVM) at(at time.Time, do func()) {
@@ -69,7 +69,7 @@
 	vm.timers = slices.Insert(vm.timers, i, floodTimer{at, do})
 }
 
-func (vm *floodedVM) ready(task func()) { vm.queue = append(vm.queue, task) }
+func (vm *floodedVM) enqueue(task func()) { vm.cpuQueue = append(vm.cpuQueue, task) }
 
 // run plays until a time.
 func (vm *floodedVM) run(until time.Time) {
@@ -80,9 +80,9 @@
 			due.do()
 		}
 		switch {
-		case len(vm.queue) > 0:
-			task := vm.queue[0]
-			vm.queue = vm.queue[1:]
+		case len(vm.cpuQueue) > 0:
+			task := vm.cpuQueue[0]
+			vm.cpuQueue = vm.cpuQueue[1:]
 			task()
 		case len(vm.timers) > 0:
 			vm.now = vm.timers[0].at
@@ -94,120 +94,120 @@
 
 // connect has a connection arrive.
 func (vm *floodedVM) connect() {
-	if vm.paused {
+	if vm.portClosed {
 		return
 	}
 	vm.backlog++
 	if !vm.accepting {
 		vm.accepting = true
-		vm.ready(vm.accept)
+		vm.enqueue(vm.accept)
 	}
 }
 
 // accept takes what has arrived, as an accepting loop does that never has to wait.
 func (vm *floodedVM) accept() {
 	for ; vm.backlog > 0; vm.backlog-- {
-		vm.spend(floodAccept)
-		if !vm.p.take() {
-			vm.pause()
+		vm.useCPU(floodAcceptCost)
+		if !vm.p.admitConn() {
+			vm.closePort()
 			return
 		}
 		accepted := vm.now
-		vm.ready(func() { vm.read(accepted) })
+		vm.enqueue(func() { vm.read(accepted) })
 	}
 	vm.accepting = false
 }
 
-// pause closes the port, with what has not been accepted, until there is room.
-func (vm *floodedVM) pause() {
-	vm.paused, vm.accepting, vm.backlog = true, false, 0
-	var look func()
-	look = func() {
-		if !vm.p.hasRoom() {
-			vm.at(vm.now.Add(roomPoll), func() { vm.ready(look) })
+// closePort closes the port, with what has not been accepted, until there is room.
+func (vm *floodedVM) closePort() {
+	vm.portClosed, vm.accepting, vm.backlog = true, false, 0
+	var reopen func()
+	reopen = func() {
+		if !vm.p.canReopen() {
+			vm.at(vm.now.Add(capacityPollInterval), func() { vm.enqueue(reopen) })
 			return
 		}
-		vm.spend(floodListen)
-		vm.paused = false
+		vm.useCPU(floodListenCost)
+		vm.portClosed = false
 	}
-	vm.ready(look)
+	vm.enqueue(reopen)
 }
 
 func (vm *floodedVM) read(accepted time.Time) {
-	vm.p.arrivals.read(accepted)
-	vm.spend(floodRead)
+	vm.p.readDelay.recordFirstRead(accepted)
+	vm.useCPU(floodReadCost)
 	switch {
-	case vm.p.full():
-		vm.p.refused()
-		vm.spend(floodRefuse)
-	case vm.draw.Float64() < vm.overShare:
-		vm.p.refused()
-		vm.spend(floodRefuse)
+	case vm.p.atCapacity():
+		vm.p.countRefusal()
+		vm.useCPU(floodRefuseCost)
+	case vm.random.Float64() < vm.overShareFraction:
+		vm.p.countRefusal()
+		vm.useCPU(floodRefuseCost)
 	default:
-		vm.p.requested(true)
-		vm.spend(floodRequest)
+		vm.p.countRequest(true)
+		vm.useCPU(floodRequestCost)
 		vm.stream()
 	}
 }
 
 // stream relays an answer whose events come steadily.
 func (vm *floodedVM) stream() {
-	inTime := vm.now.Sub(frozen()) >= floodSettle
-	if inTime {
+	afterWarmUp := vm.now.Sub(frozen()) >= floodWarmUp
+	if afterWarmUp {
 		vm.admitted++
 	}
-	begun := vm.now
-	longest, passed := time.Duration(0), begun.Add(floodFirst)
+	started := vm.now
+	longestGap, lastEventAt := time.Duration(0), started.Add(floodFirstEvent)
 	var event func(n int)
 	event = func(n int) {
-		vm.spend(floodEvent)
-		longest = max(longest, vm.now.Sub(passed))
-		passed = vm.now
+		vm.useCPU(floodEventCost)
+		longestGap = max(longestGap, vm.now.Sub(lastEventAt))
+		lastEventAt = vm.now
 		if n == 0 {
-			vm.p.work.StreamStarted()
+			vm.p.cpuEstimate.StreamStarted()
 		} else {
-			vm.p.work.AddEvent()
+			vm.p.cpuEstimate.AddEvent()
 		}
-		if n+1 == floodEvents || longest > floodPauseLimit {
-			vm.p.streamEnded(true, n+1)
-			if inTime && longest <= floodLongest {
+		if n+1 == floodStreamEvents || longestGap > floodAbortGap {
+			vm.p.countStreamEnd(true, n+1)
+			if afterWarmUp && longestGap <= floodOnTimeGap {
 				vm.onTime++
 			}
 			return
 		}
-		due := begun.Add(floodFirst + time.Duration(n+1)*floodPause)
-		vm.at(due, func() { vm.ready(func() { event(n + 1) }) })
+		due := started.Add(floodFirstEvent + time.Duration(n+1)*floodEventGap)
+		vm.at(due, func() { vm.enqueue(func() { event(n + 1) }) })
 	}
-	vm.at(passed, func() { vm.ready(func() { event(0) }) })
+	vm.at(lastEventAt, func() { vm.enqueue(func() { event(0) }) })
 }
 
 // observe is the router's periodic task.
 func (vm *floodedVM) observe(due time.Time) {
-	last := due.Add(-scanEvery)
-	vm.ready(func() {
+	last := due.Add(-tickInterval)
+	vm.enqueue(func() {
 		vm.p.observe(vm.now.Sub(due), vm.now.Sub(last))
-		vm.at(due.Add(scanEvery), func() { vm.observe(due.Add(scanEvery)) })
+		vm.at(due.Add(tickInterval), func() { vm.observe(due.Add(tickInterval)) })
 	})
 }
 
-// flood plays connections that arrive at a rate, and returns the streams a second
+// simulate plays connections that arrive at a rate, and returns the streams a second
 // that were relayed on time after the first seconds.
-func (vm *floodedVM) flood(perSecond float64) float64 {
+func (vm *floodedVM) simulate(perSecond float64) float64 {
 	start := vm.now
-	for at := time.Duration(0); at < floodTime; {
-		at += time.Duration(vm.draw.ExpFloat64() / perSecond * float64(time.Second))
+	for at := time.Duration(0); at < floodDuration; {
+		at += time.Duration(vm.random.ExpFloat64() / perSecond * float64(time.Second))
 		vm.at(start.Add(at), vm.connect)
 	}
-	vm.observe(start.Add(scanEvery))
-	vm.run(start.Add(floodTime + 4*time.Second))
-	return float64(vm.onTime) / (floodTime - floodSettle).Seconds()
+	vm.observe(start.Add(tickInterval))
+	vm.run(start.Add(floodDuration + 4*time.Second))
+	return float64(vm.onTime) / (floodDuration - floodWarmUp).Seconds()
 }
 
 // Guards against a small VM that reads and refuses a flood instead of relaying what
 // it admitted.
-func TestFloodedRouterRelays(t *testing.T) {
-	const stream = floodAccept + floodRead + floodRequest + floodEvents*floodEvent
-	possible := smallVM / stream.Seconds()
+func TestFloodedRouterStillRelaysStreams(t *testing.T) {
+	const stream = floodAcceptCost + floodReadCost + floodRequestCost + floodStreamEvents*floodEventCost
+	possible := smallVMCores / stream.Seconds()
 	for _, c := range []struct {
 		name      string
 		perSecond float64
@@ -221,9 +221,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			vm := newFloodedVM(c.overShare)
-			relayed := vm.flood(c.perSecond)
+			relayed := vm.simulate(c.perSecond)
 			t.Logf("%.0f streams a second on time of %.0f admitted, %.0f possible",
-				relayed, float64(vm.admitted)/(floodTime-floodSettle).Seconds(), possible)
+				relayed, float64(vm.admitted)/(floodDuration-floodWarmUp).Seconds(), possible)
 			require.Greater(t, relayed, possible/2)
 		})
 	}
--- a/transport/edge/follower.go
+++ b/transport/edge/follower.go
@@ -17,58 +17,58 @@
 	// good; a new call on a new connection then finds out, well within the
 	// seconds in which a configuration must be in force.
 	watchWait = 1500 * time.Millisecond
-	// upstreamPause gathers changes of upstreams into one call. Each
+	// upstreamWatchInterval gathers changes of upstreams into one call. Each
 	// upstream changes its entry about once a second, so that without a
 	// pause each router would make a call for each of them. A leaving
 	// upstream is still seen well within the two seconds it is given.
-	upstreamPause = 500 * time.Millisecond
-	// configPause keeps a storm of configurations to ten calls a second.
-	configPause = 100 * time.Millisecond
-	// idlePause is how often a router that does not read looks whether it
+	upstreamWatchInterval = 500 * time.Millisecond
+	// configWatchInterval keeps a storm of configurations to ten calls a second.
+	configWatchInterval = 100 * time.Millisecond
+	// readerCheckInterval is how often a router that does not read looks whether it
 	// should.
-	idlePause = 100 * time.Millisecond
+	readerCheckInterval = 100 * time.Millisecond
 	// callTimeout bounds a call beyond the time it may wait by itself. The
 	// store answers within some ms; slow, within a third of a second.
 	callTimeout = 1200 * time.Millisecond
-	// firstRetry and lastRetry bound the back-off after failed calls. The
+	// minRetryDelay and lastRetry bound the back-off after failed calls. The
 	// last keeps a router within a second of the store's return.
-	firstRetry = 100 * time.Millisecond
-	lastRetry  = 700 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 700 * time.Millisecond
 )
 
 // follower keeps a catalogue in step with one kind of the store's objects.
 type follower struct {
 	kind      Kind
-	store     Objects
+	store     ObjectStore
 	catalogue *catalogue
 	log       zerolog.Logger
-	// reads says whether this router is to read, or hears of changes from
+	// shouldRead says whether this router is to read, or hears of changes from
 	// peers that do.
-	reads func() bool
+	shouldRead func() bool
 	// onAnswer hears of each answer of the store, onFailure of each call
 	// without one; onNews receives what was new.
 	onAnswer  func()
 	onFailure func()
-	onNews    func(kind Kind, objects []Object)
+	onChanged func(kind Kind, objects []Object)
 
-	// retryPause may lengthen the pause after a failed call; nil keeps it.
-	retryPause func(pause time.Duration) time.Duration
+	// retryDelay may lengthen the pause after a failed call; nil keeps it.
+	retryDelay func(pause time.Duration) time.Duration
 
 	listed   bool
-	position uint64
+	revision uint64
 }
 
 // run follows until the context ends.
 func (f *follower) run(ctx context.Context) {
 	retry := backoff.NewExponentialBackOff()
-	if f.retryPause == nil {
-		f.retryPause = func(pause time.Duration) time.Duration { return pause }
+	if f.retryDelay == nil {
+		f.retryDelay = func(pause time.Duration) time.Duration { return pause }
 	}
-	retry.InitialInterval, retry.MaxInterval = firstRetry, lastRetry
+	retry.InitialInterval, retry.MaxInterval = minRetryDelay, maxRetryDelay
 	for ctx.Err() == nil {
-		if !f.reads() {
+		if !f.shouldRead() {
 			f.listed = false
-			_ = pause.For(ctx, idlePause)
+			_ = pause.For(ctx, readerCheckInterval)
 			continue
 		}
 		err := f.step(ctx)
@@ -76,23 +76,23 @@
 		case ctx.Err() != nil:
 		case err == nil:
 			retry.Reset()
-			_ = pause.For(ctx, f.pause())
-		case errors.Is(err, ErrHistoryGone):
+			_ = pause.For(ctx, f.watchInterval())
+		case errors.Is(err, ErrHistoryExpired):
 			f.listed = false
 			f.log.Info().Stringer("kind", f.kind).Msg("store's history gone; listing anew")
 		default:
 			f.onFailure()
-			f.catalogue.unreached(err)
-			_ = pause.For(ctx, f.retryPause(retry.NextBackOff()))
+			f.catalogue.markStoreUnavailable(err)
+			_ = pause.For(ctx, f.retryDelay(retry.NextBackOff()))
 		}
 	}
 }
 
-func (f *follower) pause() time.Duration {
+func (f *follower) watchInterval() time.Duration {
 	if f.kind == KindConfig {
-		return configPause
+		return configWatchInterval
 	}
-	return upstreamPause/2 + rand.N(upstreamPause)
+	return upstreamWatchInterval/2 + rand.N(upstreamWatchInterval)
 }
 
 func (f *follower) step(ctx context.Context) error {
@@ -101,19 +101,19 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, watchWait+callTimeout)
 	defer cancel()
-	objects, at, err := f.store.Watch(ctx, f.kind, f.position, watchWait)
+	objects, at, err := f.store.Watch(ctx, f.kind, f.revision, watchWait)
 	if err != nil {
 		return err
 	}
-	f.answered()
-	var news []Object
+	f.recordAnswer()
+	var changed []Object
 	for _, o := range objects {
-		if f.catalogue.take(f.kind, o, sourceStore) {
-			news = append(news, o)
+		if f.catalogue.applyObject(f.kind, o, sourceStore) {
+			changed = append(changed, o)
 		}
 	}
-	f.position = at
-	f.tell(news)
+	f.revision = at
+	f.notify(changed)
 	return nil
 }
 
@@ -127,27 +127,27 @@
 	if err != nil {
 		return err
 	}
-	f.answered()
-	f.listed, f.position = true, at
+	f.recordAnswer()
+	f.listed, f.revision = true, at
 	if f.kind == KindUpstream {
-		f.tell(f.catalogue.replace(objects, at, sourceStore))
+		f.notify(f.catalogue.replaceUpstreams(objects, at, sourceStore))
 		return nil
 	}
 	for _, o := range objects {
-		if f.catalogue.take(f.kind, o, sourceStore) {
-			f.tell([]Object{o})
+		if f.catalogue.applyObject(f.kind, o, sourceStore) {
+			f.notify([]Object{o})
 		}
 	}
 	return nil
 }
 
-func (f *follower) answered() {
-	f.catalogue.reached()
+func (f *follower) recordAnswer() {
+	f.catalogue.markStoreAvailable()
 	f.onAnswer()
 }
 
-func (f *follower) tell(news []Object) {
-	if len(news) > 0 {
-		f.onNews(f.kind, news)
+func (f *follower) notify(changed []Object) {
+	if len(changed) > 0 {
+		f.onChanged(f.kind, changed)
 	}
 }
--- a/transport/edge/follower_test.go
+++ b/transport/edge/follower_test.go
@@ -10,43 +10,43 @@
 )
 
 func newFollower(f *fixture, kind Kind) (*follower, *[]Object) {
-	news := &[]Object{}
+	changed := &[]Object{}
 	return &follower{
 		kind: kind, store: f.platform, catalogue: f.catalogue, log: zerolog.Nop(),
-		reads: func() bool { return true }, onAnswer: func() {}, onFailure: func() {},
-		onNews: func(_ Kind, objects []Object) { *news = append(*news, objects...) },
-	}, news
+		shouldRead: func() bool { return true }, onAnswer: func() {}, onFailure: func() {},
+		onChanged: func(_ Kind, objects []Object) { *changed = append(*changed, objects...) },
+	}, changed
 }
 
 // A watch goes on where the list was read, and what it brings is told to peers
 // once.
-func TestFollowerGoesOnFromTheList(t *testing.T) {
+func TestFollowerWatchesFromTheListedRevision(t *testing.T) {
 	f := newFixture()
 	f.platform.list = func(Kind) ([]Object, uint64, error) { return []Object{upstreamObject("a", 3, false)}, 5, nil }
-	var asked []uint64
+	var watchedFrom []uint64
 	f.platform.watch = func(_ Kind, after uint64) ([]Object, uint64, error) {
-		asked = append(asked, after)
+		watchedFrom = append(watchedFrom, after)
 		return []Object{upstreamObject(fmt.Sprintf("b%d", after), after+1, false)}, after + 1, nil
 	}
-	follower, news := newFollower(f, KindUpstream)
+	follower, changed := newFollower(f, KindUpstream)
 	for range 3 {
 		require.NoError(t, follower.step(context.Background()))
 	}
-	require.Equal(t, []uint64{5, 6}, asked)
-	require.Len(t, *news, 3)
-	require.Equal(t, 3, f.usable())
+	require.Equal(t, []uint64{5, 6}, watchedFrom)
+	require.Len(t, *changed, 3)
+	require.Equal(t, 3, f.usableUpstreams())
 }
 
 // The store drops its history while an upstream leaves. The watch fails with
 // "gone"; only a new list shows the leaving.
-func TestFollowerListsAnewAfterLostHistory(t *testing.T) {
+func TestFollowerListsAgainAfterLostHistory(t *testing.T) {
 	f := newFixture()
 	entries := []Object{upstreamObject("a", 3, false), upstreamObject("b", 4, false)}
 	f.platform.list = func(Kind) ([]Object, uint64, error) { return entries, 9, nil }
-	f.platform.watch = func(Kind, uint64) ([]Object, uint64, error) { return nil, 0, ErrHistoryGone }
+	f.platform.watch = func(Kind, uint64) ([]Object, uint64, error) { return nil, 0, ErrHistoryExpired }
 	follower, _ := newFollower(f, KindUpstream)
 	require.NoError(t, follower.step(context.Background()))
-	require.Equal(t, 2, f.usable())
+	require.Equal(t, 2, f.usableUpstreams())
 	entries = entries[:1]
 	ctx, cancel := context.WithCancel(context.Background())
 	f.platform.list = func(Kind) ([]Object, uint64, error) {
@@ -54,7 +54,7 @@
 		return entries, 12, nil
 	}
 	follower.run(ctx)
-	require.Equal(t, 1, f.usable())
+	require.Equal(t, 1, f.usableUpstreams())
 }
 
 // While the store is away the router keeps what it knows.
@@ -67,16 +67,16 @@
 	failures := 0
 	follower.onFailure = func() { failures++ }
 	f.platform.watch = func(Kind, uint64) ([]Object, uint64, error) {
-		cancel2 := failures == 1
-		if cancel2 {
+		secondCall := failures == 1
+		if secondCall {
 			cancel()
 		}
 		return nil, 0, fmt.Errorf("%w: silent", ErrUnavailable)
 	}
 	follower.run(ctx)
 	require.Positive(t, failures)
-	require.Equal(t, 1, f.usable())
-	require.True(t, f.catalogue.away)
+	require.Equal(t, 1, f.usableUpstreams())
+	require.True(t, f.catalogue.storeUnavailable)
 }
 
 func TestRouterThatDoesNotReadMakesNoCalls(t *testing.T) {
@@ -84,7 +84,7 @@
 	follower, _ := newFollower(f, KindConfig)
 	ctx, cancel := context.WithCancel(context.Background())
 	asked := 0
-	follower.reads = func() bool {
+	follower.shouldRead = func() bool {
 		if asked++; asked == 2 {
 			cancel()
 		}
--- a/transport/edge/lapse_test.go
+++ b/transport/edge/lapse_test.go
@@ -13,60 +13,62 @@
 
 var errSilent = errors.New("silent")
 
-// newRunningNetwork returns a network in which all routers hold a
+// newConfiguredNetwork returns a network in which all routers hold a
 // configuration.
-func newRunningNetwork(routers, dataCentres int) *network {
+func newConfiguredNetwork(routers, dataCentres int) *network {
 	n := newNetwork(routers, dataCentres)
 	for _, one := range n.nodes {
-		one.fixture.catalogue.take(KindConfig, configObject(5, 2), sourceStore)
+		one.fixture.catalogue.applyObject(KindConfig, configObject(5, 2), sourceStore)
 	}
 	return n
 }
 
-// storeTells gives routers that follow the store an object, which they pass on.
-func (n *network) storeTells(o Object, routers ...state.Router) {
+// deliverFromStore gives routers that follow the store an object, which they pass on.
+func (n *network) deliverFromStore(o Object, routers ...state.Router) {
 	for _, router := range routers {
 		one := n.nodes[router]
-		one.fleet.reading = true
-		one.fleet.onAnswer()
-		if one.fixture.catalogue.take(KindUpstream, o, sourceStore) {
+		one.fleet.readingStore = true
+		one.fleet.onStoreAnswer()
+		if one.fixture.catalogue.applyObject(KindUpstream, o, sourceStore) {
 			one.fleet.publishObjects(KindUpstream, []Object{o})
 		}
 	}
 }
 
-// loseStore takes the store away from routers.
-func (n *network) loseStore(routers ...state.Router) {
+// disconnectStore takes the store away from routers.
+func (n *network) disconnectStore(routers ...state.Router) {
 	for _, router := range routers {
-		n.nodes[router].fleet.onFailure()
-		n.nodes[router].fixture.catalogue.unreached(errSilent)
+		n.nodes[router].fleet.onStoreFailure()
+		n.nodes[router].fixture.catalogue.markStoreUnavailable(errSilent)
 	}
 }
 
-// regainStore gives the store back to a router, which lists it anew.
-func (n *network) regainStore(router state.Router, at uint64, listed ...Object) {
+// reconnectStore gives the store back to a router, which lists it anew.
+func (n *network) reconnectStore(router state.Router, at uint64, listed ...Object) {
 	one := n.nodes[router]
-	one.fixture.catalogue.reached()
-	one.fleet.reading = true
-	one.fleet.onAnswer()
-	if news := one.fixture.catalogue.replace(listed, at, sourceStore); len(news) > 0 {
-		one.fleet.publishObjects(KindUpstream, news)
+	one.fixture.catalogue.markStoreAvailable()
+	one.fleet.readingStore = true
+	one.fleet.onStoreAnswer()
+	if changed := one.fixture.catalogue.replaceUpstreams(listed, at, sourceStore); len(changed) > 0 {
+		one.fleet.publishObjects(KindUpstream, changed)
 	}
 }
 
-// runRead lets time pass while routers go on reading the store.
-func (n *network) runRead(d time.Duration, routers ...state.Router) {
-	for range d / scanEvery {
+// advanceReading lets time pass while routers go on reading the store.
+func (n *network) advanceReading(d time.Duration, routers ...state.Router) {
+	for range d / tickInterval {
 		for _, router := range routers {
-			n.nodes[router].fleet.onAnswer()
+			n.nodes[router].fleet.onStoreAnswer()
 		}
-		n.run(scanEvery)
+		n.advance(tickInterval)
 	}
 }
 
-// usable counts the upstreams that a router uses, without the engines that
+// usableUpstreams counts the upstreams that a router uses, without the engines that
 // each router of the network begins with.
-func (n *network) usable(router state.Router) int { return n.nodes[router].fixture.usable() - 4 }
+func (n *network) usableUpstreams(router state.Router) int {
+	return n.nodes[router].fixture.usableUpstreams() - 4
+}
 
 // A caller's request reached an engine 2.9 s after it had said that it leaves.
 // A data centre was cut off, so that the entry of an engine in it lapsed; the
@@ -75,28 +77,28 @@
 // reached the store again, which held no entry. It logged "upstream may have
 // lapsed" and used the engine for another 2.2 s, as if the store had been
 // away; but the router was, and its peers knew that the engine was gone.
-func TestEngineGoneDuringACutIsNotTakenAsLapsed(t *testing.T) {
-	n := newRunningNetwork(8, 4)
+func TestEngineRemovedDuringAPartitionIsNotKept(t *testing.T) {
+	n := newConfiguredNetwork(8, 4)
 	outside := []state.Router{"r001", "r002", "r003"}
-	n.storeTells(upstreamObject("u", 23, false), outside...)
-	n.runRead(time.Second, outside...)
-	require.Equal(t, 1, n.usable("r000"))
-
-	n.cutOff = "0"
-	n.publish()
-	n.loseStore("r000", "r004")
-	n.runRead(3*time.Second, outside...)
-	n.storeTells(removal("u", 47), outside...)
-	n.runRead(3*time.Second, outside...)
-	require.Equal(t, 1, n.usable("r000"), "a data centre that is cut off goes on serving")
-	require.Zero(t, n.usable("r005"))
-
-	n.cutOff = ""
-	n.publish()
-	n.regainStore("r000", 56)
-	n.runRead(500*time.Millisecond, append(outside, "r000")...)
-	require.Zero(t, n.usable("r000"))
-	require.Zero(t, n.usable("r004"), "its neighbour, which has not reached the store yet")
+	n.deliverFromStore(upstreamObject("u", 23, false), outside...)
+	n.advanceReading(time.Second, outside...)
+	require.Equal(t, 1, n.usableUpstreams("r000"))
+
+	n.partitioned = "0"
+	n.updateSessions()
+	n.disconnectStore("r000", "r004")
+	n.advanceReading(3*time.Second, outside...)
+	n.deliverFromStore(removal("u", 47), outside...)
+	n.advanceReading(3*time.Second, outside...)
+	require.Equal(t, 1, n.usableUpstreams("r000"), "a data centre that is cut off goes on serving")
+	require.Zero(t, n.usableUpstreams("r005"))
+
+	n.partitioned = ""
+	n.updateSessions()
+	n.reconnectStore("r000", 56)
+	n.advanceReading(500*time.Millisecond, append(outside, "r000")...)
+	require.Zero(t, n.usableUpstreams("r000"))
+	require.Zero(t, n.usableUpstreams("r004"), "its neighbour, which has not reached the store yet")
 }
 
 // A data centre was cut off, and an engine in it left for good. After the cut
@@ -105,26 +107,26 @@
 // to the engine for 1.9 s after the cut. What the readers held differed all the
 // time, but the data centre's other engines registered again one by one, and
 // each began the wait for a lasting difference anew.
-func TestRoutersThatWereCutOffDoNotLearnFromEachOther(t *testing.T) {
-	n := newRunningNetwork(8, 4)
+func TestPartitionedRoutersDoNotCatchUpFromEachOther(t *testing.T) {
+	n := newConfiguredNetwork(8, 4)
 	outside := []state.Router{"r001", "r002", "r003"}
-	n.storeTells(upstreamObject("u", 23, false), outside...)
-	n.runRead(time.Second, outside...)
-	n.cutOff = "0"
-	n.publish()
-	n.loseStore("r000", "r004")
-	n.runRead(3*time.Second, outside...)
-	n.storeTells(removal("u", 47), outside...)
-	n.runRead(3*time.Second, outside...)
-
-	n.cutOff = ""
-	n.publish()
+	n.deliverFromStore(upstreamObject("u", 23, false), outside...)
+	n.advanceReading(time.Second, outside...)
+	n.partitioned = "0"
+	n.updateSessions()
+	n.disconnectStore("r000", "r004")
+	n.advanceReading(3*time.Second, outside...)
+	n.deliverFromStore(removal("u", 47), outside...)
+	n.advanceReading(3*time.Second, outside...)
+
+	n.partitioned = ""
+	n.updateSessions()
 	for back := range uint64(5) {
-		n.storeTells(upstreamObject(fmt.Sprintf("back%d", back), 50+back, false), outside...)
-		n.runRead(2*scanEvery, outside...)
+		n.deliverFromStore(upstreamObject(fmt.Sprintf("back%d", back), 50+back, false), outside...)
+		n.advanceReading(2*tickInterval, outside...)
 	}
-	require.Equal(t, 5, n.usable("r000"))
-	require.Equal(t, 5, n.usable("r004"))
+	require.Equal(t, 5, n.usableUpstreams("r000"))
+	require.Equal(t, 5, n.usableUpstreams("r004"))
 }
 
 // The store is away from all for some seconds, and an entry lapses. One router
@@ -133,76 +135,76 @@
 // seconds, those too that have not noticed the store's return or its absence.
 // While the first told the others that the entry was gone, they dropped the
 // upstream at once.
-func TestWhatMayHaveLapsedIsNotToldAsGone(t *testing.T) {
-	n := newRunningNetwork(8, 4)
+func TestPossiblyExpiredEntryIsNotReportedAsRemoved(t *testing.T) {
+	n := newConfiguredNetwork(8, 4)
 	readers := []state.Router{"r000", "r001", "r002"}
-	n.storeTells(upstreamObject("lives", 22, false), readers...)
-	n.storeTells(upstreamObject("dead", 23, false), readers...)
-	n.runRead(time.Second, readers...)
-	n.loseStore("r000", "r001", "r002", "r003")
-	n.run(6 * time.Second)
-
-	n.regainStore("r001", 56)
-	n.runRead(500*time.Millisecond, "r001")
-	n.regainStore("r000", 56)
-	n.runRead(time.Second, "r000", "r001")
+	n.deliverFromStore(upstreamObject("lives", 22, false), readers...)
+	n.deliverFromStore(upstreamObject("dead", 23, false), readers...)
+	n.advanceReading(time.Second, readers...)
+	n.disconnectStore("r000", "r001", "r002", "r003")
+	n.advance(6 * time.Second)
+
+	n.reconnectStore("r001", 56)
+	n.advanceReading(500*time.Millisecond, "r001")
+	n.reconnectStore("r000", 56)
+	n.advanceReading(time.Second, "r000", "r001")
 	for router := range n.nodes {
-		require.Equal(t, 2, n.usable(router), router)
+		require.Equal(t, 2, n.usableUpstreams(router), router)
 	}
-	n.storeTells(upstreamObject("lives", 57, false), "r000", "r001")
-	n.runRead(time.Second, "r000", "r001")
+	n.deliverFromStore(upstreamObject("lives", 57, false), "r000", "r001")
+	n.advanceReading(time.Second, "r000", "r001")
 	for router := range n.nodes {
-		require.Equal(t, 1, n.usable(router), router)
+		require.Equal(t, 1, n.usableUpstreams(router), router)
 	}
 }
 
 // The store turns one router away and serves the others. When it lets that one
 // in again, an entry has just gone that the readers have not heard of yet. As
 // soon as one of them does, the upstream is gone for all.
-func TestRouterThatWasTurnedAwayHearsOfTheEnd(t *testing.T) {
-	n := newRunningNetwork(8, 4)
+func TestRejectedRouterReceivesTheRemovalFromPeers(t *testing.T) {
+	n := newConfiguredNetwork(8, 4)
 	readers := []state.Router{"r001", "r002"}
-	n.storeTells(upstreamObject("u", 23, false), readers...)
-	n.runRead(time.Second, readers...)
-	n.loseStore("r000")
-	n.runRead(3*time.Second, readers...)
-	n.regainStore("r000", 56)
-	n.runRead(3*scanEvery, append(readers, "r000")...)
-	require.Equal(t, 1, n.usable("r000"))
-	n.storeTells(removal("u", 47), "r001")
-	n.runRead(2*scanEvery, append(readers, "r000")...)
+	n.deliverFromStore(upstreamObject("u", 23, false), readers...)
+	n.advanceReading(time.Second, readers...)
+	n.disconnectStore("r000")
+	n.advanceReading(3*time.Second, readers...)
+	n.reconnectStore("r000", 56)
+	n.advanceReading(3*tickInterval, append(readers, "r000")...)
+	require.Equal(t, 1, n.usableUpstreams("r000"))
+	n.deliverFromStore(removal("u", 47), "r001")
+	n.advanceReading(2*tickInterval, append(readers, "r000")...)
 	for router := range n.nodes {
-		require.Zero(t, n.usable(router), router)
+		require.Zero(t, n.usableUpstreams(router), router)
 	}
 }
 
 // A data centre is cut off, and with it the only routers that read the store.
 // Nobody outside has anything to say of an entry that lapsed meanwhile. It may
 // have lapsed as well because the store was away.
-func TestRoutersCutOffTogetherKnowNoBetter(t *testing.T) {
-	n := newRunningNetwork(8, 4)
-	n.storeTells(upstreamObject("u", 23, false), "r000", "r004")
-	n.runRead(time.Second, "r000", "r004")
-	n.cutOff = "0"
-	n.publish()
-	n.loseStore("r000", "r004")
-	n.run(6 * time.Second)
-	n.cutOff = ""
-	n.publish()
-	n.regainStore("r000", 56)
-	n.regainStore("r004", 56)
-	n.runRead(returnGrace-3*scanEvery, "r000", "r004")
+func TestRoutersPartitionedTogetherKeepTheUpstream(t *testing.T) {
+	n := newConfiguredNetwork(8, 4)
+	n.deliverFromStore(upstreamObject("u", 23, false), "r000", "r004")
+	n.advanceReading(time.Second, "r000", "r004")
+	n.partitioned = "0"
+	n.updateSessions()
+	n.disconnectStore("r000", "r004")
+	n.advance(6 * time.Second)
+	n.partitioned = ""
+	n.updateSessions()
+	n.reconnectStore("r000", 56)
+	n.reconnectStore("r004", 56)
+	n.advanceReading(storeReturnGrace-3*tickInterval, "r000", "r004")
 	for router := range n.nodes {
-		require.Equal(t, 1, n.usable(router), router)
+		require.Equal(t, 1, n.usableUpstreams(router), router)
 	}
-	n.runRead(5*scanEvery, "r000", "r004")
+	n.advanceReading(5*tickInterval, "r000", "r004")
 	for router := range n.nodes {
-		require.Zero(t, n.usable(router), router)
+		require.Zero(t, n.usableUpstreams(router), router)
 	}
 }
 
 // What peers say of an upstream that may have lapsed here.
-func TestPeersWordOnWhatMayHaveLapsed(t *testing.T) {
+func TestPeerReportsOnAPossiblyExpiredEntry(t *testing.T) {
 	for name, c := range map[string]struct {
 		word Object
 		want int
@@ -221,31 +223,31 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture()
-			f.catalogue.take(KindUpstream, upstreamObject("u", 23, false), sourceStore)
-			f.catalogue.unreached(errSilent)
-			f.catalogue.reached()
-			require.Empty(t, f.catalogue.replace(nil, 56, sourceStore), "nothing to tell yet")
-			f.catalogue.take(KindUpstream, c.word, "peer")
-			require.Equal(t, c.want, f.usable())
+			f.catalogue.applyObject(KindUpstream, upstreamObject("u", 23, false), sourceStore)
+			f.catalogue.markStoreUnavailable(errSilent)
+			f.catalogue.markStoreAvailable()
+			require.Empty(t, f.catalogue.replaceUpstreams(nil, 56, sourceStore), "nothing to tell yet")
+			f.catalogue.applyObject(KindUpstream, c.word, "peer")
+			require.Equal(t, c.want, f.usableUpstreams())
 		})
 	}
 }
 
 // An upstream that was gone for the peers comes back with a newer revision. No
 // older word of its end may take it away again.
-func TestUpstreamThatIsBackIsUsedAgain(t *testing.T) {
+func TestUpstreamThatRegisteredAgainIsUsed(t *testing.T) {
 	f := newFixture()
-	f.catalogue.take(KindUpstream, upstreamObject("u", 23, false), sourceStore)
-	f.catalogue.unreached(errSilent)
-	f.catalogue.reached()
-	f.catalogue.replace(nil, 56, sourceStore)
-	f.catalogue.take(KindUpstream, removal("u", 47), "peer")
-	require.Zero(t, f.usable())
-	f.catalogue.take(KindUpstream, upstreamObject("u", 50, false), "peer")
-	require.Zero(t, f.usable(), "the list was newer")
-	f.catalogue.take(KindUpstream, upstreamObject("u", 58, false), "peer")
-	f.catalogue.take(KindUpstream, removal("u", 56), "peer")
-	f.clock.advance(returnGrace)
-	f.catalogue.settleLapsed()
-	require.Equal(t, 1, f.usable())
+	f.catalogue.applyObject(KindUpstream, upstreamObject("u", 23, false), sourceStore)
+	f.catalogue.markStoreUnavailable(errSilent)
+	f.catalogue.markStoreAvailable()
+	f.catalogue.replaceUpstreams(nil, 56, sourceStore)
+	f.catalogue.applyObject(KindUpstream, removal("u", 47), "peer")
+	require.Zero(t, f.usableUpstreams())
+	f.catalogue.applyObject(KindUpstream, upstreamObject("u", 50, false), "peer")
+	require.Zero(t, f.usableUpstreams(), "the list was newer")
+	f.catalogue.applyObject(KindUpstream, upstreamObject("u", 58, false), "peer")
+	f.catalogue.applyObject(KindUpstream, removal("u", 56), "peer")
+	f.clock.advance(storeReturnGrace)
+	f.catalogue.confirmDueRemovals()
+	require.Equal(t, 1, f.usableUpstreams())
 }
--- a/transport/edge/left.go
+++ b/transport/edge/left.go
@@ -18,12 +18,12 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// callerLeft says whether the caller's connection is closed, from either end, by
+// callerClosed says whether the caller's connection is closed, from either end, by
 // what the kernel has received. net/http learns it from a read in a goroutine of its
 // own; on a processor that is used up that goroutine runs too late, and of the
 // requests of callers who had left two dozen were sent on within seconds. One
 // look costs a system call.
-func callerLeft(r *http.Request) bool {
+func callerClosed(r *http.Request) bool {
 	conn, ok := r.Context().Value(connKey{}).(syscall.Conn)
 	if !ok {
 		return false
@@ -32,6 +32,6 @@
 	if err != nil {
 		return false
 	}
-	n, failed, closed := conntrack.Peek(raw)
-	return closed != nil || failed == nil && n == 0 || failed == unix.ECONNRESET
+	n, recvErr, closedErr := conntrack.Peek(raw)
+	return closedErr != nil || recvErr == nil && n == 0 || recvErr == unix.ECONNRESET
 }
--- a/transport/edge/left_test.go
+++ b/transport/edge/left_test.go
@@ -14,7 +14,7 @@
 
 // A caller gives up while its request waits for the processor. Its close has
 // arrived, but nothing has read it yet; the request must not be sent on.
-func TestCallerThatClosedHasLeft(t *testing.T) {
+func TestClosedCallerConnectionIsDetected(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer listener.Close()
@@ -26,17 +26,17 @@
 	request := httptest.NewRequest(http.MethodGet, "/", nil)
 	request = request.WithContext(withConn(context.Background(), conn))
 
-	require.False(t, callerLeft(request))
+	require.False(t, callerClosed(request))
 	_, err = io.WriteString(caller, "another request")
 	require.NoError(t, err)
-	require.Never(t, func() bool { return callerLeft(request) }, 50*time.Millisecond, 10*time.Millisecond)
+	require.Never(t, func() bool { return callerClosed(request) }, 50*time.Millisecond, 10*time.Millisecond)
 	first := make([]byte, len("another request"))
 	_, err = io.ReadFull(conn, first)
 	require.NoError(t, err)
 	require.Equal(t, "another request", string(first), "looking takes nothing away")
 	require.NoError(t, caller.Close())
-	require.Eventually(t, func() bool { return callerLeft(request) }, time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return callerClosed(request) }, time.Second, time.Millisecond)
 	require.NoError(t, conn.Close())
-	require.True(t, callerLeft(request), "nothing can be answered on a connection that is closed at this end")
-	require.False(t, callerLeft(httptest.NewRequest(http.MethodGet, "/", nil)), "no connection is known")
+	require.True(t, callerClosed(request), "nothing can be answered on a connection that is closed at this end")
+	require.False(t, callerClosed(httptest.NewRequest(http.MethodGet, "/", nil)), "no connection is known")
 }
--- a/transport/edge/links.go
+++ b/transport/edge/links.go
@@ -17,7 +17,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.overlay.SetNeighbours(peers)
-	f.perform()
+	f.performActions()
 }
 
 // onSession tells a peer of this router's work: messages may have been lost.
@@ -30,10 +30,10 @@
 	if !f.overlay.TreeMode() {
 		f.catchUp.SessionOpened(now, scheduler.Peer{Router: s.Router, DataCentre: s.DataCentre, Incarnation: s.Incarnation})
 	}
-	f.perform()
+	f.performActions()
 	direct := !f.overlay.TreeMode()
 	f.mu.Unlock()
-	f.mesh.Send(s.Router, f.readingEnvelope(f.claim()))
+	f.mesh.Send(s.Router, f.readingEnvelope(f.mayClaimReading()))
 	if direct {
 		f.mesh.Send(s.Router, loadsEnvelope(f.dispatcher.ownLoads(), true))
 	}
@@ -42,9 +42,9 @@
 func (f *fleet) onSessionEnd(p peer.Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.names, p.Router)
+	delete(f.peerNames, p.Router)
 	f.overlay.SessionClosed(f.now(), p.Router)
-	f.perform()
+	f.performActions()
 }
 
 // onMembers takes a peer's word of the fleet.
@@ -52,7 +52,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.overlay.Receive(f.now(), from, overlayMessage(m))
-	f.perform()
+	f.performActions()
 }
 
 // tickOverlay lets time pass.
@@ -60,12 +60,12 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.overlay.Tick(f.now())
-	f.perform()
+	f.performActions()
 }
 
-// perform does what the overlay decided. The caller holds the lock, so that
+// performActions does what the overlay decided. The caller holds the lock, so that
 // messages leave in the order of the decisions; none of the calls waits.
-func (f *fleet) perform() {
+func (f *fleet) performActions() {
 	for _, action := range f.overlay.Actions() {
 		switch a := action.(type) {
 		case overlay.Send:
@@ -75,51 +75,51 @@
 		case overlay.DropSession:
 			f.mesh.Drop(a.Router)
 		case overlay.LinkEstablished:
-			f.linked(a.Router)
+			f.openLink(a.Router)
 		case overlay.LinkEnded:
-			delete(f.links, a.Router)
-			f.dispatcher.forget(a.Router)
+			delete(f.linkOutboxes, a.Router)
+			f.dispatcher.forgetPeer(a.Router)
 		}
 	}
-	f.publishLive()
+	f.updateLivePeers()
 }
 
-// linked begins to tell a peer of this side.
-func (f *fleet) linked(router state.Router) {
-	f.dispatcher.forget(router)
-	f.links[router] = &outbox{}
+// openLink begins to tell a peer of this side.
+func (f *fleet) openLink(router state.Router) {
+	f.dispatcher.forgetPeer(router)
+	f.linkOutboxes[router] = &outbox{}
 	f.catchUp.MarkRejoined(f.now())
 	f.log.Info().Str("router", string(router)).Msg("linked")
 }
 
-// publishLive tells the dispatcher of a change of the live routers. The caller holds
+// updateLivePeers tells the dispatcher of a change of the live routers. The caller holds
 // the lock.
-func (f *fleet) publishLive() {
+func (f *fleet) updateLivePeers() {
 	live := f.overlay.LiveRouters()
-	if slices.Equal(f.live, live) {
+	if slices.Equal(f.livePeers, live) {
 		return
 	}
-	var gone []state.Router
+	var removed []state.Router
 	if !f.overlay.TreeMode() {
-		gone = missing(f.live, live)
+		removed = removedRouters(f.livePeers, live)
 	}
-	f.live = live
-	f.dispatcher.setRouters(len(live), gone)
+	f.livePeers = live
+	f.dispatcher.setLiveRouters(len(live), removed)
 }
 
-// missing returns the routers of before that are not among the live.
-func missing(before, live []scheduler.Peer) []state.Router {
-	left := make(map[state.Router]bool, len(live))
+// removedRouters returns the routers of before that are not among the live.
+func removedRouters(before, live []scheduler.Peer) []state.Router {
+	remaining := make(map[state.Router]bool, len(live))
 	for _, p := range live {
-		left[p.Router] = true
+		remaining[p.Router] = true
 	}
-	var gone []state.Router
+	var removed []state.Router
 	for _, p := range before {
-		if !left[p.Router] {
-			gone = append(gone, p.Router)
+		if !remaining[p.Router] {
+			removed = append(removed, p.Router)
 		}
 	}
-	return gone
+	return removed
 }
 
 // receivers returns the peers that all is told to: those of links in a tree,
@@ -130,7 +130,7 @@
 	if f.overlay.TreeMode() {
 		return f.overlay.Links(), true
 	}
-	for _, p := range f.live {
+	for _, p := range f.livePeers {
 		if p.Router != f.self.Router {
 			peers = append(peers, p.Router)
 		}
@@ -138,8 +138,8 @@
 	return peers, false
 }
 
-// passOn sends what came over one link over the others.
-func (f *fleet) passOn(from state.Router, env *peerpb.Envelope) {
+// forward sends what came over one link over the others.
+func (f *fleet) forward(from state.Router, env *peerpb.Envelope) {
 	peers, tree := f.receivers()
 	if !tree {
 		return
--- a/transport/edge/listener.go
+++ b/transport/edge/listener.go
@@ -9,8 +9,8 @@
 	"github.com/rs/zerolog"
 )
 
-// roomPoll is how often a router that does not listen looks whether it has room.
-const roomPoll = 5 * time.Millisecond
+// capacityPollInterval is how often a router that does not listen looks whether it has room.
+const capacityPollInterval = 5 * time.Millisecond
 
 // callerListener listens for callers while the router has room for them. While it
 // has none the port is closed: the kernel refuses connections at once and without
@@ -26,8 +26,8 @@
 	// inner is nil while the port is closed.
 	inner  *net.TCPListener
 	closed bool
-	// failing is set while the port could not be opened again.
-	failing bool
+	// listenFailing is set while the port could not be opened again.
+	listenFailing bool
 }
 
 // listenCallers listens without probes of idle connections: unused ones are
@@ -55,51 +55,51 @@
 // Accept implements net.Listener.
 func (l *callerListener) Accept() (net.Conn, error) {
 	for {
-		inner, err := l.open()
+		inner, err := l.waitForPort()
 		if err != nil {
 			return nil, err
 		}
 		conn, err := inner.Accept()
-		if err != nil || l.pressure.take() {
+		if err != nil || l.pressure.admitConn() {
 			return conn, err
 		}
 		_ = conn.Close()
-		l.pause()
+		l.closePort()
 	}
 }
 
-// open waits for room and returns the open port.
-func (l *callerListener) open() (*net.TCPListener, error) {
+// waitForPort waits for room and returns the open port.
+func (l *callerListener) waitForPort() (*net.TCPListener, error) {
 	for {
-		if inner, err := l.tryOpen(); inner != nil || err != nil {
+		if inner, err := l.tryOpenPort(); inner != nil || err != nil {
 			return inner, err
 		}
-		time.Sleep(roomPoll)
+		time.Sleep(capacityPollInterval)
 	}
 }
 
-func (l *callerListener) tryOpen() (*net.TCPListener, error) {
+func (l *callerListener) tryOpenPort() (*net.TCPListener, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return nil, net.ErrClosed
 	}
-	if l.inner == nil && l.pressure.hasRoom() {
+	if l.inner == nil && l.pressure.canReopen() {
 		if err := l.listen(); err != nil {
-			if !l.failing {
+			if !l.listenFailing {
 				l.log.Warn().Err(err).Msg("port of callers not opened")
 			}
-			l.failing = true
+			l.listenFailing = true
 			return nil, nil
 		}
-		l.failing = false
-		l.pressure.paused.end(l.pressure.now())
+		l.listenFailing = false
+		l.pressure.portClosed.end(l.pressure.now())
 	}
 	return l.inner, nil
 }
 
-// pause closes the port until there is room.
-func (l *callerListener) pause() {
+// closePort closes the port until there is room.
+func (l *callerListener) closePort() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed || l.inner == nil {
@@ -107,7 +107,7 @@
 	}
 	_ = l.inner.Close()
 	l.inner = nil
-	l.pressure.paused.begin(l.pressure.now())
+	l.pressure.portClosed.begin(l.pressure.now())
 }
 
 // Close implements net.Listener.
--- a/transport/edge/listener_test.go
+++ b/transport/edge/listener_test.go
@@ -10,84 +10,84 @@
 	"github.com/stretchr/testify/require"
 )
 
-// smallVM is a processor share in cores of a small VM.
-const smallVM = 0.2
+// smallVMCores is a processor share in cores of a small VM.
+const smallVMCores = 0.2
 
-// load has a pressure expect that a part of its processor share is taken by
+// applyLoad has a pressure expect that a part of its processor share is taken by
 // events, as after some seconds at that rate.
-func load(p *pressure, part float64) {
+func applyLoad(p *pressure, cpuShare float64) {
 	const event = 25 * time.Microsecond
-	perRound := int(part * smallVM * float64(scanEvery) / float64(event))
+	perRound := int(cpuShare * smallVMCores * float64(tickInterval) / float64(event))
 	for range 60 {
 		for range perRound {
-			p.work.AddEvent()
+			p.cpuEstimate.AddEvent()
 		}
-		p.observe(0, scanEvery)
+		p.observe(0, tickInterval)
 	}
 }
 
 // Guards against a flooded router whose refusals take the time of its streams.
 func TestRefusalsLeaveTimeForStreams(t *testing.T) {
 	now := frozen()
-	p := newPressure(0, smallVM, func() time.Time { return now })
+	p := newPressure(0, smallVMCores, func() time.Time { return now })
 	for range 1000 {
-		p.refused()
+		p.countRefusal()
 	}
-	require.True(t, p.full())
-	require.False(t, p.take())
+	require.True(t, p.atCapacity())
+	require.False(t, p.admitConn())
 	now = now.Add(time.Second)
-	require.True(t, p.take())
+	require.True(t, p.admitConn())
 }
 
 // Guards against connections that are read only to be refused.
 func TestFullRouterShedsAtOnce(t *testing.T) {
-	p := newPressure(0, smallVM, frozen)
-	load(p, 1)
-	require.True(t, p.full())
-	require.False(t, p.take(), "nothing was refused yet")
+	p := newPressure(0, smallVMCores, frozen)
+	applyLoad(p, 1)
+	require.True(t, p.atCapacity())
+	require.False(t, p.admitConn(), "nothing was refused yet")
 }
 
-func TestNothingIsShedWithRoom(t *testing.T) {
-	p := newPressure(0, smallVM, frozen)
+func TestNothingIsShedBelowCapacity(t *testing.T) {
+	p := newPressure(0, smallVMCores, frozen)
 	for range 20 {
-		p.refused()
-		p.requested(true)
+		p.countRefusal()
+		p.countRequest(true)
 	}
-	require.True(t, p.take())
+	require.True(t, p.admitConn())
 }
 
 // Guards against more connections that wait to be read than there is room for.
-func TestUnreadConnectionsHoldRoom(t *testing.T) {
-	p := newPressure(0, smallVM, frozen)
-	taken := 0
-	for p.take() {
-		taken++
-		require.Less(t, taken, 1000)
+func TestUnreadConnectionsReserveBudget(t *testing.T) {
+	p := newPressure(0, smallVMCores, frozen)
+	admitted := 0
+	for p.admitConn() {
+		admitted++
+		require.Less(t, admitted, 1000)
 	}
-	for range taken / 2 {
-		p.arrivals.read(frozen())
+	for range admitted / 2 {
+		p.readDelay.recordFirstRead(frozen())
 	}
-	again := 0
-	for p.take() {
-		again++
+	admittedLater := 0
+	for p.admitConn() {
+		admittedLater++
 	}
-	require.InDelta(t, taken/2, again, 2)
+	require.InDelta(t, admitted/2, admittedLater, 2)
 }
 
-func TestUnknownShareShedsNothing(t *testing.T) {
+func TestUnknownCPUShareShedsNothing(t *testing.T) {
 	p := newPressure(reservedFiles+1, 0, frozen)
-	p.upstreams.Add(1)
+	p.upstreamConns.Add(1)
 	for range 1000 {
-		p.refused()
+		p.countRefusal()
 	}
-	require.True(t, p.full())
-	require.True(t, p.take())
+	require.True(t, p.atCapacity())
+	require.True(t, p.admitConn())
 }
 
 // Guards against callers of a full router who wait until their deadlines.
-func TestShedConnectionEndsAtOnce(t *testing.T) {
-	p := newPressure(0, smallVM, frozen)
-	load(p, 1)
+func TestShedConnectionIsClosedAtOnce(t *testing.T) {
+	p := newPressure(0, smallVMCores, frozen)
+	applyLoad(p, 1)
 	listener, err := listenCallers("127.0.0.1:0", p, zerolog.Nop())
 	require.NoError(t, err)
 	defer listener.Close()
@@ -111,7 +111,7 @@
 		}
 		return err != nil
 	}, 5*time.Second, time.Millisecond, "further ones are refused")
-	load(p, 0)
+	applyLoad(p, 0)
 	require.Eventually(t, func() bool {
 		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err == nil {
@@ -124,11 +124,11 @@
 
 // Guards against a listener that waits for room for good, or listens again, after its close.
 func TestClosedListenerStaysClosed(t *testing.T) {
-	p := newPressure(0, smallVM, frozen)
-	load(p, 1)
+	p := newPressure(0, smallVMCores, frozen)
+	applyLoad(p, 1)
 	listener, err := listenCallers("127.0.0.1:0", p, zerolog.Nop())
 	require.NoError(t, err)
-	listener.pause()
+	listener.closePort()
 	done := make(chan error)
 	go func() {
 		_, err := listener.Accept()
@@ -136,15 +136,15 @@
 	}()
 	require.NoError(t, listener.Close())
 	require.ErrorIs(t, <-done, net.ErrClosed)
-	load(p, 0)
+	applyLoad(p, 0)
 	_, err = listener.Accept()
 	require.ErrorIs(t, err, net.ErrClosed)
 	_, err = net.Dial("tcp", listener.Addr().String())
 	require.Error(t, err)
 }
 
-func TestPausesAreMeasured(t *testing.T) {
-	var p pauses
+func TestPortClosedTimeIsSummed(t *testing.T) {
+	var p closedTimer
 	now := frozen()
 	p.begin(now)
 	require.Equal(t, time.Second, p.sum(now.Add(time.Second)))
@@ -153,38 +153,38 @@
 }
 
 // Guards against connections that end unread and leave the budget empty.
-func TestUnreadConnectionsGiveTheirRoomBack(t *testing.T) {
-	p := newPressure(0, smallVM, frozen)
+func TestUnreadConnectionsReturnTheirBudget(t *testing.T) {
+	p := newPressure(0, smallVMCores, frozen)
 	for range 100 {
 		conn, other := net.Pipe()
 		defer other.Close()
-		require.True(t, p.take())
-		_ = p.arrivals.withArrival(t.Context(), conn)
-		p.changed(conn, http.StateNew)
-		p.changed(conn, http.StateClosed)
+		require.True(t, p.admitConn())
+		_ = p.readDelay.withArrival(t.Context(), conn)
+		p.connStateChanged(conn, http.StateNew)
+		p.connStateChanged(conn, http.StateClosed)
 	}
 }
 
 // Guards against a router that says it is ready while its port is closed for seconds.
 func TestClosedPortIsNotReady(t *testing.T) {
 	clock := newClock()
-	p := newPressure(0, smallVM, clock.now)
+	p := newPressure(0, smallVMCores, clock.now)
 	round := func() {
-		clock.advance(scanEvery)
-		p.observe(0, scanEvery)
+		clock.advance(tickInterval)
+		p.observe(0, tickInterval)
 	}
-	p.paused.begin(clock.now())
-	clock.advance(roomPoll)
-	p.paused.end(clock.now())
+	p.portClosed.begin(clock.now())
+	clock.advance(capacityPollInterval)
+	p.portClosed.end(clock.now())
 	round()
-	require.True(t, p.welcomes(), "a moment without room is no reason to go")
-	p.paused.begin(clock.now())
+	require.True(t, p.acceptsNewCallers(), "a moment without room is no reason to go")
+	p.portClosed.begin(clock.now())
 	round()
 	round()
-	require.False(t, p.welcomes())
-	p.paused.end(clock.now())
-	for range 2 * int(minAway/scanEvery) {
+	require.False(t, p.acceptsNewCallers())
+	p.portClosed.end(clock.now())
+	for range 2 * int(minNotReady/tickInterval) {
 		round()
 	}
-	require.True(t, p.welcomes())
+	require.True(t, p.acceptsNewCallers())
 }
--- a/transport/edge/messages.go
+++ b/transport/edge/messages.go
@@ -8,26 +8,26 @@
 	"github.com/figstile/figstile/state"
 )
 
-// numbering numbers the upstreams that a peer is told of, so that each name is
+// upstreamNumbering numbers the upstreams that a peer is told of, so that each name is
 // sent once on a session. The zero value is usable.
-type numbering struct {
+type upstreamNumbering struct {
 	numbers map[state.Upstream]uint32
-	// fresh are the names that the peer has not been sent.
-	fresh []string
+	// unsentNames are the names that the peer has not been sent.
+	unsentNames []string
 }
 
-func (n *numbering) number(id state.Upstream) uint32 {
+func (n *upstreamNumbering) number(id state.Upstream) uint32 {
 	number, ok := n.numbers[id]
 	if !ok {
 		number = uint32(len(n.numbers))
 		n.numbers[id] = number
-		n.fresh = append(n.fresh, string(id))
+		n.unsentNames = append(n.unsentNames, string(id))
 	}
 	return number
 }
 
 // loadsMessage builds a message for a peer that knows a numbering.
-func (n *numbering) loadsMessage(loads map[state.Upstream]placement.Load, prompts []placement.PlacedPrompt) *peerpb.Loads {
+func (n *upstreamNumbering) loadsMessage(loads map[state.Upstream]placement.Load, prompts []placement.PlacedPrompt) *peerpb.Loads {
 	message := &peerpb.Loads{Reset_: n.numbers == nil}
 	if n.numbers == nil {
 		n.numbers = make(map[state.Upstream]uint32)
@@ -48,21 +48,21 @@
 			message.Interfering = append(message.Interfering, uint32(i))
 		}
 	}
-	message.Names, n.fresh = n.fresh, nil
+	message.Names, n.unsentNames = n.unsentNames, nil
 	return message
 }
 
 func loadsEnvelope(loads map[state.Upstream]placement.Load, full bool) *peerpb.Envelope {
-	message := new(numbering).loadsMessage(loads, nil)
+	message := new(upstreamNumbering).loadsMessage(loads, nil)
 	message.Full = full
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Loads{Loads: message}}
 }
 
-// names are the upstreams that a peer has numbered.
-type names []state.Upstream
+// upstreamNames are the upstreams that a peer has numbered.
+type upstreamNames []state.Upstream
 
 // extend takes the names of a message.
-func (n names) extend(m *peerpb.Loads) names {
+func (n upstreamNames) extend(m *peerpb.Loads) upstreamNames {
 	if m.GetReset_() {
 		n = nil
 	}
@@ -73,7 +73,7 @@
 }
 
 // loads returns the loads of a message; not ok if it is malformed.
-func (n names) loads(m *peerpb.Loads) (map[state.Upstream]placement.Load, bool) {
+func (n upstreamNames) loads(m *peerpb.Loads) (map[state.Upstream]placement.Load, bool) {
 	if len(m.GetUpstreams()) != len(m.GetRunning()) || len(m.GetUpstreams()) != len(m.GetUnread()) {
 		return nil, false
 	}
@@ -88,7 +88,7 @@
 }
 
 // prompts returns the placed prompts of a message; not ok if it is malformed.
-func (n names) prompts(m *peerpb.Loads) ([]placement.PlacedPrompt, bool) {
+func (n upstreamNames) prompts(m *peerpb.Loads) ([]placement.PlacedPrompt, bool) {
 	if len(m.GetPromptUpstreams()) != len(m.GetPromptParts()) || len(m.GetParts()) != len(m.GetPartTokens()) {
 		return nil, false
 	}
--- a/transport/edge/messages_test.go
+++ b/transport/edge/messages_test.go
@@ -30,10 +30,10 @@
 	return loads, prompts
 }
 
-func TestLoadsKeepTheirNamesOverMessages(t *testing.T) {
+func TestUpstreamNamesAreSentOncePerSession(t *testing.T) {
 	loads, prompts := linkMessage()
-	var sender numbering
-	var receiver names
+	var sender upstreamNumbering
+	var receiver upstreamNames
 	for round := range 3 {
 		m := sender.loadsMessage(loads, prompts)
 		require.Equal(t, round == 0, m.GetReset_())
@@ -46,13 +46,13 @@
 		require.True(t, ok)
 		require.Equal(t, prompts, gotPrompts)
 	}
-	receiver = receiver.extend(new(numbering).loadsMessage(nil, nil))
+	receiver = receiver.extend(new(upstreamNumbering).loadsMessage(nil, nil))
 	require.Empty(t, receiver, "numbers begin anew")
 }
 
 // A message that does not fit together must not be taken in part.
-func TestMalformedLoadsAreRefused(t *testing.T) {
-	n := names{"a", "b"}
+func TestMalformedLoadsAreRejected(t *testing.T) {
+	n := upstreamNames{"a", "b"}
 	for name, m := range map[string]*peerpb.Loads{
 		"unknown number":    {Upstreams: []uint32{2}, Running: []uint32{1}, Unread: []uint32{1}},
 		"lists differ":      {Upstreams: []uint32{0, 1}, Running: []uint32{1}, Unread: []uint32{1, 1}},
@@ -69,8 +69,8 @@
 
 func BenchmarkLinkMessage(b *testing.B) {
 	loads, prompts := linkMessage()
-	var sender numbering
-	receiver := names(nil).extend(sender.loadsMessage(loads, prompts))
+	var sender upstreamNumbering
+	receiver := upstreamNames(nil).extend(sender.loadsMessage(loads, prompts))
 	encode := func() []byte {
 		frame, err := proto.Marshal(sender.loadsMessage(loads, prompts))
 		if err != nil {
--- a/transport/edge/objects.go
+++ b/transport/edge/objects.go
@@ -9,25 +9,25 @@
 	"github.com/figstile/figstile/state"
 )
 
-// announceFrom is the size of an object from which peers are told its revision
+// announceMinBytes is the size of an object from which peers are told its revision
 // only, and fetch it from one that holds it, once.
-const announceFrom = 2 << 10
+const announceMinBytes = 2 << 10
 
 // publishObjects tells peers of objects that are new here.
 func (f *fleet) publishObjects(kind Kind, objects []Object) {
 	peers, _ := f.receivers()
 	for _, o := range objects {
-		f.mesh.SendEach(peers, f.newsEnvelope(kind, o))
+		f.mesh.SendEach(peers, f.changeEnvelope(kind, o))
 	}
 }
 
-// newsEnvelope tells of a changed object: a large configuration by what changed
+// changeEnvelope tells of a changed object: a large configuration by what changed
 // since the one before, or if that is much as well, by its revision.
-func (f *fleet) newsEnvelope(kind Kind, o Object) *peerpb.Envelope {
-	if kind != KindConfig || len(o.Spec) < announceFrom {
+func (f *fleet) changeEnvelope(kind Kind, o Object) *peerpb.Envelope {
+	if kind != KindConfig || len(o.Spec) < announceMinBytes {
 		return objectEnvelope(kind, o)
 	}
-	if change, ok := f.catalogue.lastChange(); ok && len(change.GetValue()) < announceFrom {
+	if change, ok := f.catalogue.encodedLastChange(); ok && len(change.GetValue()) < announceMinBytes {
 		return &peerpb.Envelope{Body: &peerpb.Envelope_ConfigObject{ConfigObject: change}}
 	}
 	return &peerpb.Envelope{Body: &peerpb.Envelope_ConfigVersions{ConfigVersions: &peerpb.ConfigVersions{
@@ -39,33 +39,33 @@
 func (f *fleet) onVersions(from state.Router, m *peerpb.ConfigVersions) {
 	for _, v := range m.GetVersions() {
 		if kind, _, ok := parseKey(v.GetKey()); ok && kind == KindConfig {
-			f.offered(from, v.GetVersion())
+			f.onConfigOffered(from, v.GetVersion())
 		}
 	}
 }
 
-// offered notes that a peer holds a revision of the configuration.
-func (f *fleet) offered(from state.Router, revision uint64) {
-	held := f.catalogue.holding().ConfigRevision
+// onConfigOffered notes that a peer holds a revision of the configuration.
+func (f *fleet) onConfigOffered(from state.Router, revision uint64) {
+	currentRevision := f.catalogue.contentSummary().ConfigRevision
 	f.mu.Lock()
-	f.fetch.Announced(from, revision, held)
+	f.fetch.Announced(from, revision, currentRevision)
 	f.mu.Unlock()
-	f.fetchDue()
+	f.fetchAnnouncedConfig()
 }
 
-// fetchDue asks a peer for a newer configuration, if one was announced.
-func (f *fleet) fetchDue() {
-	held := f.catalogue.configName()
+// fetchAnnouncedConfig asks a peer for a newer configuration, if one was announced.
+func (f *fleet) fetchAnnouncedConfig() {
+	current := f.catalogue.configRef()
 	f.mu.Lock()
 	var from state.Router
 	ask := false
 	if !f.catchUp.AwaitingAnswer(f.now()) {
-		from, ask = f.fetch.NextPeer(f.now(), held.Revision)
+		from, ask = f.fetch.NextPeer(f.now(), current.Revision)
 	}
 	f.mu.Unlock()
 	if ask {
 		f.mesh.Send(from, &peerpb.Envelope{Body: &peerpb.Envelope_ConfigRequest{ConfigRequest: &peerpb.ConfigRequest{
-			Keys: []string{objectKey(KindConfig, held.Name)}, Held: []uint64{held.Revision},
+			Keys: []string{objectKey(KindConfig, current.Name)}, Held: []uint64{current.Revision},
 		}}})
 	}
 }
@@ -73,12 +73,12 @@
 // onConfigRequest sends a peer the configuration, as a change of the one that it
 // holds if that is known here.
 func (f *fleet) onConfigRequest(from state.Router, m *peerpb.ConfigRequest) {
-	held := uint64(0)
+	peerRevision := uint64(0)
 	if len(m.GetHeld()) > 0 {
-		held = m.GetHeld()[0]
+		peerRevision = m.GetHeld()[0]
 	}
-	o, ok := f.catalogue.encodedConfig(held)
-	if !ok || o.GetVersion() <= held {
+	o, ok := f.catalogue.encodedConfig(peerRevision)
+	if !ok || o.GetVersion() <= peerRevision {
 		return
 	}
 	f.mesh.Send(from, &peerpb.Envelope{Body: &peerpb.Envelope_ConfigObject{ConfigObject: o}})
@@ -91,9 +91,9 @@
 		f.log.Warn().Str("peer", string(from)).Str("key", m.GetKey()).Msg("object refused")
 		return
 	}
-	spec, err := f.catalogue.decompress(m)
-	if errors.Is(err, errBaseUnknown) {
-		f.offered(from, m.GetVersion())
+	spec, err := f.catalogue.decodeSpec(m)
+	if errors.Is(err, errUnknownBase) {
+		f.onConfigOffered(from, m.GetVersion())
 		return
 	}
 	if err != nil {
@@ -101,24 +101,24 @@
 		return
 	}
 	o := Object{Name: name, Revision: m.GetVersion(), Removed: m.GetRemoved(), Spec: spec}
-	first := kind == KindConfig && f.catalogue.empty()
-	news := f.catalogue.take(kind, o, string(from))
+	first := kind == KindConfig && f.catalogue.hasNoConfig()
+	changed := f.catalogue.applyObject(kind, o, string(from))
 	if kind == KindConfig {
-		f.onConfigTaken(o.Revision)
+		f.onConfigApplied(o.Revision)
 	}
-	if !news {
+	if !changed {
 		return
 	}
 	if first {
 		// Peers that have just started as well can ask this router now.
 		peers, _ := f.receivers()
-		f.mesh.SendEach(peers, f.readingEnvelope(f.claim()))
+		f.mesh.SendEach(peers, f.readingEnvelope(f.mayClaimReading()))
 	}
 	if kind == KindConfig && !m.GetAnswer() {
-		f.dispatcher.confirm()
+		f.dispatcher.confirmConfig()
 	}
 	if _, tree := f.receivers(); tree && (!m.GetAnswer() || f.isCaughtUp()) {
-		f.passOn(from, f.newsEnvelope(kind, o))
+		f.forward(from, f.changeEnvelope(kind, o))
 	}
 }
 
@@ -128,11 +128,11 @@
 	return f.caughtUp
 }
 
-func (f *fleet) onConfigTaken(revision uint64) {
+func (f *fleet) onConfigApplied(revision uint64) {
 	f.mu.Lock()
 	f.fetch.RevisionReceived(revision)
 	f.mu.Unlock()
-	f.fetchDue()
+	f.fetchAnnouncedConfig()
 }
 
 // sendCatalogue tells a peer all objects that are held and that it may lack.
@@ -141,12 +141,12 @@
 		o.Answer = true
 		f.send(to, &peerpb.Envelope{Body: &peerpb.Envelope_ConfigObject{ConfigObject: o}})
 	}
-	for _, o := range f.catalogue.upstreams() {
+	for _, o := range f.catalogue.upstreamObjects() {
 		env := objectEnvelope(KindUpstream, o)
 		env.GetConfigObject().Answer = true
 		f.send(to, env)
 	}
-	end := &peerpb.CatalogueEnd{Holds: !f.catalogue.empty(), ReadsStore: f.claim()}
+	end := &peerpb.CatalogueEnd{Holds: !f.catalogue.hasNoConfig(), ReadsStore: f.mayClaimReading()}
 	f.send(to, &peerpb.Envelope{Body: &peerpb.Envelope_CatalogueEnd{CatalogueEnd: end}})
 }
 
--- a/transport/edge/observer.go
+++ b/transport/edge/observer.go
@@ -33,20 +33,20 @@
 // Finished implements ingress.Observer.
 func (o observer) Finished(rec ingress.Record) {
 	if rec.Attempts == 0 && rec.Result.Code != result.OK {
-		o.pressure.refused()
+		o.pressure.countRefusal()
 	}
 	series := o.metrics.For(rec.Workspace, rec.Class)
 	for range rec.Attempts {
-		series.Dispatched(rec.Wait)
+		series.Dispatched(rec.QueueWait)
 	}
-	if rec.First > 0 {
-		series.FirstByte(rec.First)
+	if rec.FirstOutput > 0 {
+		series.FirstByte(rec.FirstOutput)
 	}
-	series.Finished(rec.Result, rec.Total, 0)
+	series.Finished(rec.Result, rec.TotalTime, 0)
 }
 
-// Between implements ingress.Observer.
-func (o observer) Between(ws state.Workspace, class string, gap time.Duration) {
-	o.pressure.work.AddEvent()
+// ObserveEventGap implements ingress.Observer.
+func (o observer) ObserveEventGap(ws state.Workspace, class string, gap time.Duration) {
+	o.pressure.cpuEstimate.AddEvent()
 	o.metrics.For(ws, class).Between(gap)
 }
--- a/transport/edge/outbox.go
+++ b/transport/edge/outbox.go
@@ -24,10 +24,10 @@
 	refused []uint32
 	// numbering is of the upstreams that the peer was told of; used by
 	// publishSums alone.
-	numbering numbering
-	// sent is when the peer was last told anything, summed when it was told all
+	numbering upstreamNumbering
+	// sentAt is when the peer was last told anything, summed when it was told all
 	// sums.
-	sent, summed time.Time
+	sentAt, fullSumsSentAt time.Time
 }
 
 func (o *outbox) add(prompts []placement.PlacedPrompt, refused []uint32) {
@@ -39,7 +39,7 @@
 func (f *fleet) outboxes() map[state.Router]*outbox {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return maps.Clone(f.links)
+	return maps.Clone(f.linkOutboxes)
 }
 
 // enqueue queues prompts and refusals for all links but one. Refusals stay in
@@ -47,11 +47,11 @@
 func (f *fleet) enqueue(prompts []placement.PlacedPrompt, refused []uint32, except state.Router) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for router, box := range f.links {
+	for router, box := range f.linkOutboxes {
 		if router == except {
 			continue
 		}
-		if !f.isNear(router) {
+		if !f.inSameDataCentre(router) {
 			box.add(prompts, nil)
 			continue
 		}
@@ -59,31 +59,31 @@
 	}
 }
 
-// isNear says whether a peer is of this data centre. The caller holds the lock.
-func (f *fleet) isNear(router state.Router) bool {
+// inSameDataCentre says whether a peer is of this data centre. The caller holds the lock.
+func (f *fleet) inSameDataCentre(router state.Router) bool {
 	dc, ok := f.overlay.DataCentre(router)
 	return ok && dc == f.self.DataCentre
 }
 
-// publishSums tells each link the sums of this side, or what changed of them,
+// publishLoadSums tells each link the sums of this side, or what changed of them,
 // with what waits for it.
-func (f *fleet) publishSums(now time.Time) {
+func (f *fleet) publishLoadSums(now time.Time) {
 	for router, box := range f.outboxes() {
 		f.mu.Lock()
 		prompts, refused := box.prompts, box.refused
 		box.prompts, box.refused = nil, nil
-		all := now.Sub(box.summed) >= sumsEvery
+		all := now.Sub(box.fullSumsSentAt) >= fullSumsInterval
 		f.mu.Unlock()
-		loads := f.dispatcher.takeSums(router, all)
-		if !all && len(loads)+len(prompts)+len(refused) == 0 && now.Sub(box.sent) < aliveEvery {
+		loads := f.dispatcher.takeLoadSums(router, all)
+		if !all && len(loads)+len(prompts)+len(refused) == 0 && now.Sub(box.sentAt) < heartbeatInterval {
 			continue
 		}
 		message := box.numbering.loadsMessage(loads, prompts)
 		message.Full, message.Refused = all, refused
 		f.mesh.Send(router, &peerpb.Envelope{Body: &peerpb.Envelope_Loads{Loads: message}})
-		box.sent = now
+		box.sentAt = now
 		if all {
-			box.summed = now
+			box.fullSumsSentAt = now
 		}
 	}
 }
--- a/transport/edge/pauses.go
+++ b/transport/edge/pauses.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// pauses measures how long a router turned away all new connections.
-type pauses struct {
+// closedTimer measures how long a router turned away all new connections.
+type closedTimer struct {
 	mu    sync.Mutex
 	since time.Time
 	total time.Duration
 }
 
-func (p *pauses) begin(now time.Time) {
+func (p *closedTimer) begin(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.since = now
 }
 
-func (p *pauses) end(now time.Time) {
+func (p *closedTimer) end(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.since.IsZero() {
@@ -28,7 +28,7 @@
 }
 
 // sum returns the time of all pauses, that under way included.
-func (p *pauses) sum(now time.Time) time.Duration {
+func (p *closedTimer) sum(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.since.IsZero() {
--- a/transport/edge/platform.go
+++ b/transport/edge/platform.go
@@ -15,7 +15,7 @@
 var (
 	// ErrHistoryGone: the changes since a revision are no longer held; list
 	// anew.
-	ErrHistoryGone = errors.New("edge: the store's history is gone")
+	ErrHistoryExpired = errors.New("edge: the store's history is gone")
 	// ErrUnavailable: the store did nothing, or its answer did not come.
 	ErrUnavailable = errors.New("edge: the store is unavailable")
 )
@@ -50,8 +50,8 @@
 	Spec []byte
 }
 
-// Objects is the store.
-type Objects interface {
+// ObjectStore is the store.
+type ObjectStore interface {
 	// List returns all objects of a kind and the revision they were read at.
 	List(ctx context.Context, kind Kind) ([]Object, uint64, error)
 	// Watch waits for changes after a revision, at most for wait, and returns
@@ -61,7 +61,7 @@
 
 // Platform is the store with its formats.
 type Platform interface {
-	Objects
+	ObjectStore
 	ingress.Dialect
 	// DecodeConfig reads a configuration. It calls yield between parts of a
 	// large one. It is not called concurrently.
@@ -95,8 +95,8 @@
 	// MaxFiles is the number of descriptors the process may open; 0 if not
 	// limited.
 	MaxFiles int
-	// Processors is the VM's share in cores; 0 if not limited.
-	Processors float64
+	// CPUCores is the VM's share in cores; 0 if not limited.
+	CPUCores float64
 	// GracePeriod is how long a stop may take.
 	GracePeriod time.Duration
 	// Retries bound repeats over the fleet.
--- a/transport/edge/pressure_test.go
+++ b/transport/edge/pressure_test.go
@@ -19,51 +19,51 @@
 	p := newPressure(1000+reservedFiles, 0, frozen)
 	open := func(n int) {
 		for range n {
-			p.changed(nil, http.StateNew)
+			p.connStateChanged(nil, http.StateNew)
 		}
 	}
 	open(250)
-	require.False(t, p.crowded())
+	require.False(t, p.shouldCloseCallers())
 	open(1)
-	require.True(t, p.crowded())
-	busy, changed := p.observe(0, scanEvery)
-	require.False(t, busy || changed)
-	p.upstreams.Add(260)
-	busy, changed = p.observe(0, scanEvery)
-	require.True(t, busy && changed)
-	require.False(t, p.full())
-	p.upstreams.Add(400)
-	require.True(t, p.full())
-	p.upstreams.Add(-500)
-	busy, _ = p.observe(0, scanEvery)
-	require.True(t, busy, "not calm yet")
-	p.upstreams.Add(-100)
-	busy, changed = p.observe(0, scanEvery)
-	require.True(t, !busy && changed)
+	require.True(t, p.shouldCloseCallers())
+	overloaded, changed := p.observe(0, tickInterval)
+	require.False(t, overloaded || changed)
+	p.upstreamConns.Add(260)
+	overloaded, changed = p.observe(0, tickInterval)
+	require.True(t, overloaded && changed)
+	require.False(t, p.atCapacity())
+	p.upstreamConns.Add(400)
+	require.True(t, p.atCapacity())
+	p.upstreamConns.Add(-500)
+	overloaded, _ = p.observe(0, tickInterval)
+	require.True(t, overloaded, "not calm yet")
+	p.upstreamConns.Add(-100)
+	overloaded, changed = p.observe(0, tickInterval)
+	require.True(t, !overloaded && changed)
 }
 
 func TestPressureByLateness(t *testing.T) {
 	p := newPressure(0, 0, frozen)
 	for range 20 {
-		p.observe(20*time.Millisecond, scanEvery)
+		p.observe(20*time.Millisecond, tickInterval)
 	}
-	require.False(t, p.busy.Load())
+	require.False(t, p.overloaded.Load())
 	for range 10 {
-		p.observe(300*time.Millisecond, scanEvery)
+		p.observe(300*time.Millisecond, tickInterval)
 	}
-	require.True(t, p.busy.Load())
+	require.True(t, p.overloaded.Load())
 	for range 20 {
-		p.observe(0, scanEvery)
+		p.observe(0, tickInterval)
 	}
-	require.False(t, p.busy.Load())
-	require.False(t, p.full(), "no limit of descriptors is known")
+	require.False(t, p.overloaded.Load())
+	require.False(t, p.atCapacity(), "no limit of descriptors is known")
 }
 
 func TestCountedConnCountsOnce(t *testing.T) {
 	closed := 0
 	a, b := net.Pipe()
 	defer b.Close()
-	c := &countedConn{Conn: a, closed: func() { closed++ }}
+	c := &countedConn{Conn: a, onClose: func() { closed++ }}
 	require.NoError(t, c.Close())
 	_ = c.Close()
 	require.Equal(t, 1, closed)
@@ -71,29 +71,29 @@
 
 // A small VM gets most callers of its data centre. Its timers still fire in
 // time while its part of a core is used up and requests wait in its sockets.
-func TestPressureByWork(t *testing.T) {
+func TestPressureByCPUUse(t *testing.T) {
 	p := newPressure(0, 0.2, frozen)
 	relay := func(perSecond int) {
 		for range 40 {
 			for range perSecond / 10 {
-				p.work.AddEvent()
+				p.cpuEstimate.AddEvent()
 			}
-			p.observe(0, scanEvery)
+			p.observe(0, tickInterval)
 		}
 	}
 	relay(3000)
-	require.False(t, p.busy.Load())
+	require.False(t, p.overloaded.Load())
 	relay(5000)
-	require.True(t, p.busy.Load())
-	require.False(t, p.tight())
+	require.True(t, p.overloaded.Load())
+	require.False(t, p.nearCapacity())
 	relay(6400)
-	require.True(t, p.tight())
-	require.False(t, p.full())
+	require.True(t, p.nearCapacity())
+	require.False(t, p.atCapacity())
 	relay(8000)
-	require.True(t, p.full())
+	require.True(t, p.atCapacity())
 	relay(3800)
-	require.False(t, p.full())
-	require.True(t, p.busy.Load(), "not calm yet")
+	require.False(t, p.atCapacity())
+	require.True(t, p.overloaded.Load(), "not calm yet")
 	relay(2500)
-	require.False(t, p.busy.Load())
+	require.False(t, p.overloaded.Load())
 }
--- a/transport/edge/prober.go
+++ b/transport/edge/prober.go
@@ -9,30 +9,30 @@
 	"github.com/figstile/figstile/transport/pause"
 )
 
-// probeEachAfter is the pause between rounds of probes. A partition that heals
+// probeInterval is the pause between rounds of probes. A partition that heals
 // is noticed within it; a probe is one connection, made while the upstream
 // gets no requests.
-const probeEachAfter = 400 * time.Millisecond
+const probeInterval = 400 * time.Millisecond
 
-// probe finds out which unreachable upstreams can be reached again, so that no
+// probeUnreachable finds out which unreachable upstreams can be reached again, so that no
 // request has to be the one that tries.
-func (r *Router) probe(ctx context.Context) {
+func (r *Router) probeUnreachable(ctx context.Context) {
 	dialer := NewDialer()
-	for pause.For(ctx, probeEachAfter) == nil {
+	for pause.For(ctx, probeInterval) == nil {
 		var round sync.WaitGroup
-		for _, u := range r.dispatcher.unreachable() {
-			round.Go(func() { r.probeOne(ctx, dialer.DialContext, u) })
+		for _, u := range r.dispatcher.unreachableUpstreams() {
+			round.Go(func() { r.probeUpstream(ctx, dialer.DialContext, u) })
 		}
 		round.Wait()
 	}
 }
 
-func (r *Router) probeOne(ctx context.Context, dial dialFunc, u directory.Upstream) {
+func (r *Router) probeUpstream(ctx context.Context, dial dialFunc, u directory.Upstream) {
 	conn, err := dial(ctx, "tcp", u.Address)
 	if err != nil {
 		return
 	}
 	_ = conn.Close()
-	r.dispatcher.reached(u.ID)
+	r.dispatcher.markReachable(u.ID)
 	r.log.Info().Str("upstream", string(u.ID)).Msg("upstream reached again")
 }
--- a/transport/edge/publish.go
+++ b/transport/edge/publish.go
@@ -12,7 +12,7 @@
 
 // run tells peers of loads and spending until the context ends.
 func (f *fleet) run(ctx context.Context) {
-	ticker := time.NewTicker(scanEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	// urgent fires when a long prompt has waited its gap.
 	urgent := time.NewTimer(time.Hour)
@@ -24,57 +24,57 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.dispatcher.urgent:
+		case <-f.dispatcher.urgentPublish:
 			if !waiting {
 				waiting = true
-				urgent.Reset(max(f.urgentGap()-f.now().Sub(last.loads), 0))
+				urgent.Reset(max(f.urgentInterval()-f.now().Sub(last.loadsSentAt), 0))
 			}
 		case <-urgent.C:
 			waiting = false
-			last.loads = f.publishLoads(f.now(), last.loads)
+			last.loadsSentAt = f.publishLoads(f.now(), last.loadsSentAt)
 		case <-ticker.C:
-			f.publishSettled()
-			f.giveUpStalled()
+			f.publishConfirmedRemovals()
+			f.checkStalled()
 			f.tickOverlay()
 			f.fetchCatalogue()
-			f.fetchDue()
+			f.fetchAnnouncedConfig()
 			f.publishDue(&last)
 		}
 	}
 }
 
-func (f *fleet) urgentGap() time.Duration {
+func (f *fleet) urgentInterval() time.Duration {
 	peers, tree := f.receivers()
 	if !tree {
-		return urgentGap
+		return minUrgentGap
 	}
-	return max(urgentGap, time.Duration(len(peers))*linkGap)
+	return max(minUrgentGap, time.Duration(len(peers))*urgentGapPerLink)
 }
 
-// publishSettled tells peers of upstreams that are gone after it was in doubt.
-func (f *fleet) publishSettled() {
-	if gone := f.catalogue.settleLapsed(); len(gone) > 0 {
-		f.publishObjects(KindUpstream, gone)
+// publishConfirmedRemovals tells peers of upstreams that are gone after it was in doubt.
+func (f *fleet) publishConfirmedRemovals() {
+	if removed := f.catalogue.confirmDueRemovals(); len(removed) > 0 {
+		f.publishObjects(KindUpstream, removed)
 	}
 }
 
 // publishTimes are when peers were last told of what.
 type publishTimes struct {
-	reading  bool
-	claim    time.Time
-	loads    time.Time
-	spending time.Time
+	readingSent    bool
+	readingSentAt  time.Time
+	loadsSentAt    time.Time
+	spendingSentAt time.Time
 }
 
 // publishDue tells peers what is due.
 func (f *fleet) publishDue(last *publishTimes) {
 	now := f.now()
 	f.publishReading(now, last)
-	if now.Sub(last.loads) >= loadsEvery {
-		last.loads = f.publishLoads(now, last.loads)
+	if now.Sub(last.loadsSentAt) >= loadsInterval {
+		last.loadsSentAt = f.publishLoads(now, last.loadsSentAt)
 	}
-	if now.Sub(last.spending) >= spendingEvery {
-		last.spending = now
+	if now.Sub(last.spendingSentAt) >= spendingInterval {
+		last.spendingSentAt = now
 		f.publishSpending(now)
 	}
 }
@@ -82,11 +82,11 @@
 // publishReading tells all peers that this router follows the store, and once
 // that it no longer does.
 func (f *fleet) publishReading(now time.Time, last *publishTimes) {
-	reading := f.claim()
-	if reading == last.reading && (!reading || now.Sub(last.claim) < aliveEvery) {
+	reading := f.mayClaimReading()
+	if reading == last.readingSent && (!reading || now.Sub(last.readingSentAt) < heartbeatInterval) {
 		return
 	}
-	last.reading, last.claim = reading, now
+	last.readingSent, last.readingSentAt = reading, now
 	env := f.readingEnvelope(reading)
 	env.GetReading().Router = string(f.self.Router)
 	peers, _ := f.receivers()
@@ -96,18 +96,18 @@
 // publishLoads tells what has changed, or after a while that nothing has, and
 // returns when peers were last told.
 func (f *fleet) publishLoads(now, last time.Time) time.Time {
-	placed, refused := f.dispatcher.takePlaced(), f.dispatcher.takeRefused()
+	placed, refused := f.dispatcher.takePlacedPrompts(), f.dispatcher.takeRefusedRequests()
 	peers, tree := f.receivers()
 	if tree {
 		f.enqueue(placed, refused, "")
-		f.publishSums(now)
+		f.publishLoadSums(now)
 		return now
 	}
 	loads := f.dispatcher.takeChangedLoads()
-	if len(loads) == 0 && len(placed) == 0 && len(refused) == 0 && now.Sub(last) < aliveEvery {
+	if len(loads) == 0 && len(placed) == 0 && len(refused) == 0 && now.Sub(last) < heartbeatInterval {
 		return last
 	}
-	message := new(numbering).loadsMessage(loads, placed)
+	message := new(upstreamNumbering).loadsMessage(loads, placed)
 	message.Refused = refused
 	f.mesh.SendEach(peers, &peerpb.Envelope{Body: &peerpb.Envelope_Loads{Loads: message}})
 	return now
@@ -117,7 +117,7 @@
 	peers, tree := f.receivers()
 	if tree {
 		for _, router := range peers {
-			if usage := f.dispatcher.spendingBeyond(router); len(usage) > 0 {
+			if usage := f.dispatcher.spendingForLink(router); len(usage) > 0 {
 				f.mesh.Send(router, spendingEnvelope(usage))
 			}
 		}
@@ -128,8 +128,8 @@
 	}
 }
 
-// sendLost tells peers of a request under which an upstream fell.
-func (f *fleet) sendLost(fingerprint state.Fingerprint, run quarantine.Run) {
+// sendLostRequest tells peers of a request under which an upstream fell.
+func (f *fleet) sendLostRequest(fingerprint state.Fingerprint, run quarantine.Run) {
 	peers, _ := f.receivers()
 	f.mesh.SendEach(peers, &peerpb.Envelope{Body: &peerpb.Envelope_Crash{Crash: &peerpb.Crash{
 		Fingerprint: uint64(fingerprint), Upstream: string(run.Upstream), Boot: run.Boot,
@@ -137,7 +137,7 @@
 }
 
 func (f *fleet) readingEnvelope(reads bool) *peerpb.Envelope {
-	holding := f.catalogue.holding()
+	holding := f.catalogue.contentSummary()
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Reading{Reading: &peerpb.Reading{
 		Store: reads, ConfigRevision: holding.ConfigRevision, Upstreams: holding.UpstreamsDigest,
 	}}}
--- a/transport/edge/receive.go
+++ b/transport/edge/receive.go
@@ -47,61 +47,61 @@
 	f.overlay.MarkAlive(f.now(), from)
 }
 
-// counts says whether what a peer tells of work counts: with links, only what
+// acceptsLoadFrom says whether what a peer tells of work counts: with links, only what
 // comes over one of them.
-func (f *fleet) counts(from state.Router) bool {
+func (f *fleet) acceptsLoadFrom(from state.Router) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.overlay.TreeMode() || f.links[from] != nil
+	return !f.overlay.TreeMode() || f.linkOutboxes[from] != nil
 }
 
 // onLoads takes what a peer, or all on its side of a link, have at upstreams.
 func (f *fleet) onLoads(from state.Router, m *peerpb.Loads) {
-	named := f.named(from, m)
-	loads, loadsOK := named.loads(m)
-	prompts, promptsOK := named.prompts(m)
-	if !f.counts(from) || len(m.GetRefused()) > wire.MaxEntries {
+	upstreams := f.extendNames(from, m)
+	loads, loadsOK := upstreams.loads(m)
+	prompts, promptsOK := upstreams.prompts(m)
+	if !f.acceptsLoadFrom(from) || len(m.GetRefused()) > wire.MaxEntries {
 		return
 	}
 	if !loadsOK || !promptsOK {
 		f.log.Warn().Str("peer", string(from)).Msg("malformed loads")
 		return
 	}
-	f.dispatcher.heardLoads(from, loads, m.GetFull())
-	f.dispatcher.heardPlaced(prompts)
-	f.dispatcher.heardRefused(m.GetRefused())
+	f.dispatcher.receiveLoads(from, loads, m.GetFull())
+	f.dispatcher.receivePlacedPrompts(prompts)
+	f.dispatcher.receiveRefusedRequests(m.GetRefused())
 	if peers, tree := f.receivers(); tree && len(peers) > 1 && len(loads)+len(prompts)+len(m.GetRefused()) > 0 {
 		f.enqueue(prompts, m.GetRefused(), from)
-		f.dispatcher.wakeUp()
+		f.dispatcher.requestPublish()
 	}
 }
 
-// named returns the upstreams that a peer has numbered, those of a message
+// extendNames returns the upstreams that a peer has numbered, those of a message
 // included.
-func (f *fleet) named(from state.Router, m *peerpb.Loads) names {
+func (f *fleet) extendNames(from state.Router, m *peerpb.Loads) upstreamNames {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.names[from] = f.names[from].extend(m)
-	return f.names[from]
+	f.peerNames[from] = f.peerNames[from].extend(m)
+	return f.peerNames[from]
 }
 
 // onSpending takes the counts of a peer, or of all on its side of a link.
 func (f *fleet) onSpending(from state.Router, m *peerpb.Spending) {
-	if !f.counts(from) || len(m.GetEntries()) > wire.MaxEntries {
+	if !f.acceptsLoadFrom(from) || len(m.GetEntries()) > wire.MaxEntries {
 		return
 	}
 	usage := make(map[state.Workspace]shares.Usage, len(m.GetEntries()))
 	for _, e := range m.GetEntries() {
 		usage[state.Workspace(e.GetWorkspace())] = shares.Usage{Requested: float64(e.GetAsked()), Admitted: float64(e.GetAdmitted())}
 	}
-	f.dispatcher.heardSpending(from, usage)
+	f.dispatcher.receiveSpending(from, usage)
 }
 
 // onCrash takes a peer's word that an upstream broke off under a request.
 func (f *fleet) onCrash(from state.Router, m *peerpb.Crash, env *peerpb.Envelope) {
-	f.dispatcher.heardLost(state.Fingerprint(m.GetFingerprint()),
+	f.dispatcher.receiveLost(state.Fingerprint(m.GetFingerprint()),
 		quarantine.Run{Upstream: state.Upstream(m.GetUpstream()), Boot: m.GetBoot()})
-	f.passOn(from, env)
+	f.forward(from, env)
 }
 
 // onReading takes a router's word on whether it follows the store.
@@ -109,49 +109,49 @@
 	reader := from
 	if m.GetRouter() != "" {
 		reader = state.Router(m.GetRouter())
-		f.passOn(from, &peerpb.Envelope{Body: &peerpb.Envelope_Reading{Reading: m}})
+		f.forward(from, &peerpb.Envelope{Body: &peerpb.Envelope_Reading{Reading: m}})
 	}
-	own, theirs := f.catalogue.holding(), exchange.StateSummary{ConfigRevision: m.GetConfigRevision(), UpstreamsDigest: m.GetUpstreams()}
+	ownSummary, readerSummary := f.catalogue.contentSummary(), exchange.StateSummary{ConfigRevision: m.GetConfigRevision(), UpstreamsDigest: m.GetUpstreams()}
 	f.mu.Lock()
-	f.catchUp.SummaryReceived(f.now(), reader, theirs, own)
+	f.catchUp.SummaryReceived(f.now(), reader, readerSummary, ownSummary)
 	if m.GetStore() {
-		f.claims[reader] = readerWord{heard: f.now(), upstreams: theirs.UpstreamsDigest}
-		f.catchUp.CompareWithReader(f.now(), reader, theirs, own)
+		f.readerClaims[reader] = readerClaim{receivedAt: f.now(), upstreamDigest: readerSummary.UpstreamsDigest}
+		f.catchUp.CompareWithReader(f.now(), reader, readerSummary, ownSummary)
 	} else {
-		delete(f.claims, reader)
+		delete(f.readerClaims, reader)
 	}
 	f.mu.Unlock()
 	f.fetchCatalogue()
 	if m.GetStore() {
-		f.dispatcher.confirm()
+		f.dispatcher.confirmConfig()
 	}
 }
 
 // fetchCatalogue asks a peer for all objects if some may be missing here, or
 // upstreams may be gone that are still used.
 func (f *fleet) fetchCatalogue() {
-	doubtful, own := f.catalogue.doubtful(), f.catalogue.holding()
+	pendingRemovals, ownSummary := f.catalogue.hasPendingRemovals(), f.catalogue.contentSummary()
 	f.mu.Lock()
-	if doubtful {
-		f.catchUp.SuspectUpstreams(f.now(), f.self, f.otherwiseInformed(f.now(), own.UpstreamsDigest))
+	if pendingRemovals {
+		f.catchUp.SuspectUpstreams(f.now(), f.self, f.readersWithOtherUpstreams(f.now(), ownSummary.UpstreamsDigest))
 	} else {
 		f.catchUp.ClearSuspicion()
 	}
-	router, ask := f.catchUp.NextPeer(f.now(), f.self, f.reachable())
-	request := &peerpb.CatalogueRequest{ConfigRevision: max(own.ConfigRevision, f.fetch.ExpectedRevision())}
+	router, ask := f.catchUp.NextPeer(f.now(), f.self, f.catalogueSources())
+	request := &peerpb.CatalogueRequest{ConfigRevision: max(ownSummary.ConfigRevision, f.fetch.ExpectedRevision())}
 	f.mu.Unlock()
 	if ask {
 		f.send(router, &peerpb.Envelope{Body: &peerpb.Envelope_CatalogueRequest{CatalogueRequest: request}})
 	}
 }
 
-// reachable returns the peers that a catalogue can be asked of without others
+// catalogueSources returns the peers that a catalogue can be asked of without others
 // between. The caller holds the lock.
-func (f *fleet) reachable() []scheduler.Peer {
+func (f *fleet) catalogueSources() []scheduler.Peer {
 	if f.overlay.TreeMode() {
 		return f.overlay.Sessions()
 	}
-	return f.live
+	return f.livePeers
 }
 
 // onCatalogueEnd takes the end of a peer's answer. A router that has just
@@ -163,6 +163,6 @@
 	f.caughtUp = f.caughtUp || m.GetHolds()
 	f.mu.Unlock()
 	if m.GetHolds() && m.GetReadsStore() {
-		f.dispatcher.confirm()
+		f.dispatcher.confirmConfig()
 	}
 }
