--- a/transport/edge/router.go
+++ b/transport/edge/router.go
@@ -30,47 +30,47 @@
 	// memoryShare of the VM's memory is what Go's runtime aims to stay
 	// within; stacks of the kernel's sockets count on top.
 	memoryShare = 0.7
-	// upstreamKeep is how long an unused connection to an upstream is kept.
+	// upstreamKeepIdle is how long an unused connection to an upstream is kept.
 	// It is short, because a request that meets the upstream's own close is
 	// lost with an unknown outcome.
-	upstreamKeep = 2 * time.Second
-	// upstreamIdle bounds unused connections to one upstream: all routers
+	upstreamKeepIdle = 2 * time.Second
+	// maxIdlePerUpstream bounds unused connections to one upstream: all routers
 	// share what it accepts.
-	upstreamIdle = 8
+	maxIdlePerUpstream = 8
 	// headerTimeout and headerBytes bound callers' heads before the
 	// configuration's own limit is looked at.
-	headerTimeout = 5 * time.Second
-	headerBytes   = 64 << 10
-	// flushTimeout bounds the end of the sessions with peers at a stop. Little is
+	headerTimeout  = 5 * time.Second
+	maxHeaderBytes = 64 << 10
+	// peerFlushTimeout bounds the end of the sessions with peers at a stop. Little is
 	// left of the grace period by then: beside one peer that does not read, such
 	// as one that stops as well, the process was killed and its last log lines
 	// were lost.
-	flushTimeout = 150 * time.Millisecond
+	peerFlushTimeout = 150 * time.Millisecond
 	// fleetName keeps routers apart that talk to different stores.
 	fleetName = "edge"
 )
 
 // Router is one router.
 type Router struct {
-	settings   Settings
-	log        zerolog.Logger
-	dispatcher *dispatcher
-	catalogue  *catalogue
-	fleet      *fleet
-	mesh       *peer.Mesh
-	followers  []*follower
-	metrics    *metrics.Metrics
-	handler    *ingress.Handler
-	pressure   *pressure
-	conns      *conntrack.Tracker
-	// logged is the work that was told of, pausedBefore the time of pauses; used by
+	settings    Settings
+	log         zerolog.Logger
+	dispatcher  *dispatcher
+	catalogue   *catalogue
+	fleet       *fleet
+	mesh        *peer.Mesh
+	followers   []*follower
+	metrics     *metrics.Metrics
+	handler     *ingress.Handler
+	pressure    *pressure
+	connTracker *conntrack.Tracker
+	// loggedTotals is the work that was told of, pausedBefore the time of pauses; used by
 	// tend alone.
-	logged       workload.Totals
-	pausedBefore time.Duration
+	loggedTotals     workload.Totals
+	loggedClosedTime time.Duration
 
-	callers *callerListener
-	ready   net.Listener
-	figures net.Listener
+	callerListener  *callerListener
+	readyListener   net.Listener
+	metricsListener net.Listener
 }
 
 // New opens the listeners and wires a router.
@@ -79,27 +79,27 @@
 		debug.SetMemoryLimit(int64(float64(settings.MemoryBytes) * memoryShare))
 	}
 	r := &Router{
-		settings:   settings,
-		log:        log,
-		dispatcher: newDispatcher(settings, boottime.Now),
-		conns:      conntrack.New(boottime.Now),
-		metrics:    metrics.New(settings.Router, settings.DataCentre),
+		settings:    settings,
+		log:         log,
+		dispatcher:  newDispatcher(settings, boottime.Now),
+		connTracker: conntrack.New(boottime.Now),
+		metrics:     metrics.New(settings.Router, settings.DataCentre),
 	}
 	r.catalogue = newCatalogue(platform, r.dispatcher, log, boottime.Now)
 	r.pressure = r.dispatcher.pressure
 	r.fleet = newFleet(scheduler.Peer{Router: settings.Router, DataCentre: settings.DataCentre}, r.dispatcher, r.catalogue, log, boottime.Now)
-	r.fleet.readDelay = readDelay(settings)
+	r.fleet.storeReadDelay = storeReadDelay(settings)
 	incarnation := state.Incarnation(time.Now().UnixNano())
 	r.fleet.join(membership.Member{
 		Router: settings.Router, DataCentre: settings.DataCentre, Incarnation: incarnation, Address: settings.Addresses.Peers,
-		Capacity: capacity(settings),
+		Capacity: cpuHundredths(settings),
 	})
-	r.openCallers(platform)
+	r.newHandler(platform)
 	for _, kind := range []Kind{KindConfig, KindUpstream} {
 		r.followers = append(r.followers, &follower{
 			kind: kind, store: platform, catalogue: r.catalogue, log: log,
-			reads: r.fleet.reads, onAnswer: r.fleet.onAnswer, onFailure: r.fleet.onFailure, onNews: r.fleet.publishObjects,
-			retryPause: r.fleet.retryPause,
+			shouldRead: r.fleet.shouldReadStore, onAnswer: r.fleet.onStoreAnswer, onFailure: r.fleet.onStoreFailure, onChanged: r.fleet.publishObjects,
+			retryDelay: r.fleet.retryDelay,
 		})
 	}
 	if err := r.listen(incarnation); err != nil {
@@ -109,41 +109,41 @@
 	return r, nil
 }
 
-// readDelay returns how long a router waits for its peers before it reads the
+// storeReadDelay returns how long a router waits for its peers before it reads the
 // store. Seeds have nobody to wait for.
-func readDelay(settings Settings) time.Duration {
+func storeReadDelay(settings Settings) time.Duration {
 	switch {
 	case len(settings.Seeds) == 0 || slices.Contains(settings.Seeds, settings.Addresses.Peers):
 		return 0
 	case settings.FirstStart:
-		return firstReadDelay
+		return firstStartReadDelay
 	default:
 		return startReadDelay
 	}
 }
 
-func (r *Router) openCallers(platform Platform) {
+func (r *Router) newHandler(platform Platform) {
 	r.handler = ingress.NewHandler(ingress.Options{
 		Dialect:    platform,
 		Dispatcher: r.dispatcher,
 		Client: upstream.NewClient(upstream.ClientOptions{
 			Dial:            r.pressure.dial(NewDialer().DialContext),
 			EchoHeader:      platform.AttemptHeader(),
-			KeepIdle:        upstreamKeep,
-			IdlePerUpstream: upstreamIdle,
+			KeepIdle:        upstreamKeepIdle,
+			IdlePerUpstream: maxIdlePerUpstream,
 			AcceptUnframed:  true,
 		}),
-		Observer: observer{metrics: r.metrics, pressure: r.pressure},
-		Log:      r.log,
-		Now:      boottime.Now,
-		Crowded:  r.pressure.crowded,
-		Left:     callerLeft,
-		Waited:   r.pressure.arrivals.waited,
+		Observer:     observer{metrics: r.metrics, pressure: r.pressure},
+		Log:          r.log,
+		Now:          boottime.Now,
+		ShouldClose:  r.pressure.shouldCloseCallers,
+		CallerClosed: callerClosed,
+		ReadDelay:    r.pressure.readDelay.requestDelay,
 	})
 }
 
-// capacity returns the processor share of the VM in hundredths of a core.
-func capacity(settings Settings) uint32 { return uint32(math.Round(settings.Processors * 100)) }
+// cpuHundredths returns the processor share of the VM in hundredths of a core.
+func cpuHundredths(settings Settings) uint32 { return uint32(math.Round(settings.CPUCores * 100)) }
 
 func (r *Router) listen(incarnation state.Incarnation) error {
 	var err error
@@ -156,7 +156,7 @@
 				Incarnation: incarnation,
 			},
 			Fleet:    fleetName,
-			Capacity: capacity(r.settings),
+			Capacity: cpuHundredths(r.settings),
 		},
 		SoleProcess: true,
 		Listen:      r.settings.Addresses.Peers,
@@ -164,7 +164,7 @@
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		},
-		FlushTimeout:     flushTimeout,
+		FlushTimeout:     peerFlushTimeout,
 		Handler:          r.fleet.onEnvelope,
 		OnPeers:          r.fleet.onPeers,
 		OnSession:        r.fleet.onSession,
@@ -176,26 +176,26 @@
 		return fmt.Errorf("peer listener: %w", err)
 	}
 	r.fleet.mesh = r.mesh
-	if r.callers, err = listenCallers(r.settings.Addresses.Callers, r.pressure, r.log); err != nil {
+	if r.callerListener, err = listenCallers(r.settings.Addresses.Callers, r.pressure, r.log); err != nil {
 		return fmt.Errorf("caller listener: %w", err)
 	}
-	if r.ready, err = net.Listen("tcp", r.settings.Addresses.Ready); err != nil {
+	if r.readyListener, err = net.Listen("tcp", r.settings.Addresses.Ready); err != nil {
 		return fmt.Errorf("readiness listener: %w", err)
 	}
 	if r.settings.Addresses.Metrics == "" {
 		return nil
 	}
-	if r.figures, err = net.Listen("tcp", r.settings.Addresses.Metrics); err != nil {
+	if r.metricsListener, err = net.Listen("tcp", r.settings.Addresses.Metrics); err != nil {
 		return fmt.Errorf("metrics listener: %w", err)
 	}
 	return nil
 }
 
 func (r *Router) close() {
-	if r.callers != nil {
-		_ = r.callers.Close()
+	if r.callerListener != nil {
+		_ = r.callerListener.Close()
 	}
-	for _, l := range []net.Listener{r.ready, r.figures} {
+	for _, l := range []net.Listener{r.readyListener, r.metricsListener} {
 		if l != nil {
 			_ = l.Close()
 		}
@@ -219,8 +219,8 @@
 	}
 	group.Go(func() error { return r.mesh.Run(inner) })
 	group.Go(func() error { r.fleet.run(inner); return nil })
-	group.Go(func() error { r.probe(inner); return nil })
-	group.Go(func() error { r.tend(inner); return nil })
+	group.Go(func() error { r.probeUnreachable(inner); return nil })
+	group.Go(func() error { r.runHousekeeping(inner); return nil })
 	for _, f := range r.followers {
 		group.Go(func() error { f.run(inner); return nil })
 	}
@@ -258,25 +258,25 @@
 		Handler:           r.handler,
 		ReadHeaderTimeout: headerTimeout,
 		ConnState: func(conn net.Conn, state http.ConnState) {
-			r.pressure.changed(conn, state)
-			r.conns.StateChanged(conn, state)
+			r.pressure.connStateChanged(conn, state)
+			r.connTracker.StateChanged(conn, state)
 		},
-		BaseContext:    r.conns.BaseContext,
-		ConnContext:    r.pressure.arrivals.withArrival,
-		MaxHeaderBytes: headerBytes,
+		BaseContext:    r.connTracker.BaseContext,
+		ConnContext:    r.pressure.readDelay.withArrival,
+		MaxHeaderBytes: maxHeaderBytes,
 	}
 	all := []server{
-		{r.conns.Listener(r.callers), callers},
-		{r.ready, &http.Server{Handler: r.readiness(), ReadHeaderTimeout: headerTimeout}},
+		{r.connTracker.Listener(r.callerListener), callers},
+		{r.readyListener, &http.Server{Handler: r.readinessHandler(), ReadHeaderTimeout: headerTimeout}},
 	}
-	if r.figures != nil {
-		all = append(all, server{r.figures, &http.Server{Handler: r.metrics.Handler(), ReadHeaderTimeout: headerTimeout}})
+	if r.metricsListener != nil {
+		all = append(all, server{r.metricsListener, &http.Server{Handler: r.metrics.Handler(), ReadHeaderTimeout: headerTimeout}})
 	}
 	return all
 }
 
-// readiness answers whether new callers are welcome, whatever the path.
-func (r *Router) readiness() http.Handler {
+// readinessHandler answers whether new callers are welcome, whatever the path.
+func (r *Router) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !r.dispatcher.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -285,30 +285,30 @@
 }
 
 const (
-	// stopPoll is how often a stop looks at the clock. It counts a VM's
+	// stopPollInterval is how often a stop looks at the clock. It counts a VM's
 	// suspension, which a sleep does not.
-	stopPoll = 10 * time.Millisecond
-	// leastAnswers is kept to answer what a stop cuts off, even if the VM was
+	stopPollInterval = 10 * time.Millisecond
+	// minAnswerTime is kept to answer what a stop cuts off, even if the VM was
 	// suspended until its end.
-	leastAnswers = 100 * time.Millisecond
+	minAnswerTime = 100 * time.Millisecond
 )
 
 // stop lets balancers and callers move on, waits for what runs, and answers what
 // has not ended in time.
 func (r *Router) stop() {
 	r.log.Info().Msg("stopping")
-	course := r.dispatcher.beginDrain()
-	for course.Accepting(boottime.Now()) {
-		time.Sleep(stopPoll)
+	drain := r.dispatcher.beginDrain()
+	for drain.Accepting(boottime.Now()) {
+		time.Sleep(stopPollInterval)
 	}
-	_ = r.callers.Close()
-	if r.conns.Drain(func() bool { return course.RunTimeLeft(boottime.Now()) <= 0 }) {
+	_ = r.callerListener.Close()
+	if r.connTracker.Drain(func() bool { return drain.RunTimeLeft(boottime.Now()) <= 0 }) {
 		return
 	}
-	r.log.Warn().Int64("requests", r.handler.Running()).Int("connections", r.conns.Busy()).
+	r.log.Warn().Int64("requests", r.handler.Running()).Int("connections", r.connTracker.Busy()).
 		Msg("requests cut off at the end of the grace period")
-	r.conns.CutOff()
+	r.connTracker.CancelRequests()
 	now := boottime.Now()
-	until := now.Add(max(course.AnswerTimeLeft(now), leastAnswers))
-	r.conns.Drain(func() bool { return !boottime.Now().Before(until) })
+	until := now.Add(max(drain.AnswerTimeLeft(now), minAnswerTime))
+	r.connTracker.Drain(func() bool { return !boottime.Now().Before(until) })
 }
--- a/transport/edge/run_test.go
+++ b/transport/edge/run_test.go
@@ -28,14 +28,14 @@
 // has ended, within the grace period.
 func runRouter(tb testing.TB, engine string, slots int, grace time.Duration) (router *Router, stop func()) {
 	tb.Helper()
-	return runRouterOf(tb, engine, slots, grace, benchFiles)
+	return runRouterWithFiles(tb, engine, slots, grace, testMaxFiles)
 }
 
-// benchFiles are more descriptors than any test opens.
-const benchFiles = 10000
+// testMaxFiles are more descriptors than any test opens.
+const testMaxFiles = 10000
 
-// runRouterOf is runRouter for a process that may open so many descriptors.
-func runRouterOf(tb testing.TB, engine string, slots int, grace time.Duration, maxFiles int) (router *Router, stop func()) {
+// runRouterWithFiles is runRouter for a process that may open so many descriptors.
+func runRouterWithFiles(tb testing.TB, engine string, slots int, grace time.Duration, maxFiles int) (router *Router, stop func()) {
 	tb.Helper()
 	spec, err := json.Marshal(routing.Config{
 		Version:  1,
--- a/transport/edge/stop_test.go
+++ b/transport/edge/stop_test.go
@@ -16,7 +16,7 @@
 // it could not tell whether the request had run: the server was closed under its
 // handlers. On a day with two stops of each router 3 tries ended so, 7.5 s after
 // a SIGTERM, at "requests cut off at the end of the grace period".
-func TestStopAnswersWhatHasNotBegun(t *testing.T) {
+func TestStopAnswersUnfinishedRequests(t *testing.T) {
 	engine, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer engine.Close()
@@ -29,7 +29,7 @@
 		reached <- conn
 	}()
 	router, stop := runRouter(t, engine.Addr().String(), 8, 4*time.Second)
-	caller, err := net.Dial("tcp", router.callers.Addr().String())
+	caller, err := net.Dial("tcp", router.callerListener.Addr().String())
 	require.NoError(t, err)
 	defer caller.Close()
 	_, err = io.WriteString(caller, "POST /a/ HTTP/1.1\r\nHost: h\r\nAttempt: x\r\nContent-Length: 5\r\n\r\nhello")
--- a/transport/endtoend/endtoend.go
+++ b/transport/endtoend/endtoend.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// hopHeaders concern one connection only and are not passed on.
-var hopHeaders = map[string]bool{
+// hopByHopHeaders concern one connection only and are not passed on.
+var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Expect":              true,
 	"Keep-Alive":          true,
@@ -22,15 +22,15 @@
 	"Content-Length":      true,
 }
 
-// ownPrefix marks headers that only the project's own processes set. They are
+// internalPrefix marks headers that only the project's own processes set. They are
 // dropped on the way through, so that a caller cannot pose as a router nor an
 // upstream state a result.
-const ownPrefix = "Figstile-"
+const internalPrefix = "Figstile-"
 
 // Copy copies the headers that are meant for the other end.
 func Copy(to, from http.Header) {
 	for name, values := range from {
-		if hopHeaders[name] || strings.HasPrefix(name, ownPrefix) {
+		if hopByHopHeaders[name] || strings.HasPrefix(name, internalPrefix) {
 			continue
 		}
 		to[name] = values
--- a/transport/ingress/admit.go
+++ b/transport/ingress/admit.go
@@ -21,18 +21,18 @@
 	if x.table == nil {
 		return result.New(result.NotReady, ""), false
 	}
-	if limit := x.table.Limits().HeaderBytes; limit > 0 && headBytes(x.r) > limit {
+	if limit := x.table.Limits().HeaderBytes; limit > 0 && requestHeadBytes(x.r) > limit {
 		return result.New(result.HeaderTooLarge, ""), false
 	}
 	if res, ok := x.readBody(); !ok {
 		return res, false
 	}
-	if x.h.Dispatcher.Full() {
+	if x.h.Dispatcher.AtCapacity() {
 		return result.New(result.TooManyRequests, "").WithRetryAfter(admission.OtherRouterRetryAfter), false
 	}
 	// The routes may have changed while the body was read.
 	x.table = x.h.Dispatcher.Table()
-	for _, check := range []func() (result.Result, bool){x.findRoute, x.readHeader, x.authenticate, x.room, x.describe} {
+	for _, check := range []func() (result.Result, bool){x.findRoute, x.readHeader, x.authenticate, x.checkWorkspaceCapacity, x.prepareRequest} {
 		if res, ok := check(); !ok {
 			return res, false
 		}
@@ -40,8 +40,8 @@
 	return result.Result{}, true
 }
 
-// headBytes is the size of a request's head as its caller sent it.
-func headBytes(r *http.Request) int {
+// requestHeadBytes is the size of a request's head as its caller sent it.
+func requestHeadBytes(r *http.Request) int {
 	const separators = len(": \r\n")
 	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + separators + len("Host") + len(r.Host) + separators
 	for name, values := range r.Header {
@@ -55,7 +55,7 @@
 func (x *exchange) readBody() (result.Result, bool) {
 	limit := x.table.Limits().BodyBytes
 	if limit <= 0 {
-		limit = defaultBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	if x.r.ContentLength > limit {
 		return result.New(result.BodyTooLarge, ""), false
@@ -82,10 +82,10 @@
 func (x *exchange) findRoute() (result.Result, bool) {
 	route, ok := x.table.Route(x.r.Host, x.r.URL.Path)
 	if !ok {
-		return x.unknown(result.UnknownService), false
+		return x.unknownResult(result.UnknownService), false
 	}
 	x.route = route
-	x.service = pick(route.Backends)
+	x.service = pickService(route.Backends)
 	x.record.Class = route.Name
 	if x.service == "" {
 		return result.New(result.NoUpstream, "The route has no service."), false
@@ -93,18 +93,18 @@
 	return result.Result{}, true
 }
 
-// unknown refuses what the configuration lacks. A router that may have missed
+// unknownResult refuses what the configuration lacks. A router that may have missed
 // a newer configuration cannot say that a thing does not exist; one that says
 // so wrongly turns a caller away for good.
-func (x *exchange) unknown(code result.Code) result.Result {
-	if x.h.Dispatcher.Current() {
+func (x *exchange) unknownResult(code result.Code) result.Result {
+	if x.h.Dispatcher.ConfigCurrent() {
 		return result.New(code, "")
 	}
 	return result.New(result.NotReady, "The router may not hold the newest configuration.")
 }
 
-// pick draws one of a route's services by weight.
-func pick(backends []routing.Backend) state.Service {
+// pickService draws one of a route's services by weight.
+func pickService(backends []routing.Backend) state.Service {
 	total := 0
 	for _, b := range backends {
 		total += b.Weight
@@ -127,7 +127,7 @@
 	if err != nil {
 		return result.New(result.BadRequest, err.Error()), false
 	}
-	x.in = in
+	x.inbound = in
 	x.lastEvent = in.LastEvent
 	timeout := in.Deadline
 	if timeout <= 0 {
@@ -136,7 +136,7 @@
 	if x.route.Timeout > 0 && x.route.Timeout < timeout {
 		timeout = x.route.Timeout
 	}
-	x.limit = x.arrived.Add(timeout - x.unread)
+	x.deadline = x.arrivedAt.Add(timeout - x.readDelay)
 	return result.Result{}, true
 }
 
@@ -144,44 +144,44 @@
 	if x.route.Public || !x.table.HasWorkspaces() {
 		return result.Result{}, true
 	}
-	workspace, ok := x.table.Workspace(x.in.Key)
+	workspace, ok := x.table.Workspace(x.inbound.Key)
 	if !ok {
-		return x.unknown(result.Unauthorized), false
+		return x.unknownResult(result.Unauthorized), false
 	}
 	x.workspace = workspace
 	x.record.Workspace = workspace
 	return result.Result{}, true
 }
 
-// room refuses a workspace that has had its part while the process has little
+// checkWorkspaceCapacity refuses a workspace that has had its part while the process has little
 // room left, so that others whose callers share the router are served.
-func (x *exchange) room() (result.Result, bool) {
-	if x.h.Dispatcher.FullFor(x.workspace) {
+func (x *exchange) checkWorkspaceCapacity() (result.Result, bool) {
+	if x.h.Dispatcher.AtCapacityFor(x.workspace) {
 		return result.New(result.TooManyRequests, "").WithRetryAfter(admission.OtherRouterRetryAfter), false
 	}
 	return result.Result{}, true
 }
 
-// describe works out what is decided on, and refuses what is known to do harm.
-func (x *exchange) describe() (result.Result, bool) {
-	x.fingerprint = x.digest()
-	timeout := x.limit.Sub(x.arrived)
+// prepareRequest works out what is decided on, and refuses what is known to do harm.
+func (x *exchange) prepareRequest() (result.Result, bool) {
+	x.fingerprint = x.computeFingerprint()
+	timeout := x.deadline.Sub(x.arrivedAt)
 	x.request = admission.Request{
 		Work: placement.Work{
 			Service:              x.service,
-			Prompt:               x.in.Prompt,
-			ExpectedOutputTokens: x.expectedOutput(),
+			Prompt:               x.inbound.Prompt,
+			ExpectedOutputTokens: x.expectedOutputTokens(),
 			TargetLatency:        x.route.TargetLatency,
 			MaxEventGap:          x.route.MaxEventGap,
 		},
 		Fingerprint:     x.fingerprint,
 		Workspace:       x.workspace,
-		Cost:            x.cost(),
-		MaxOutputTokens: x.in.MaxOutput,
-		Elapsed:         x.h.Dispatcher.Elapsed(x.fingerprint) + x.unread,
+		Cost:            x.costUnits(),
+		MaxOutputTokens: x.inbound.MaxOutput,
+		Elapsed:         x.h.Dispatcher.ElapsedSinceFirst(x.fingerprint) + x.readDelay,
 		Timeout:         timeout,
 	}
-	if x.h.Dispatcher.Blocked(x.fingerprint) {
+	if x.h.Dispatcher.Quarantined(x.fingerprint) {
 		return result.New(result.Suspected, "").WithRetryAfter(timeout / 2), false
 	}
 	if !x.h.Dispatcher.Drain().Accepting(x.h.Now()) {
@@ -190,24 +190,24 @@
 	return result.Result{}, true
 }
 
-func (x *exchange) expectedOutput() int {
-	if x.in.OutputHint > 0 {
-		return min(x.in.OutputHint, max(x.in.MaxOutput, 1))
+func (x *exchange) expectedOutputTokens() int {
+	if x.inbound.OutputHint > 0 {
+		return min(x.inbound.OutputHint, max(x.inbound.MaxOutput, 1))
 	}
-	return x.in.MaxOutput
+	return x.inbound.MaxOutput
 }
 
-// cost counts a generation's prompt tokens once and its expected output twice,
+// costUnits counts a generation's prompt tokens once and its expected output twice,
 // as engines' throughput is stated. Parts that an engine may still hold count as
 // well: whether they do is luck, and a workspace whose prompts share much would
 // else be given several times what it is owed.
-func (x *exchange) cost() float64 {
-	return float64(x.in.PromptTokens + 2*x.expectedOutput())
+func (x *exchange) costUnits() float64 {
+	return float64(x.inbound.PromptTokens + 2*x.expectedOutputTokens())
 }
 
-// digest recognises a request that is sent again: same workspace, path and
+// computeFingerprint recognises a request that is sent again: same workspace, path and
 // body.
-func (x *exchange) digest() state.Fingerprint {
+func (x *exchange) computeFingerprint() state.Fingerprint {
 	d := xxhash.New()
 	for _, part := range []string{string(x.workspace), x.r.Host, x.r.Method, x.r.RequestURI} {
 		_, _ = d.WriteString(part)
--- a/transport/ingress/attempt.go
+++ b/transport/ingress/attempt.go
@@ -15,31 +15,31 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// rejectedRetry is when to come back after upstreams that were believed to be
+// rejectedRetryAfter is when to come back after upstreams that were believed to be
 // free rejected a request: a few requests' time at a plain worker.
-const rejectedRetry = 250 * time.Millisecond
+const rejectedRetryAfter = 250 * time.Millisecond
 
 // errStalled ends an attempt whose upstream will not answer, so that the
 // request can go to another one.
 var errStalled = errors.New("ingress: the upstream fell silent or passed the request over")
 
-// fate says what became of a request at one upstream.
-type fate uint8
+// attemptStatus says what became of a request at one upstream.
+type attemptStatus uint8
 
 const (
 	// fateDelivered: the caller has its final answer, or has left.
-	fateDelivered fate = iota
+	attemptDelivered attemptStatus = iota
 	// fateUnsent: nothing reached the upstream.
-	fateUnsent
+	attemptNotSent
 	// fateNotRun: the upstream says that it did not run the request.
-	fateNotRun
+	attemptNotRun
 	// fateFailed: the upstream failed, or its answer broke; it may have run.
-	fateFailed
+	attemptFailed
 )
 
 // attemptEnd is the end of one attempt.
 type attemptEnd struct {
-	fate fate
+	status attemptStatus
 	// res is the final result if delivered, else the one to give if nothing
 	// better can be done.
 	res result.Result
@@ -47,49 +47,49 @@
 
 // dispatch sends the request until it has its final answer.
 func (x *exchange) dispatch(ctx context.Context) result.Result {
-	unsent := 0
+	notSent := 0
 	for {
 		x.request.Repeatable = x.route.Repeatable() && x.attempts+1 < x.route.MaxAttempts
-		x.request.Resumed = x.began
-		repeat := x.attempts > 0 || unsent > 0
-		verdict, ticket := x.h.Dispatcher.Admit(x.request, repeat)
+		x.request.Resumed = x.headSent
+		retry := x.attempts > 0 || notSent > 0
+		verdict, ticket := x.h.Dispatcher.Admit(x.request, retry)
 		x.verdict = verdict
 		if x.h.Observer != nil {
-			x.h.Observer.Decided(x.request, verdict.Reason, repeat)
+			x.h.Observer.Decided(x.request, verdict.Reason, retry)
 		}
 		if !verdict.IsAdmitted() {
-			return x.settle(refusal(verdict))
+			return x.answerFinal(refusal(verdict))
 		}
 		end := x.attempt(ctx, ticket)
-		switch end.fate {
-		case fateDelivered:
+		switch end.status {
+		case attemptDelivered:
 			x.attempts++
 			return end.res
-		case fateUnsent:
-			unsent++
+		case attemptNotSent:
+			notSent++
 		default:
 			x.attempts++
-			x.sent = x.sent || end.fate == fateFailed
+			x.mayHaveRun = x.mayHaveRun || end.status == attemptFailed
 		}
-		if ctx.Err() != nil || unsent >= unsentTries || !x.again(end) {
-			return x.settle(x.final(ctx, end))
+		if ctx.Err() != nil || notSent >= maxUnsentTries || !x.mayRetry(end) {
+			return x.answerFinal(x.finalResult(ctx, end))
 		}
-		x.request.MayHaveRun = x.sent
+		x.request.MayHaveRun = x.mayHaveRun
 		x.request.Excluded = append(x.request.Excluded, ticket.Upstream())
 	}
 }
 
-// again says whether the request may go to another upstream.
-func (x *exchange) again(end attemptEnd) bool {
+// mayRetry says whether the request may go to another upstream.
+func (x *exchange) mayRetry(end attemptEnd) bool {
 	switch {
-	case end.fate == fateUnsent:
+	case end.status == attemptNotSent:
 		return true
 	case x.attempts >= max(x.route.MaxAttempts, 1):
 		return false
-	case end.fate == fateFailed && !x.route.Repeatable():
+	case end.status == attemptFailed && !x.route.Repeatable():
 		return false
 	default:
-		return x.repeatPaid || x.h.Dispatcher.Repeat(x.service)
+		return x.retryPaid || x.h.Dispatcher.SpendRetry(x.service)
 	}
 }
 
@@ -107,30 +107,30 @@
 	return result.New(code, "").WithRetryAfter(v.RetryAfter)
 }
 
-// final is the result of a request that goes to no further upstream.
-func (x *exchange) final(ctx context.Context, end attemptEnd) result.Result {
+// finalResult is the result of a request that goes to no further upstream.
+func (x *exchange) finalResult(ctx context.Context, end attemptEnd) result.Result {
 	switch {
 	case ctx.Err() == nil:
 		return end.res
-	case conntrack.IsCutOff(x.r.Context()) && x.sent:
+	case conntrack.IsCancelled(x.r.Context()) && x.mayHaveRun:
 		return result.New(result.StoppedWhileRun, "")
-	case conntrack.IsCutOff(x.r.Context()):
+	case conntrack.IsCancelled(x.r.Context()):
 		return result.New(result.Draining, "").WithRetryAfter(admission.OtherRouterRetryAfter)
-	case x.sent:
+	case x.mayHaveRun:
 		return result.New(result.DeadlineWhileRun, "")
 	default:
-		return result.New(result.DeadlinePassed, "").WithRetryAfter(rejectedRetry)
+		return result.New(result.DeadlinePassed, "").WithRetryAfter(rejectedRetryAfter)
 	}
 }
 
-// settle gives the caller its final answer: an upstream's own failure if there
+// answerFinal gives the caller its final answer: an upstream's own failure if there
 // is one, else the router's. Once an upstream may have run the request, no
 // answer says that it did not.
-func (x *exchange) settle(res result.Result) result.Result {
-	if x.fallback != nil && !x.began {
+func (x *exchange) answerFinal(res result.Result) result.Result {
+	if x.fallback != nil && !x.headSent {
 		return x.deliver(x.fallback)
 	}
-	if x.sent && result.Lookup(res.Code).Ran == result.RanNo {
+	if x.mayHaveRun && result.Lookup(res.Code).Ran == result.RanNo {
 		res = result.New(result.UpstreamLost, "")
 	}
 	return x.refuse(res)
@@ -140,66 +140,66 @@
 func (x *exchange) attempt(ctx context.Context, ticket *placement.Ticket) attemptEnd {
 	inner, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	x.h.Dispatcher.Watch(ticket, func() { cancel(errStalled) })
+	x.h.Dispatcher.OnStall(ticket, func() { cancel(errStalled) })
 	var end attemptEnd
 	outcome := placement.Withdrawn
 	// A ticket that did not end would count as load for good, so it ends even
 	// if handling the answer panics.
 	defer func() { x.h.Dispatcher.End(ticket, outcome) }()
-	end, outcome = x.exchange(inner, ticket)
-	x.repeatPaid = x.began && errors.Is(context.Cause(inner), errStalled)
+	end, outcome = x.sendAttempt(inner, ticket)
+	x.retryPaid = x.headSent && errors.Is(context.Cause(inner), errStalled)
 	if ctx.Err() != nil {
 		outcome = placement.Withdrawn
 	}
 	if x.h.Observer != nil {
 		x.h.Observer.Attempted(ticket.Upstream(), outcome)
 	}
-	if end.fate != fateDelivered {
+	if end.status != attemptDelivered {
 		x.logAttempt(ticket, end)
 	}
 	return end
 }
 
 func (x *exchange) logAttempt(ticket *placement.Ticket, end attemptEnd) {
-	x.h.Log.Warn().Str("id", x.in.Attempt).Str("upstream", string(ticket.Upstream())).
+	x.h.Log.Warn().Str("id", x.inbound.Attempt).Str("upstream", string(ticket.Upstream())).
 		Int64("stop_age_ms", x.h.Dispatcher.Drain().Age(x.h.Now()).Milliseconds()).
-		Int("attempt", x.attempts+1).Int("fate", int(end.fate)).Int("code", int(end.res.Code)).
+		Int("attempt", x.attempts+1).Int("fate", int(end.status)).Int("code", int(end.res.Code)).
 		Str("cause", end.res.Detail).Str("last_event", x.lastEvent).Msg("attempt ended")
 }
 
-func (x *exchange) exchange(ctx context.Context, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
+func (x *exchange) sendAttempt(ctx context.Context, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
 	now := x.h.Now()
-	x.record.Wait = now.Sub(x.arrived)
-	if x.h.Left != nil && x.h.Left(x.r) {
-		x.record.Abandoned, x.abort = true, true
-		return attemptEnd{fateDelivered, result.New(result.DeadlinePassed, "The caller left before the request was sent.")}, placement.Withdrawn
+	x.record.QueueWait = now.Sub(x.arrivedAt)
+	if x.h.CallerClosed != nil && x.h.CallerClosed(x.r) {
+		x.record.Abandoned, x.abortConn = true, true
+		return attemptEnd{attemptDelivered, result.New(result.DeadlinePassed, "The caller left before the request was sent.")}, placement.Withdrawn
 	}
-	answer, err := x.h.Client.Send(ctx, x.outgoing(now, ticket))
+	answer, err := x.h.Client.Send(ctx, x.buildAttempt(now, ticket))
 	if err != nil {
-		return x.unanswered(err, ticket)
+		return x.classifySendError(err, ticket)
 	}
 	defer answer.Close()
 	head := x.h.Dialect.Answer(answer.Status, answer.Header)
 	switch {
 	case head.NotRun:
-		return attemptEnd{fateNotRun, result.New(result.NoUpstream, "The upstream would not take the request.").WithRetryAfter(rejectedRetry)}, placement.Rejected
+		return attemptEnd{attemptNotRun, result.New(result.NoUpstream, "The upstream would not take the request.").WithRetryAfter(rejectedRetryAfter)}, placement.Rejected
 	case !head.Signed:
-		return attemptEnd{fateFailed, result.New(result.UpstreamFailed, "The answer is not an upstream's own.")}, placement.Failed
+		return attemptEnd{attemptFailed, result.New(result.UpstreamFailed, "The answer is not an upstream's own.")}, placement.Failed
 	case x.route.Kind == routing.Stream && answer.Status == http.StatusOK:
 		return x.relayStream(answer, ticket)
 	default:
-		return x.relayHeld(answer, ticket)
+		return x.relayBuffered(answer, ticket)
 	}
 }
 
-// outgoing builds the attempt for an upstream.
-func (x *exchange) outgoing(now time.Time, ticket *placement.Ticket) upstream.Attempt {
+// buildAttempt builds the attempt for an upstream.
+func (x *exchange) buildAttempt(now time.Time, ticket *placement.Ticket) upstream.Attempt {
 	header := make(http.Header, len(x.r.Header)+4)
 	endtoend.Copy(header, x.r.Header)
 	x.h.Dialect.Outbound(header, Outbound{
 		Upstream:  ticket.Upstream(),
 		Workspace: x.workspace,
-		Deadline:  max(x.limit.Sub(now), time.Millisecond),
+		Deadline:  max(x.deadline.Sub(now), time.Millisecond),
 		LastEvent: x.lastEvent,
 	})
 	return upstream.Attempt{
@@ -209,24 +209,24 @@
 		Host:    x.r.Host,
 		Header:  header,
 		Body:    x.body,
-		Token:   x.in.Attempt,
+		Token:   x.inbound.Attempt,
 	}
 }
 
-// unanswered classifies an attempt without an answer.
-func (x *exchange) unanswered(err error, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
+// classifySendError classifies an attempt without an answer.
+func (x *exchange) classifySendError(err error, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
 	if upstream.StageOf(err) == upstream.StageNotSent {
-		return attemptEnd{fateUnsent, result.New(result.NoUpstream, err.Error()).WithRetryAfter(rejectedRetry)}, placement.Unconnected
+		return attemptEnd{attemptNotSent, result.New(result.NoUpstream, err.Error()).WithRetryAfter(rejectedRetryAfter)}, placement.Unconnected
 	}
-	x.lost(err, ticket)
-	return attemptEnd{fateFailed, result.New(result.UpstreamLost, err.Error())}, placement.Broken
+	x.reportLost(err, ticket)
+	return attemptEnd{attemptFailed, result.New(result.UpstreamLost, err.Error())}, placement.Broken
 }
 
-// lost notes a request whose upstream went away under it, unless the router
+// reportLost notes a request whose upstream went away under it, unless the router
 // itself ended the attempt.
-func (x *exchange) lost(err error, ticket *placement.Ticket) {
+func (x *exchange) reportLost(err error, ticket *placement.Ticket) {
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, upstream.ErrCrossed) || errors.Is(err, errStalled) {
 		return
 	}
-	x.h.Dispatcher.Lost(x.fingerprint, ticket)
+	x.h.Dispatcher.ReportLost(x.fingerprint, ticket)
 }
--- a/transport/ingress/dispatcher.go
+++ b/transport/ingress/dispatcher.go
@@ -15,39 +15,39 @@
 type Dispatcher interface {
 	// Table returns the routes in force, nil before there are any.
 	Table() *routing.Table
-	// Current says whether the routes are known to be the newest, so that
+	// ConfigCurrent says whether the routes are known to be the newest, so that
 	// what they lack does not exist.
-	Current() bool
+	ConfigCurrent() bool
 	// Admit decides on a request. Repeat is set for a request that was sent
 	// before: it counts once. The ticket is nil unless the verdict admits, and
 	// must be ended.
 	Admit(r admission.Request, repeat bool) (admission.Verdict, *placement.Ticket)
-	// Watch lets the dispatcher end an attempt whose answer will not come. If the
+	// OnStall lets the dispatcher end an attempt whose answer will not come. If the
 	// caller has the beginning of the answer, the dispatcher has spent a repeat on
 	// it then.
-	Watch(t *placement.Ticket, giveUp func())
-	// Output notes that a part of an answer came; first is set for the first
+	OnStall(t *placement.Ticket, giveUp func())
+	// ReportOutput notes that a part of an answer came; first is set for the first
 	// event of a stream.
-	Output(t *placement.Ticket, first bool)
+	ReportOutput(t *placement.Ticket, first bool)
 	// End ends a ticket.
 	End(t *placement.Ticket, outcome placement.Outcome)
-	// Repeat spends one repeat of a service's budget, if it has one.
-	Repeat(service state.Service) bool
-	// Elapsed returns how long ago the caller first sent a request, as far as
+	// SpendRetry spends one repeat of a service's budget, if it has one.
+	SpendRetry(service state.Service) bool
+	// ElapsedSinceFirst returns how long ago the caller first sent a request, as far as
 	// it was refused since.
-	Elapsed(f state.Fingerprint) time.Duration
-	// Blocked says whether a request has taken down upstreams and must not
+	ElapsedSinceFirst(f state.Fingerprint) time.Duration
+	// Quarantined says whether a request has taken down upstreams and must not
 	// run again.
-	Blocked(f state.Fingerprint) bool
-	// Lost notes that an upstream broke off while it ran a request.
-	Lost(f state.Fingerprint, t *placement.Ticket)
-	// Served notes that a request was answered whole.
-	Served(f state.Fingerprint)
+	Quarantined(f state.Fingerprint) bool
+	// ReportLost notes that an upstream broke off while it ran a request.
+	ReportLost(f state.Fingerprint, t *placement.Ticket)
+	// ReportServed notes that a request was answered whole.
+	ReportServed(f state.Fingerprint)
 	// Drain returns the course of the stop, zero until the router is told to.
 	Drain() drain.Drain
-	// Full says whether the process has no room for another request.
-	Full() bool
-	// FullFor says whether the process has so little room that what is left is
+	// AtCapacity says whether the process has no room for another request.
+	AtCapacity() bool
+	// AtCapacityFor says whether the process has so little room that what is left is
 	// for workspaces that are short of their shares, and this one is not.
-	FullFor(workspace state.Workspace) bool
+	AtCapacityFor(workspace state.Workspace) bool
 }
--- a/transport/ingress/events.go
+++ b/transport/ingress/events.go
@@ -4,10 +4,10 @@
 
 // eventSplitter cuts a stream of events at the empty lines that end them.
 type eventSplitter struct {
-	// rest is the beginning of an event whose end has not come.
-	rest []byte
-	// out is what the last call returned; reused.
-	out []byte
+	// partial is the beginning of an event whose end has not come.
+	partial []byte
+	// complete is what the last call returned; reused.
+	complete []byte
 	// lastID is the id of the last whole event, empty before the first.
 	lastID string
 }
@@ -17,24 +17,24 @@
 // add takes bytes and returns the whole events that they complete. The result
 // is valid until the next call.
 func (s *eventSplitter) add(p []byte) []byte {
-	end := lastBoundary(s.rest, p)
+	end := lastEventEnd(s.partial, p)
 	if end < 0 {
-		s.rest = append(s.rest, p...)
+		s.partial = append(s.partial, p...)
 		return nil
 	}
-	s.out = append(s.out[:0], s.rest...)
-	s.out = append(s.out, p[:end]...)
-	s.rest = append(s.rest[:0], p[end:]...)
-	s.noteID(s.out)
-	return s.out
+	s.complete = append(s.complete[:0], s.partial...)
+	s.complete = append(s.complete, p[:end]...)
+	s.partial = append(s.partial[:0], p[end:]...)
+	s.recordID(s.complete)
+	return s.complete
 }
 
-// torn says whether an event has begun and not ended.
-func (s *eventSplitter) torn() bool { return len(bytes.TrimSpace(s.rest)) > 0 }
+// hasPartial says whether an event has begun and not ended.
+func (s *eventSplitter) hasPartial() bool { return len(bytes.TrimSpace(s.partial)) > 0 }
 
-// lastBoundary returns the end, within p, of the last event that ends there,
+// lastEventEnd returns the end, within p, of the last event that ends there,
 // or -1. The empty line may begin in rest.
-func lastBoundary(rest, p []byte) int {
+func lastEventEnd(rest, p []byte) int {
 	for i := len(p) - 1; i >= 0; i-- {
 		if p[i] == '\n' && endsEvent(rest, p[:i]) {
 			return i + 1
@@ -45,15 +45,15 @@
 
 // endsEvent says whether a newline after rest and p ends an empty line.
 func endsEvent(rest, p []byte) bool {
-	last, ok := lastByte(rest, p, 0)
+	last, ok := byteFromEnd(rest, p, 0)
 	if ok && last == '\r' {
-		last, ok = lastByte(rest, p, 1)
+		last, ok = byteFromEnd(rest, p, 1)
 	}
 	return ok && last == '\n'
 }
 
-// lastByte returns the byte that is back places before the end of rest and p.
-func lastByte(rest, p []byte, back int) (byte, bool) {
+// byteFromEnd returns the byte that is back places before the end of rest and p.
+func byteFromEnd(rest, p []byte, back int) (byte, bool) {
 	if back < len(p) {
 		return p[len(p)-1-back], true
 	}
@@ -64,8 +64,8 @@
 	return 0, false
 }
 
-// noteID keeps the id of the last event that has one.
-func (s *eventSplitter) noteID(events []byte) {
+// recordID keeps the id of the last event that has one.
+func (s *eventSplitter) recordID(events []byte) {
 	for len(events) > 0 {
 		line, before := events, []byte(nil)
 		if i := bytes.LastIndexByte(events[:len(events)-1], '\n'); i >= 0 {
--- a/transport/ingress/events_test.go
+++ b/transport/ingress/events_test.go
@@ -10,7 +10,7 @@
 
 // However a stream is cut into reads, whole events come out once and in order,
 // and what is left is the torn one.
-func TestEventsSurviveAnyCut(t *testing.T) {
+func TestEventsAreSplitAtAnyReadBoundary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		newline := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "newline")
 		events := rapid.SliceOf(rapid.StringMatching(`(id: [0-9]{1,4}|data: [a-z ]{0,9})`)).Draw(t, "lines")
@@ -31,8 +31,8 @@
 		if out.String() != complete {
 			t.Fatalf("got %q, want %q", out.String(), complete)
 		}
-		if s.torn() != (torn != "") {
-			t.Fatalf("torn is %v after %q", s.torn(), torn)
+		if s.hasPartial() != (torn != "") {
+			t.Fatalf("torn is %v after %q", s.hasPartial(), torn)
 		}
 		want := ""
 		for _, line := range events {
@@ -46,7 +46,7 @@
 	})
 }
 
-func TestIDStandsAmongOtherFields(t *testing.T) {
+func TestEventIDAmongOtherFields(t *testing.T) {
 	var s eventSplitter
 	require.NotEmpty(t, s.add([]byte("event: e\nid: 12\ndata: a\n\nid: 13\nda")))
 	require.Equal(t, "12", s.lastID)
--- a/transport/ingress/fakes_test.go
+++ b/transport/ingress/fakes_test.go
@@ -72,7 +72,7 @@
 	}
 }
 
-func (u *rawUpstream) seen() []*http.Request {
+func (u *rawUpstream) receivedRequests() []*http.Request {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return append([]*http.Request(nil), u.requests...)
@@ -80,13 +80,13 @@
 
 func (u *rawUpstream) address() string { return u.listener.Addr().String() }
 
-// say writes an answer as it stands.
-func say(text string) func(net.Conn, *http.Request) {
+// writeText writes an answer as it stands.
+func writeText(text string) func(net.Conn, *http.Request) {
 	return func(conn net.Conn, _ *http.Request) { _, _ = conn.Write([]byte(text)) }
 }
 
-// whole is a complete signed answer that echoes the attempt "x".
-func whole(status int, body string) string {
+// completeAnswer is a complete signed answer that echoes the attempt "x".
+func completeAnswer(status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d S\r\nSigned: 1\r\nAttempt: x\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
@@ -97,13 +97,13 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\ndata: %d\n\n", id, id) }
 
-// door is a handler under test with its fakes.
-type door struct {
+// handlerFixture is a handler under test with its fakes.
+type handlerFixture struct {
 	url        string
 	dispatcher *scriptedDispatcher
 }
 
-func openDoor(t *testing.T, route routing.Route, upstreams ...*rawUpstream) *door {
+func newHandlerFixture(t *testing.T, route routing.Route, upstreams ...*rawUpstream) *handlerFixture {
 	t.Helper()
 	route.Name, route.Host, route.Prefix = "r", "h", "/a/"
 	route.Backends = []routing.Backend{{Service: "s", Weight: 1}}
@@ -118,18 +118,18 @@
 		dispatcher.add(state.Upstream(fmt.Sprintf("u%d", i)), u.address())
 	}
 	server := httptest.NewServer(NewHandler(Options{
-		Dialect:    plainDialect{},
-		Dispatcher: dispatcher,
-		Client:     upstream.NewClient(upstream.ClientOptions{EchoHeader: "Attempt", AcceptUnframed: true}),
-		Log:        zerolog.Nop(),
-		Now:        time.Now,
-		Left:       func(*http.Request) bool { return dispatcher.left },
+		Dialect:      plainDialect{},
+		Dispatcher:   dispatcher,
+		Client:       upstream.NewClient(upstream.ClientOptions{EchoHeader: "Attempt", AcceptUnframed: true}),
+		Log:          zerolog.Nop(),
+		Now:          time.Now,
+		CallerClosed: func(*http.Request) bool { return dispatcher.callerClosed },
 	}))
 	t.Cleanup(server.Close)
-	return &door{url: server.URL, dispatcher: dispatcher}
+	return &handlerFixture{url: server.URL, dispatcher: dispatcher}
 }
 
-func (d *door) request(t *testing.T, ctx context.Context, body string) *http.Request {
+func (d *handlerFixture) request(t *testing.T, ctx context.Context, body string) *http.Request {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, d.url+"/a/p?q=1", strings.NewReader(body))
 	require.NoError(t, err)
@@ -139,7 +139,7 @@
 	return request
 }
 
-func (d *door) post(t *testing.T) *http.Response {
+func (d *handlerFixture) post(t *testing.T) *http.Response {
 	t.Helper()
 	response, err := http.DefaultClient.Do(d.request(t, context.Background(), "hello"))
 	require.NoError(t, err)
@@ -149,39 +149,39 @@
 
 // scriptedDispatcher sends each request to its upstreams in turn.
 type scriptedDispatcher struct {
-	// broken makes the dispatcher panic at the end of an answer.
-	broken bool
-	// left is what the kernel knows of the caller's connection.
-	left    bool
-	table   *routing.Table
-	picture *placement.View
-
-	mu        sync.Mutex
-	upstreams []directory.Upstream
-	verdict   admission.Verdict
-	noRepeats bool
-	stale     bool
-	blocked   bool
-	closing   bool
-	full      bool
-	fullFor   state.Workspace
-	lost      int
-	outcomes  []placement.Outcome
-	watched   []func()
+	// panicOnServed makes the dispatcher panic at the end of an answer.
+	panicOnServed bool
+	// callerClosed is what the kernel knows of the caller's connection.
+	callerClosed bool
+	table        *routing.Table
+	loadView     *placement.View
+
+	mu             sync.Mutex
+	upstreams      []directory.Upstream
+	verdict        admission.Verdict
+	noRetries      bool
+	configStale    bool
+	quarantined    bool
+	draining       bool
+	atCapacity     bool
+	atCapacityFor  state.Workspace
+	lostCount      int
+	outcomes       []placement.Outcome
+	stallCallbacks []func()
 }
 
 func newScriptedDispatcher(table *routing.Table) *scriptedDispatcher {
-	return &scriptedDispatcher{table: table, picture: placement.New("dc")}
+	return &scriptedDispatcher{table: table, loadView: placement.New("dc")}
 }
 
 func (d *scriptedDispatcher) add(id state.Upstream, address string) {
 	u := directory.Upstream{ID: id, Address: address, Service: "s"}
 	d.upstreams = append(d.upstreams, u)
-	d.picture.SetUpstream(u)
+	d.loadView.SetUpstream(u)
 }
 
 func (d *scriptedDispatcher) Table() *routing.Table { return d.table }
-func (d *scriptedDispatcher) Current() bool         { return !d.stale }
+func (d *scriptedDispatcher) ConfigCurrent() bool   { return !d.configStale }
 
 func (d *scriptedDispatcher) Admit(r admission.Request, _ bool) (admission.Verdict, *placement.Ticket) {
 	d.mu.Lock()
@@ -192,7 +192,7 @@
 	for _, u := range d.upstreams {
 		if !contains(r.Excluded, u.ID) {
 			estimate := placement.Estimate{Upstream: u.ID, Address: u.Address}
-			return admission.Verdict{Estimate: estimate}, d.picture.Place(time.Now(), r.Work, estimate)
+			return admission.Verdict{Estimate: estimate}, d.loadView.Place(time.Now(), r.Work, estimate)
 		}
 	}
 	return admission.Verdict{Reason: admission.NoUpstream, RetryAfter: time.Second}, nil
@@ -207,19 +207,19 @@
 	return false
 }
 
-func (d *scriptedDispatcher) Watch(_ *placement.Ticket, giveUp func()) {
+func (d *scriptedDispatcher) OnStall(_ *placement.Ticket, cancel func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watched = append(d.watched, giveUp)
+	d.stallCallbacks = append(d.stallCallbacks, cancel)
 }
 
-func (d *scriptedDispatcher) giveUp(n int) {
+func (d *scriptedDispatcher) cancelStalled(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.watched[n]()
+	d.stallCallbacks[n]()
 }
 
-func (d *scriptedDispatcher) Output(*placement.Ticket, bool) {}
+func (d *scriptedDispatcher) ReportOutput(*placement.Ticket, bool) {}
 
 func (d *scriptedDispatcher) End(_ *placement.Ticket, outcome placement.Outcome) {
 	d.mu.Lock()
@@ -227,34 +227,34 @@
 	d.outcomes = append(d.outcomes, outcome)
 }
 
-func (d *scriptedDispatcher) Repeat(state.Service) bool               { return !d.noRepeats }
-func (d *scriptedDispatcher) Elapsed(state.Fingerprint) time.Duration { return 0 }
-func (d *scriptedDispatcher) Blocked(state.Fingerprint) bool          { return d.blocked }
+func (d *scriptedDispatcher) SpendRetry(state.Service) bool                     { return !d.noRetries }
+func (d *scriptedDispatcher) ElapsedSinceFirst(state.Fingerprint) time.Duration { return 0 }
+func (d *scriptedDispatcher) Quarantined(state.Fingerprint) bool                { return d.quarantined }
 
-func (d *scriptedDispatcher) Lost(state.Fingerprint, *placement.Ticket) {
+func (d *scriptedDispatcher) ReportLost(state.Fingerprint, *placement.Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.lost++
+	d.lostCount++
 }
 
-func (d *scriptedDispatcher) Served(state.Fingerprint) {
-	if d.broken {
+func (d *scriptedDispatcher) ReportServed(state.Fingerprint) {
+	if d.panicOnServed {
 		panic("broken")
 	}
 }
 
-// ended returns how attempts ended so far.
-func (d *scriptedDispatcher) ended() []placement.Outcome {
+// endedOutcomes returns how attempts ended so far.
+func (d *scriptedDispatcher) endedOutcomes() []placement.Outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.outcomes)
 }
 
-func (d *scriptedDispatcher) Full() bool { return d.full }
+func (d *scriptedDispatcher) AtCapacity() bool { return d.atCapacity }
 
 // Drain returns a stop that has gone on for too long to take requests.
 func (d *scriptedDispatcher) Drain() drain.Drain {
-	if !d.closing {
+	if !d.draining {
 		return drain.Drain{}
 	}
 	return drain.Begin(time.Unix(1, 0), time.Second)
@@ -264,12 +264,12 @@
 // after its caller has the answer.
 func (d *scriptedDispatcher) awaitEnded(t *testing.T, outcome placement.Outcome) {
 	t.Helper()
-	require.Eventually(t, func() bool { return len(d.ended()) > 0 }, 10*time.Second, time.Millisecond)
-	require.Equal(t, []placement.Outcome{outcome}, d.ended())
+	require.Eventually(t, func() bool { return len(d.endedOutcomes()) > 0 }, 10*time.Second, time.Millisecond)
+	require.Equal(t, []placement.Outcome{outcome}, d.endedOutcomes())
 }
 
-func (d *scriptedDispatcher) FullFor(ws state.Workspace) bool {
-	return d.fullFor != "" && d.fullFor == ws
+func (d *scriptedDispatcher) AtCapacityFor(ws state.Workspace) bool {
+	return d.atCapacityFor != "" && d.atCapacityFor == ws
 }
 
 // plainDialect spells the few fields that tests need.
--- a/transport/ingress/handler.go
+++ b/transport/ingress/handler.go
@@ -23,12 +23,12 @@
 const (
 	// defaultDeadline bounds a request whose caller and route name none.
 	defaultDeadline = time.Minute
-	// defaultBodyBytes bounds a body while the configuration has no limit.
-	defaultBodyBytes = 4 << 20
-	// unsentTries bounds how often a request is placed anew after no
+	// defaultMaxBodyBytes bounds a body while the configuration has no limit.
+	defaultMaxBodyBytes = 4 << 20
+	// maxUnsentTries bounds how often a request is placed anew after no
 	// connection could be made. Such tries reach no upstream and cost the
 	// fleet nothing, but each may take a dial's timeout.
-	unsentTries = 4
+	maxUnsentTries = 4
 )
 
 // Options wire a Handler.
@@ -40,15 +40,15 @@
 	Log        zerolog.Logger
 	// Now is the clock for latencies.
 	Now func() time.Time
-	// Crowded says whether callers should close their connections after an
+	// ShouldClose says whether callers should close their connections after an
 	// answer, because so many are open; nil means never.
-	Crowded func() bool
-	// Left says whether a request's caller has closed its connection, even if
+	ShouldClose func() bool
+	// CallerClosed says whether a request's caller has closed its connection, even if
 	// the request's context does not show it yet; nil leaves it to that.
-	Left func(r *http.Request) bool
-	// Waited returns how long a request waited before it was read; nil means
+	CallerClosed func(r *http.Request) bool
+	// ReadDelay returns how long a request waited before it was read; nil means
 	// that none does.
-	Waited func(r *http.Request) time.Duration
+	ReadDelay func(r *http.Request) time.Duration
 }
 
 // Record describes one finished request to an Observer.
@@ -58,9 +58,9 @@
 	Result    result.Result
 	// Attempts counts the upstreams that the request was sent to.
 	Attempts int
-	// Wait is the time until the last attempt began, First that to the first
+	// QueueWait is the time until the last attempt began, First that to the first
 	// event or the answer, Total that to the end; zero where not reached.
-	Wait, First, Total time.Duration
+	QueueWait, FirstOutput, TotalTime time.Duration
 	// Abandoned is set if the caller left first.
 	Abandoned bool
 }
@@ -73,7 +73,7 @@
 	// Attempted hears how an attempt ended at its upstream.
 	Attempted(upstream state.Upstream, outcome placement.Outcome)
 	Finished(rec Record)
-	Between(ws state.Workspace, class string, gap time.Duration)
+	ObserveEventGap(ws state.Workspace, class string, gap time.Duration)
 }
 
 // Handler serves callers.
@@ -91,16 +91,16 @@
 // exchange is one caller's request under way. It belongs to the goroutine of
 // its HTTP handler.
 type exchange struct {
-	h       *Handler
-	w       http.ResponseWriter
-	r       *http.Request
-	control *http.ResponseController
-	arrived time.Time
-	// unread is how long the request waited before that; its caller's time
+	h          *Handler
+	w          http.ResponseWriter
+	r          *http.Request
+	controller *http.ResponseController
+	arrivedAt  time.Time
+	// readDelay is how long the request waited before that; its caller's time
 	// counts from there.
-	unread time.Duration
+	readDelay time.Duration
 
-	in          Inbound
+	inbound     Inbound
 	table       *routing.Table
 	route       *routing.Route
 	service     state.Service
@@ -108,62 +108,62 @@
 	body        []byte
 	fingerprint state.Fingerprint
 	request     admission.Request
-	// limit is when the answer is due: when the caller leaves or the route's
+	// deadline is when the answer is due: when the caller leaves or the route's
 	// timeout passes, whichever is sooner.
-	limit time.Time
+	deadline time.Time
 
-	// sent is set once an upstream may have run the request.
-	sent bool
+	// mayHaveRun is set once an upstream may have run the request.
+	mayHaveRun bool
 	// attempts counts the upstreams that the request was sent to.
 	attempts int
-	// began is set once the head of the answer went to the caller.
-	began bool
-	// repeatPaid is set if the dispatcher spent a retry when it gave up the last
+	// headSent is set once the head of the answer went to the caller.
+	headSent bool
+	// retryPaid is set if the dispatcher spent a retry when it gave up the last
 	// attempt.
-	repeatPaid bool
-	// abort is set if the answer under way must not be ended cleanly.
-	abort bool
+	retryPaid bool
+	// abortConn is set if the answer under way must not be ended cleanly.
+	abortConn bool
 	// lastEvent is the last event that was passed on whole.
 	lastEvent string
 	// fallback is an upstream's own failure, delivered if no other upstream
 	// does better.
-	fallback *heldAnswer
+	fallback *bufferedAnswer
 	verdict  admission.Verdict
 	record   Record
 	// stopAge is how long before the request the router was told to stop.
 	stopAge time.Duration
-	// lastRead is when the last part of a stream came, longest the longest time
+	// lastEventsAt is when the last part of a stream came, longest the longest time
 	// between two.
-	lastRead time.Time
-	longest  time.Duration
+	lastEventsAt time.Time
+	longestGap   time.Duration
 }
 
 // ServeHTTP runs one request to its final answer. An answer that broke off
 // ends with its connection, so that the caller's HTTP library sees it.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	stop := h.Dispatcher.Drain()
-	x := &exchange{h: h, w: w, r: r, control: http.NewResponseController(w), arrived: h.Now()}
-	x.stopAge = stop.Age(x.arrived)
+	x := &exchange{h: h, w: w, r: r, controller: http.NewResponseController(w), arrivedAt: h.Now()}
+	x.stopAge = stop.Age(x.arrivedAt)
 	h.running.Add(1)
 	defer h.running.Add(-1)
-	defer x.recovered()
-	if stop.Begun() || h.Crowded != nil && h.Crowded() {
+	defer x.recoverPanic()
+	if stop.Begun() || h.ShouldClose != nil && h.ShouldClose() {
 		w.Header().Set("Connection", "close")
 	}
-	if h.Waited != nil {
-		x.unread = h.Waited(r)
+	if h.ReadDelay != nil {
+		x.readDelay = h.ReadDelay(r)
 	}
 	res := x.run()
-	x.finish(res)
-	if x.abort {
+	x.finishRecord(res)
+	if x.abortConn {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// recovered answers a request whose handling failed, or ends its connection if
+// recoverPanic answers a request whose handling failed, or ends its connection if
 // an answer has begun; net/http would end it always, and print a stack to
 // standard error.
-func (x *exchange) recovered() {
+func (x *exchange) recoverPanic() {
 	cause := recover()
 	if cause == nil {
 		return
@@ -171,26 +171,26 @@
 	if err, ok := cause.(error); ok && errors.Is(err, http.ErrAbortHandler) {
 		panic(http.ErrAbortHandler)
 	}
-	x.h.Log.Error().Str("id", x.in.Attempt).Interface("cause", cause).Bytes("stack", debug.Stack()).Msg("handler failed")
-	if x.began {
+	x.h.Log.Error().Str("id", x.inbound.Attempt).Interface("cause", cause).Bytes("stack", debug.Stack()).Msg("handler failed")
+	if x.headSent {
 		panic(http.ErrAbortHandler)
 	}
-	x.finish(x.refuse(result.New(result.Internal, "")))
+	x.finishRecord(x.refuse(result.New(result.Internal, "")))
 }
 
 func (x *exchange) run() result.Result {
 	if res, ok := x.admit(); !ok {
 		return x.refuse(res)
 	}
-	ctx, cancel := context.WithTimeout(x.r.Context(), x.limit.Sub(x.h.Now()))
+	ctx, cancel := context.WithTimeout(x.r.Context(), x.deadline.Sub(x.h.Now()))
 	defer cancel()
 	return x.dispatch(ctx)
 }
 
 // refuse answers with a failure of the router's own.
 func (x *exchange) refuse(res result.Result) result.Result {
-	if x.began {
-		x.abort = true
+	if x.headSent {
+		x.abortConn = true
 		return res
 	}
 	if res.RetryAfter > 0 {
@@ -200,32 +200,32 @@
 	return res
 }
 
-func (x *exchange) finish(res result.Result) {
-	if x.r.Context().Err() != nil && !conntrack.IsCutOff(x.r.Context()) && res.Code != result.OK {
+func (x *exchange) finishRecord(res result.Result) {
+	if x.r.Context().Err() != nil && !conntrack.IsCancelled(x.r.Context()) && res.Code != result.OK {
 		x.record.Abandoned = true
 	}
 	x.record.Result = res
 	x.record.Attempts = x.attempts
-	x.record.Total = x.h.Now().Sub(x.arrived)
+	x.record.TotalTime = x.h.Now().Sub(x.arrivedAt)
 	if x.h.Observer != nil {
 		x.h.Observer.Finished(x.record)
 	}
-	x.log(res)
+	x.logRequest(res)
 }
 
-// log writes the line of the request. One that was refused before its route was
+// logRequest writes the line of the request. One that was refused before its route was
 // looked up has no decision to tell of: a full router refuses hundreds a second,
 // and its processor would go into empty fields.
-func (x *exchange) log(res result.Result) {
+func (x *exchange) logRequest(res result.Result) {
 	event := x.h.Log.Info()
 	if res.Code != result.OK {
 		event = x.h.Log.Warn()
 	}
-	event.Str("id", x.in.Attempt).
+	event.Str("id", x.inbound.Attempt).
 		Int("code", int(res.Code)).
 		Stringer("ran", res.Ran).
 		Int("attempts", x.attempts).
-		Int64("total_ms", x.record.Total.Milliseconds())
+		Int64("total_ms", x.record.TotalTime.Milliseconds())
 	if x.route != nil {
 		event.Str("workspace", string(x.workspace)).
 			Str("route", x.record.Class).
@@ -238,19 +238,19 @@
 			Float64("share_used", x.verdict.Standing.ShareUse).
 			Float64("share_here", x.verdict.Standing.LocalShareUse).
 			Uint64("fingerprint", uint64(x.fingerprint)).
-			Int("prompt", x.in.PromptTokens).
+			Int("prompt", x.inbound.PromptTokens).
 			Int("unread", x.verdict.Estimate.UncachedTokens).
 			Int("output", x.request.ExpectedOutputTokens).
 			Int64("elapsed_ms", x.request.Elapsed.Milliseconds()).
 			Int64("target_ms", x.request.TargetLatency.Milliseconds()).
-			Int64("first_ms", x.record.First.Milliseconds()).
-			Int64("pause_ms", x.longest.Milliseconds())
+			Int64("first_ms", x.record.FirstOutput.Milliseconds()).
+			Int64("pause_ms", x.longestGap.Milliseconds())
 	}
 	if res.RetryAfter > 0 {
 		event.Int64("retry_after_ms", res.RetryAfter.Milliseconds())
 	}
-	if x.unread >= time.Millisecond {
-		event.Int64("unread_ms", x.unread.Milliseconds())
+	if x.readDelay >= time.Millisecond {
+		event.Int64("unread_ms", x.readDelay.Milliseconds())
 	}
 	if x.stopAge > 0 {
 		event.Int64("stop_age_ms", x.stopAge.Milliseconds())
--- a/transport/ingress/handler_test.go
+++ b/transport/ingress/handler_test.go
@@ -17,10 +17,10 @@
 )
 
 var (
-	once       = routing.Route{Kind: routing.NonIdempotent, MaxAttempts: 2}
-	repeatable = routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}
-	resumable  = routing.Route{Kind: routing.Stream, Resumable: true, MaxAttempts: 2}
-	oneStream  = routing.Route{Kind: routing.Stream, MaxAttempts: 2}
+	runOnce      = routing.Route{Kind: routing.NonIdempotent, MaxAttempts: 2}
+	repeatable   = routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}
+	resumable    = routing.Route{Kind: routing.Stream, Resumable: true, MaxAttempts: 2}
+	nonResumable = routing.Route{Kind: routing.Stream, MaxAttempts: 2}
 )
 
 func bodyOf(t *testing.T, response *http.Response) (string, error) {
@@ -36,15 +36,15 @@
 }
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
-	u := startUpstream(t, say(whole(203, "page")))
-	d := openDoor(t, once, u)
+	u := startUpstream(t, writeText(completeAnswer(203, "page")))
+	d := newHandlerFixture(t, runOnce, u)
 	response := d.post(t)
 	body, err := bodyOf(t, response)
 	require.NoError(t, err)
 	require.Equal(t, 203, response.StatusCode)
 	require.Equal(t, "page", body)
 	require.Equal(t, "1", response.Header.Get("Signed"))
-	seen := u.seen()[0]
+	seen := u.receivedRequests()[0]
 	require.Equal(t, "/a/p?q=1", seen.RequestURI)
 	require.Equal(t, "h", seen.Host)
 	require.Equal(t, "w", seen.Header.Get("Workspace"))
@@ -57,37 +57,37 @@
 // twice; so the caller is told that nobody knows.
 func TestRequestThatMayHaveRunIsNotRepeated(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
-	spare := startUpstream(t, say(whole(200, "second")))
-	d := openDoor(t, once, u, spare)
+	spare := startUpstream(t, writeText(completeAnswer(200, "second")))
+	d := newHandlerFixture(t, runOnce, u, spare)
 	response := d.post(t)
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Equal(t, "unknown", response.Header.Get("Figstile-Ran"))
-	require.Len(t, u.seen(), 1)
-	require.Empty(t, spare.seen())
-	require.Equal(t, 1, d.dispatcher.lost)
+	require.Len(t, u.receivedRequests(), 1)
+	require.Empty(t, spare.receivedRequests())
+	require.Equal(t, 1, d.dispatcher.lostCount)
 }
 
 func TestIdempotentRequestGoesToAnotherUpstream(t *testing.T) {
 	for name, script := range map[string]func(net.Conn, *http.Request){
 		"reset": func(conn net.Conn, _ *http.Request) { reset(conn) },
 		"truncated": func(conn net.Conn, _ *http.Request) {
-			_, _ = conn.Write([]byte(whole(200, "page")[:60]))
+			_, _ = conn.Write([]byte(completeAnswer(200, "page")[:60]))
 			_ = conn.Close()
 		},
 		"garbage":  func(conn net.Conn, _ *http.Request) { _, _ = conn.Write([]byte("%%%%\r\n\r\n")); _ = conn.Close() },
-		"failed":   say(whole(500, "no")),
-		"unsigned": say("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"),
-		"crossed":  say("HTTP/1.1 200 OK\r\nSigned: 1\r\nAttempt: other\r\nContent-Length: 2\r\n\r\nhi"),
-		"not run":  say("HTTP/1.1 503 S\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"),
+		"failed":   writeText(completeAnswer(500, "no")),
+		"unsigned": writeText("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"),
+		"crossed":  writeText("HTTP/1.1 200 OK\r\nSigned: 1\r\nAttempt: other\r\nContent-Length: 2\r\n\r\nhi"),
+		"not run":  writeText("HTTP/1.1 503 S\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			u, spare := startUpstream(t, script), startUpstream(t, say(whole(200, "page")))
-			d := openDoor(t, repeatable, u, spare)
+			u, spare := startUpstream(t, script), startUpstream(t, writeText(completeAnswer(200, "page")))
+			d := newHandlerFixture(t, repeatable, u, spare)
 			response := d.post(t)
 			body, err := bodyOf(t, response)
 			require.NoError(t, err)
 			require.Equal(t, "page", body)
-			require.Len(t, spare.seen(), 1)
+			require.Len(t, spare.receivedRequests(), 1)
 		})
 	}
 }
@@ -95,21 +95,21 @@
 // A fleet in trouble must not multiply its load: once the budget for repeats
 // is spent, a failed answer is the final one.
 func TestNoRepeatWithoutBudget(t *testing.T) {
-	u, spare := startUpstream(t, say(whole(500, "no"))), startUpstream(t, say(whole(200, "page")))
-	d := openDoor(t, repeatable, u, spare)
-	d.dispatcher.noRepeats = true
+	u, spare := startUpstream(t, writeText(completeAnswer(500, "no"))), startUpstream(t, writeText(completeAnswer(200, "page")))
+	d := newHandlerFixture(t, repeatable, u, spare)
+	d.dispatcher.noRetries = true
 	response := d.post(t)
 	body, err := bodyOf(t, response)
 	require.NoError(t, err)
 	require.Equal(t, 500, response.StatusCode)
 	require.Equal(t, "no", body, "the upstream's own failure is passed on whole")
 	require.Equal(t, "1", response.Header.Get("Signed"))
-	require.Empty(t, spare.seen())
+	require.Empty(t, spare.receivedRequests())
 }
 
-func TestRejectedRequestIsRefusedTruthfully(t *testing.T) {
-	u := startUpstream(t, say("HTTP/1.1 503 S\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
-	d := openDoor(t, once, u)
+func TestRejectedRequestIsRefusedAsNotRun(t *testing.T) {
+	u := startUpstream(t, writeText("HTTP/1.1 503 S\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
+	d := newHandlerFixture(t, runOnce, u)
 	response := d.post(t)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.Equal(t, "no", response.Header.Get("Figstile-Ran"))
@@ -120,8 +120,8 @@
 // says that it did not run it. "Not run" would be false for the first.
 func TestRefusalAfterALossDoesNotSayNotRun(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
-	full := startUpstream(t, say("HTTP/1.1 503 S\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
-	d := openDoor(t, repeatable, u, full)
+	full := startUpstream(t, writeText("HTTP/1.1 503 S\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
+	d := newHandlerFixture(t, repeatable, u, full)
 	response := d.post(t)
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Equal(t, "unknown", response.Header.Get("Figstile-Ran"))
@@ -129,33 +129,33 @@
 
 func TestRefusals(t *testing.T) {
 	cases := map[string]struct {
-		change func(d *door, r *http.Request)
+		change func(d *handlerFixture, r *http.Request)
 		status int
 	}{
-		"overload":        {func(d *door, _ *http.Request) { d.dispatcher.verdict.Reason = admission.Overload }, 503},
-		"beyond share":    {func(d *door, _ *http.Request) { d.dispatcher.verdict.Reason = admission.OverShare }, 429},
-		"no key":          {func(_ *door, r *http.Request) { r.Header.Del("Key") }, 401},
-		"no route":        {func(_ *door, r *http.Request) { r.Host = "other" }, 404},
-		"no table":        {func(d *door, _ *http.Request) { d.dispatcher.table = nil }, 503},
-		"stale, no key":   {func(d *door, r *http.Request) { d.dispatcher.stale = true; r.Header.Del("Key") }, 503},
-		"stale, no route": {func(d *door, r *http.Request) { d.dispatcher.stale = true; r.Host = "other" }, 503},
-		"long head":       {func(_ *door, r *http.Request) { r.Header.Set("Filler", strings.Repeat("x", 2000)) }, 431},
-		"blocked":         {func(d *door, _ *http.Request) { d.dispatcher.blocked = true }, 503},
-		"full":            {func(d *door, _ *http.Request) { d.dispatcher.full = true }, 429},
-		"no room for it":  {func(d *door, _ *http.Request) { d.dispatcher.fullFor = "w" }, 429},
-		"closing":         {func(d *door, _ *http.Request) { d.dispatcher.closing = true }, 503},
+		"overload":        {func(d *handlerFixture, _ *http.Request) { d.dispatcher.verdict.Reason = admission.Overload }, 503},
+		"beyond share":    {func(d *handlerFixture, _ *http.Request) { d.dispatcher.verdict.Reason = admission.OverShare }, 429},
+		"no key":          {func(_ *handlerFixture, r *http.Request) { r.Header.Del("Key") }, 401},
+		"no route":        {func(_ *handlerFixture, r *http.Request) { r.Host = "other" }, 404},
+		"no table":        {func(d *handlerFixture, _ *http.Request) { d.dispatcher.table = nil }, 503},
+		"stale, no key":   {func(d *handlerFixture, r *http.Request) { d.dispatcher.configStale = true; r.Header.Del("Key") }, 503},
+		"stale, no route": {func(d *handlerFixture, r *http.Request) { d.dispatcher.configStale = true; r.Host = "other" }, 503},
+		"long head":       {func(_ *handlerFixture, r *http.Request) { r.Header.Set("Filler", strings.Repeat("x", 2000)) }, 431},
+		"blocked":         {func(d *handlerFixture, _ *http.Request) { d.dispatcher.quarantined = true }, 503},
+		"full":            {func(d *handlerFixture, _ *http.Request) { d.dispatcher.atCapacity = true }, 429},
+		"no room for it":  {func(d *handlerFixture, _ *http.Request) { d.dispatcher.atCapacityFor = "w" }, 429},
+		"closing":         {func(d *handlerFixture, _ *http.Request) { d.dispatcher.draining = true }, 503},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			u := startUpstream(t, say(whole(200, "page")))
-			d := openDoor(t, once, u)
+			u := startUpstream(t, writeText(completeAnswer(200, "page")))
+			d := newHandlerFixture(t, runOnce, u)
 			request := d.request(t, context.Background(), "hello")
 			c.change(d, request)
 			response, err := http.DefaultClient.Do(request)
 			require.NoError(t, err)
 			defer response.Body.Close()
 			require.Equal(t, c.status, response.StatusCode)
-			require.Empty(t, u.seen(), "what is refused does not run")
+			require.Empty(t, u.receivedRequests(), "what is refused does not run")
 			require.Equal(t, name == "closing", response.Close)
 		})
 	}
@@ -164,20 +164,20 @@
 // An engine breaks off within the third event of a guide. The caller must get
 // each event once: the torn one is dropped, and another engine goes on after
 // the last whole one, under the first engine's head.
-func TestStreamGoesOnAtAnotherUpstream(t *testing.T) {
-	torn := event(3)[:7]
+func TestStreamResumesAtAnotherUpstream(t *testing.T) {
+	partial := event(3)[:7]
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) {
-		_, _ = conn.Write([]byte(streamHead + chunk(event(1)) + chunk(event(2)+torn)))
+		_, _ = conn.Write([]byte(streamHead + chunk(event(1)) + chunk(event(2)+partial)))
 		reset(conn)
 	})
-	spare := startUpstream(t, say("HTTP/1.1 200 OK\r\nSigned: second\r\nAttempt: x\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(event(3))+chunk(event(4))+"0\r\n\r\n"))
-	d := openDoor(t, resumable, u, spare)
+	spare := startUpstream(t, writeText("HTTP/1.1 200 OK\r\nSigned: second\r\nAttempt: x\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(event(3))+chunk(event(4))+"0\r\n\r\n"))
+	d := newHandlerFixture(t, resumable, u, spare)
 	response := d.post(t)
 	body, err := bodyOf(t, response)
 	require.NoError(t, err)
 	require.Equal(t, event(1)+event(2)+event(3)+event(4), body)
 	require.Equal(t, "first", response.Header.Get("Signed"))
-	require.Equal(t, "2", spare.seen()[0].Header.Get("Last-Event"))
+	require.Equal(t, "2", spare.receivedRequests()[0].Header.Get("Last-Event"))
 }
 
 // A stream that cannot be resumed breaks. The caller's library has to see
@@ -188,23 +188,23 @@
 			_, _ = conn.Write([]byte(streamHead + chunk(event(1))))
 			reset(conn)
 		},
-		"torn": say(streamHead + chunk(event(1)+"id: 2\nda") + "0\r\n\r\n"),
+		"torn": writeText(streamHead + chunk(event(1)+"id: 2\nda") + "0\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			u, spare := startUpstream(t, script), startUpstream(t, say(streamHead+"0\r\n\r\n"))
-			d := openDoor(t, oneStream, u, spare)
+			u, spare := startUpstream(t, script), startUpstream(t, writeText(streamHead+"0\r\n\r\n"))
+			d := newHandlerFixture(t, nonResumable, u, spare)
 			response := d.post(t)
 			body, err := bodyOf(t, response)
 			require.Error(t, err)
 			require.Equal(t, event(1), body)
-			require.Empty(t, spare.seen())
+			require.Empty(t, spare.receivedRequests())
 		})
 	}
 }
 
 func TestStreamBrokenBeforeItsFirstEventIsAnsweredCleanly(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = conn.Write([]byte(streamHead)); reset(conn) })
-	d := openDoor(t, oneStream, u)
+	d := newHandlerFixture(t, nonResumable, u)
 	response := d.post(t)
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Empty(t, response.Header.Get("Signed"), "a failure of the router's own bears no signature")
@@ -216,11 +216,11 @@
 func TestStalledAttemptIsRepeated(t *testing.T) {
 	reached := make(chan struct{})
 	u := startUpstream(t, func(net.Conn, *http.Request) { close(reached) })
-	spare := startUpstream(t, say(whole(200, "page")))
-	d := openDoor(t, repeatable, u, spare)
+	spare := startUpstream(t, writeText(completeAnswer(200, "page")))
+	d := newHandlerFixture(t, repeatable, u, spare)
 	go func() {
 		<-reached
-		d.dispatcher.giveUp(0)
+		d.dispatcher.cancelStalled(0)
 	}()
 	body, err := bodyOf(t, d.post(t))
 	require.NoError(t, err)
@@ -230,16 +230,16 @@
 // A stream stalls after its first event. The dispatcher has spent a retry on it when
 // it gives it up, so that the stream goes on at another engine even if nobody
 // else gets a retry now; asked again for one, its caller saw it break off.
-func TestStreamThatWasGivenUpGoesOn(t *testing.T) {
+func TestStalledStreamResumesWithoutAnotherRetry(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) {
 		_, _ = conn.Write([]byte(streamHead + chunk(event(1))))
 		_, _ = conn.Read(make([]byte, 1))
 	})
-	spare := startUpstream(t, say(streamHead+chunk(event(2))+"0\r\n\r\n"))
-	d := openDoor(t, resumable, u, spare)
-	d.dispatcher.noRepeats = true
+	spare := startUpstream(t, writeText(streamHead+chunk(event(2))+"0\r\n\r\n"))
+	d := newHandlerFixture(t, resumable, u, spare)
+	d.dispatcher.noRetries = true
 	response := d.post(t)
-	d.dispatcher.giveUp(0)
+	d.dispatcher.cancelStalled(0)
 	body, err := bodyOf(t, response)
 	require.NoError(t, err)
 	require.Equal(t, event(1)+event(2), body)
@@ -247,15 +247,15 @@
 
 // A caller leaves while its request runs. The worker notices by its connection
 // and stops; nothing is sent anywhere else.
-func TestLeavingCallerEndsTheAttempt(t *testing.T) {
+func TestCallerDisconnectCancelsTheAttempt(t *testing.T) {
 	reached, closed := make(chan struct{}), make(chan struct{})
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) {
 		close(reached)
 		_, _ = conn.Read(make([]byte, 1))
 		close(closed)
 	})
-	spare := startUpstream(t, say(whole(200, "page")))
-	d := openDoor(t, repeatable, u, spare)
+	spare := startUpstream(t, writeText(completeAnswer(200, "page")))
+	d := newHandlerFixture(t, repeatable, u, spare)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-reached
@@ -264,15 +264,15 @@
 	_, err := http.DefaultClient.Do(d.request(t, ctx, "hello")) //nolint:bodyclose // There is no answer.
 	require.ErrorIs(t, err, context.Canceled)
 	<-closed
-	require.Empty(t, spare.seen())
+	require.Empty(t, spare.receivedRequests())
 }
 
 // A fault of the router's own ends the handling of a page that an upstream has
 // answered. Its caller saw the connection close and the router's log had no line
 // of the request, and the upstream counted as busy with it for good.
-func TestFailedHandlingIsAnswered(t *testing.T) {
-	d := openDoor(t, repeatable, startUpstream(t, say(whole(200, "page"))))
-	d.dispatcher.broken = true
+func TestPanicWhileHandlingIsAnswered(t *testing.T) {
+	d := newHandlerFixture(t, repeatable, startUpstream(t, writeText(completeAnswer(200, "page"))))
+	d.dispatcher.panicOnServed = true
 	require.Equal(t, http.StatusInternalServerError, d.post(t).StatusCode)
 	d.dispatcher.awaitEnded(t, placement.Withdrawn)
 }
@@ -280,13 +280,13 @@
 // A caller gave up while its request waited for the processor. Nothing has read
 // its close yet, but the kernel has it: the request goes to no upstream, and the
 // connection ends without anything that could be taken for an answer.
-func TestRequestOfACallerWhoLeftIsNotSent(t *testing.T) {
-	u := startUpstream(t, say(whole(200, "page")))
-	d := openDoor(t, repeatable, u)
-	d.dispatcher.left = true
+func TestRequestOfADisconnectedCallerIsNotSent(t *testing.T) {
+	u := startUpstream(t, writeText(completeAnswer(200, "page")))
+	d := newHandlerFixture(t, repeatable, u)
+	d.dispatcher.callerClosed = true
 	_, err := http.DefaultClient.Do(d.request(t, context.Background(), "hello")) //nolint:bodyclose // There is no answer.
 	require.Error(t, err)
-	require.Empty(t, u.seen())
+	require.Empty(t, u.receivedRequests())
 	d.dispatcher.awaitEnded(t, placement.Withdrawn)
 }
 
@@ -294,23 +294,23 @@
 // answer then, one that does not say that the request did not run.
 func TestTimeoutWhileRunning(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = conn.Read(make([]byte, 1)) })
-	route := once
+	route := runOnce
 	route.Timeout = 20 * time.Millisecond
-	response := openDoor(t, route, u).post(t)
+	response := newHandlerFixture(t, route, u).post(t)
 	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
 }
 
 // A worker is gone and its address refuses connections. Nothing was sent, so
 // any request may go elsewhere, one that must not run twice as well.
-func TestUnreachableUpstreamIsPassedOver(t *testing.T) {
-	gone := startUpstream(t, say(""))
-	require.NoError(t, gone.listener.Close())
-	spare := startUpstream(t, say(whole(200, "page")))
-	d := openDoor(t, once, gone, spare)
+func TestUnreachableUpstreamIsSkipped(t *testing.T) {
+	closed := startUpstream(t, writeText(""))
+	require.NoError(t, closed.listener.Close())
+	spare := startUpstream(t, writeText(completeAnswer(200, "page")))
+	d := newHandlerFixture(t, runOnce, closed, spare)
 	body, err := bodyOf(t, d.post(t))
 	require.NoError(t, err)
 	require.Equal(t, "page", body)
-	require.Equal(t, placement.Unconnected, d.dispatcher.ended()[0])
+	require.Equal(t, placement.Unconnected, d.dispatcher.endedOutcomes()[0])
 }
 
 // An answer without a length ends with its connection. Closed in order it is
@@ -318,7 +318,7 @@
 func TestAnswerWithoutLength(t *testing.T) {
 	const unframed = "HTTP/1.1 200 OK\r\nSigned: 1\r\nAttempt: x\r\n\r\npage"
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = conn.Write([]byte(unframed)); _ = conn.Close() })
-	body, err := bodyOf(t, openDoor(t, once, u).post(t))
+	body, err := bodyOf(t, newHandlerFixture(t, runOnce, u).post(t))
 	require.NoError(t, err)
 	require.Equal(t, "page", body)
 
@@ -328,7 +328,7 @@
 		<-gate
 		reset(conn)
 	})
-	d := openDoor(t, once, broken)
+	d := newHandlerFixture(t, runOnce, broken)
 	close(gate)
 	require.Equal(t, http.StatusBadGateway, d.post(t).StatusCode)
 }
--- a/transport/ingress/stream.go
+++ b/transport/ingress/stream.go
@@ -11,62 +11,62 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// streamBuffer holds some events of a stream; they are a few hundred bytes.
-const streamBuffer = 16 << 10
+// streamBufferBytes holds some events of a stream; they are a few hundred bytes.
+const streamBufferBytes = 16 << 10
 
-var streamBuffers = sync.Pool{New: func() any { return new([streamBuffer]byte) }}
+var streamBufferPool = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
 
-// errTornEvent ends a stream that stopped within an event.
-var errTornEvent = errors.New("ingress: the stream stopped within an event")
+// errPartialEvent ends a stream that stopped within an event.
+var errPartialEvent = errors.New("ingress: the stream stopped within an event")
 
 // relayStream passes on a series of events. Only whole events are passed on,
 // so that a stream that breaks can go on at another upstream after the last
 // one. The head goes out with the first event: until then the request can
 // still be answered cleanly.
 func (x *exchange) relayStream(answer *upstream.Answer, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
-	buffer := streamBuffers.Get().(*[streamBuffer]byte)
-	defer streamBuffers.Put(buffer)
-	var events eventSplitter
-	began := false
+	buffer := streamBufferPool.Get().(*[streamBufferBytes]byte)
+	defer streamBufferPool.Put(buffer)
+	var splitter eventSplitter
+	started := false
 	for {
 		n, err := answer.Read(buffer[:])
-		whole := events.add(buffer[:n])
-		if len(whole) > 0 {
-			x.h.Dispatcher.Output(ticket, !began)
-			began = true
-			if failed := x.pass(answer, whole, events.lastID); failed != nil {
-				x.abort = true
-				return attemptEnd{fateDelivered, result.New(result.AnswerTruncated, failed.Error())}, placement.Withdrawn
+		complete := splitter.add(buffer[:n])
+		if len(complete) > 0 {
+			x.h.Dispatcher.ReportOutput(ticket, !started)
+			started = true
+			if writeErr := x.writeEvents(answer, complete, splitter.lastID); writeErr != nil {
+				x.abortConn = true
+				return attemptEnd{attemptDelivered, result.New(result.AnswerTruncated, writeErr.Error())}, placement.Withdrawn
 			}
 		}
 		if err == nil {
 			continue
 		}
-		if err == io.EOF && events.torn() {
-			err = errTornEvent
+		if err == io.EOF && splitter.hasPartial() {
+			err = errPartialEvent
 		}
-		return x.streamEnd(err, answer, ticket)
+		return x.endStream(err, answer, ticket)
 	}
 }
 
-// pass writes whole events and sends them on at once.
-func (x *exchange) pass(answer *upstream.Answer, whole []byte, lastID string) error {
-	if !x.began {
-		x.begin(&heldAnswer{status: answer.Status, header: answer.Header})
+// writeEvents writes whole events and sends them on at once.
+func (x *exchange) writeEvents(answer *upstream.Answer, events []byte, lastID string) error {
+	if !x.headSent {
+		x.beginAnswer(&bufferedAnswer{status: answer.Status, header: answer.Header})
 		x.w.WriteHeader(answer.Status)
 	}
 	now := x.h.Now()
-	if !x.lastRead.IsZero() && x.h.Observer != nil {
-		x.h.Observer.Between(x.workspace, x.record.Class, now.Sub(x.lastRead))
+	if !x.lastEventsAt.IsZero() && x.h.Observer != nil {
+		x.h.Observer.ObserveEventGap(x.workspace, x.record.Class, now.Sub(x.lastEventsAt))
 	}
-	if !x.lastRead.IsZero() {
-		x.longest = max(x.longest, now.Sub(x.lastRead))
+	if !x.lastEventsAt.IsZero() {
+		x.longestGap = max(x.longestGap, now.Sub(x.lastEventsAt))
 	}
-	x.lastRead = now
-	if _, err := x.w.Write(whole); err != nil {
+	x.lastEventsAt = now
+	if _, err := x.w.Write(events); err != nil {
 		return err
 	}
-	if err := x.control.Flush(); err != nil {
+	if err := x.controller.Flush(); err != nil {
 		return err
 	}
 	if lastID != "" {
@@ -75,16 +75,16 @@
 	return nil
 }
 
-func (x *exchange) streamEnd(err error, answer *upstream.Answer, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
+func (x *exchange) endStream(err error, answer *upstream.Answer, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
 	if err != io.EOF {
-		x.lost(err, ticket)
-		return attemptEnd{fateFailed, result.New(result.AnswerTruncated, err.Error())}, placement.Broken
+		x.reportLost(err, ticket)
+		return attemptEnd{attemptFailed, result.New(result.AnswerTruncated, err.Error())}, placement.Broken
 	}
-	if !x.began {
+	if !x.headSent {
 		// A stream without an event: its head is all there is.
-		x.begin(&heldAnswer{status: answer.Status, header: answer.Header})
+		x.beginAnswer(&bufferedAnswer{status: answer.Status, header: answer.Header})
 		x.w.WriteHeader(http.StatusOK)
 	}
-	x.h.Dispatcher.Served(x.fingerprint)
-	return attemptEnd{fateDelivered, result.New(result.OK, "")}, placement.Answered
+	x.h.Dispatcher.ReportServed(x.fingerprint)
+	return attemptEnd{attemptDelivered, result.New(result.OK, "")}, placement.Answered
 }
--- a/transport/problem/problem.go
+++ b/transport/problem/problem.go
@@ -50,7 +50,7 @@
 // Write answers with a refusal. Times to come back are rounded up to whole
 // seconds unless the header is set already.
 func Write(w http.ResponseWriter, res result.Result) {
-	problem := NewDocument(res)
+	document := NewDocument(res)
 	header := w.Header()
 	SetResult(header, res)
 	header.Set("Content-Type", "application/problem+json")
@@ -58,11 +58,11 @@
 	if res.Code == result.Unauthorized {
 		header.Set("WWW-Authenticate", "Bearer")
 	}
-	if seconds := retrySeconds(res); seconds > 0 && header.Get("Retry-After") == "" {
+	if seconds := retryAfterSeconds(res); seconds > 0 && header.Get("Retry-After") == "" {
 		header.Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
-	w.WriteHeader(problem.Status)
-	_ = json.NewEncoder(w).Encode(problem)
+	w.WriteHeader(document.Status)
+	_ = json.NewEncoder(w).Encode(document)
 }
 
 // SetResult states a result in an answer's header.
@@ -71,8 +71,8 @@
 	header.Set(HeaderRan, res.Ran.String())
 }
 
-// retrySeconds rounds up: a caller that comes back early is refused again.
-func retrySeconds(res result.Result) int64 {
+// retryAfterSeconds rounds up: a caller that comes back early is refused again.
+func retryAfterSeconds(res result.Result) int64 {
 	after := res.RetryAfter
 	if after <= 0 && result.Lookup(res.Code).Retry {
 		after = defaultRetryAfter
--- a/transport/upstream/answer.go
+++ b/transport/upstream/answer.go
@@ -12,26 +12,26 @@
 	Status int
 	Header http.Header
 
-	body   io.ReadCloser
-	framed bool
-	stage  Stage
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	silent *time.Timer
-	idle   time.Duration
+	body         io.ReadCloser
+	framed       bool
+	stage        Stage
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	silenceTimer *time.Timer
+	idleTimeout  time.Duration
 }
 
-func newAnswer(ctx context.Context, cancel context.CancelCauseFunc, resp *http.Response, idle time.Duration) *Answer {
+func newAnswer(ctx context.Context, cancel context.CancelCauseFunc, resp *http.Response, idleTimeout time.Duration) *Answer {
 	return &Answer{
-		Status: resp.StatusCode,
-		Header: resp.Header,
-		body:   resp.Body,
-		framed: isFramed(resp),
-		stage:  StageBegan,
-		ctx:    ctx,
-		cancel: cancel,
-		silent: time.AfterFunc(idle, func() { cancel(ErrSilent) }),
-		idle:   idle,
+		Status:       resp.StatusCode,
+		Header:       resp.Header,
+		body:         resp.Body,
+		framed:       isFramed(resp),
+		stage:        StageBegan,
+		ctx:          ctx,
+		cancel:       cancel,
+		silenceTimer: time.AfterFunc(idleTimeout, func() { cancel(ErrSilent) }),
+		idleTimeout:  idleTimeout,
 	}
 }
 
@@ -50,20 +50,20 @@
 // Read reads the body. Any end but a whole one is an *Error; one that wraps
 // ErrUnframed followed a clean close.
 func (a *Answer) Read(p []byte) (int, error) {
-	a.silent.Reset(a.idle)
+	a.silenceTimer.Reset(a.idleTimeout)
 	n, err := a.body.Read(p)
 	if err == nil {
 		return n, nil
 	}
 	if err == io.EOF && a.framed {
-		a.stage = StageWhole
+		a.stage = StageComplete
 		return n, io.EOF
 	}
 	a.stage = StageTruncated
-	return n, &Error{Stage: StageTruncated, Err: a.reason(err)}
+	return n, &Error{Stage: StageTruncated, Err: a.endCause(err)}
 }
 
-func (a *Answer) reason(err error) error {
+func (a *Answer) endCause(err error) error {
 	if err == io.EOF {
 		return ErrUnframed
 	}
@@ -76,8 +76,8 @@
 // Close ends the attempt. Before the end of the answer it closes the
 // connection, by which upstreams notice a cancelled request.
 func (a *Answer) Close() {
-	a.silent.Stop()
-	if a.stage != StageWhole {
+	a.silenceTimer.Stop()
+	if a.stage != StageComplete {
 		a.cancel(context.Canceled)
 	}
 	_ = a.body.Close()
--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -24,15 +24,15 @@
 	// dialTimeout bounds making a connection. Upstreams are a few
 	// milliseconds away, so a second is only reached by a dead address.
 	dialTimeout = time.Second
-	// keepIdle is how long an unused connection is kept. It stays below the
+	// defaultKeepIdle is how long an unused connection is kept. It stays below the
 	// five seconds after which common HTTP servers close one, because a
 	// request that meets such a close is lost with an unknown outcome.
-	keepIdle = 4 * time.Second
-	// idlePerUpstream bounds unused connections to one upstream: more than
+	defaultKeepIdle = 4 * time.Second
+	// defaultIdlePerUpstream bounds unused connections to one upstream: more than
 	// an engine has slots, so that steady load makes no new ones.
-	idlePerUpstream = 256
-	// answerHeadBytes bounds the head of an answer.
-	answerHeadBytes = 64 << 10
+	defaultIdlePerUpstream = 256
+	// maxAnswerHeadBytes bounds the head of an answer.
+	maxAnswerHeadBytes = 64 << 10
 	// defaultAnswerIdle is the longest silence within an answer.
 	defaultAnswerIdle = time.Minute
 )
@@ -51,7 +51,7 @@
 	// StageTruncated: the answer broke off.
 	StageTruncated
 	// StageWhole: the answer arrived to its last byte.
-	StageWhole
+	StageComplete
 )
 
 // String returns the stage's name in logs.
@@ -113,9 +113,9 @@
 	// Token is what the upstream echoes in the client's EchoHeader; empty
 	// means the ID.
 	Token string
-	// Fresh asks for a new connection. A request that must not run twice
+	// NewConnection asks for a new connection. A request that must not run twice
 	// cannot be sent again when a kept-alive connection turns out closed.
-	Fresh bool
+	NewConnection bool
 }
 
 func (a *Attempt) token() string {
@@ -127,11 +127,11 @@
 
 // Client sends attempts. It never sends one twice and follows no redirects.
 type Client struct {
-	kept           *http.Transport
-	fresh          *http.Transport
-	answerIdle     time.Duration
-	echoHeader     string
-	acceptUnframed bool
+	keepAliveTransport *http.Transport
+	singleUseTransport *http.Transport
+	answerIdle         time.Duration
+	echoHeader         string
+	acceptUnframed     bool
 }
 
 // ClientOptions configure a Client. Zero values take the defaults.
@@ -163,10 +163,10 @@
 		o.EchoHeader = AttemptHeader
 	}
 	if o.KeepIdle == 0 {
-		o.KeepIdle = keepIdle
+		o.KeepIdle = defaultKeepIdle
 	}
 	if o.IdlePerUpstream == 0 {
-		o.IdlePerUpstream = idlePerUpstream
+		o.IdlePerUpstream = defaultIdlePerUpstream
 	}
 	return o
 }
@@ -174,14 +174,14 @@
 // NewClient returns a client with its own connections.
 func NewClient(opts ClientOptions) *Client {
 	opts = opts.withDefaults()
-	fresh := newTransport(opts)
-	fresh.DisableKeepAlives = true
+	singleUse := newTransport(opts)
+	singleUse.DisableKeepAlives = true
 	return &Client{
-		kept:           newTransport(opts),
-		fresh:          fresh,
-		answerIdle:     opts.AnswerIdle,
-		echoHeader:     opts.EchoHeader,
-		acceptUnframed: opts.AcceptUnframed,
+		keepAliveTransport: newTransport(opts),
+		singleUseTransport: singleUse,
+		answerIdle:         opts.AnswerIdle,
+		echoHeader:         opts.EchoHeader,
+		acceptUnframed:     opts.AcceptUnframed,
 	}
 }
 
@@ -195,7 +195,7 @@
 		DisableCompression:     true,
 		MaxIdleConnsPerHost:    opts.IdlePerUpstream,
 		IdleConnTimeout:        opts.KeepIdle,
-		MaxResponseHeaderBytes: answerHeadBytes,
+		MaxResponseHeaderBytes: maxAnswerHeadBytes,
 	}
 }
 
@@ -213,17 +213,17 @@
 
 // Close drops idle connections.
 func (c *Client) Close() {
-	c.kept.CloseIdleConnections()
-	c.fresh.CloseIdleConnections()
+	c.keepAliveTransport.CloseIdleConnections()
+	c.singleUseTransport.CloseIdleConnections()
 }
 
 // Send sends the attempt once and returns the answer as soon as its head is
 // there. Its error is an *Error. The context bounds the attempt up to the end
 // of the answer.
 func (c *Client) Send(ctx context.Context, a Attempt) (*Answer, error) {
-	transport := c.kept
-	if a.Fresh {
-		transport = c.fresh
+	transport := c.keepAliveTransport
+	if a.NewConnection {
+		transport = c.singleUseTransport
 	}
 	answer, reused, err := c.sendOver(ctx, transport, a)
 	if !reused || ctx.Err() != nil || StageOf(err) != StageNotSent {
@@ -231,14 +231,14 @@
 	}
 	// The kept connection closed before the first byte left, so this is no
 	// second copy; a new connection cannot fail the same way.
-	answer, _, err = c.sendOver(ctx, c.fresh, a)
+	answer, _, err = c.sendOver(ctx, c.singleUseTransport, a)
 	return answer, err
 }
 
 func (c *Client) sendOver(ctx context.Context, transport *http.Transport, a Attempt) (answer *Answer, reused bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	watch := &sendWatch{cancel: cancel}
-	req, err := c.newRequest(httptrace.WithClientTrace(ctx, watch.trace()), a)
+	tracker := &sendTracker{cancel: cancel}
+	req, err := c.newRequest(httptrace.WithClientTrace(ctx, tracker.trace()), a)
 	if err != nil {
 		cancel(err)
 		return nil, false, &Error{Stage: StageNotSent, Err: err}
@@ -246,7 +246,7 @@
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		cancel(err)
-		stage, reused := watch.stop()
+		stage, reused := tracker.finish()
 		return nil, reused, &Error{Stage: stage, Err: err}
 	}
 	if echo := resp.Header.Get(c.echoHeader); echo != "" && echo != a.token() {
--- a/transport/upstream/client_test.go
+++ b/transport/upstream/client_test.go
@@ -19,24 +19,24 @@
 
 var attemptID = state.AttemptID{Router: "laredo-1", Incarnation: 3, Sequence: 7}
 
-// flaky serves the first request of each connection and closes the connection
+// flakyServer serves the first request of each connection and closes the connection
 // without an answer once it has read the second. It counts the second ones.
-type flaky struct {
+type flakyServer struct {
 	url     string
 	dropped atomic.Int64
 }
 
-func startFlaky(t *testing.T) *flaky {
+func startFlakyServer(t *testing.T) *flakyServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	f := &flaky{url: "http://" + listener.Addr().String()}
+	f := &flakyServer{url: "http://" + listener.Addr().String()}
 	go f.accept(listener)
 	return f
 }
 
-func (f *flaky) accept(listener net.Listener) {
+func (f *flakyServer) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -46,7 +46,7 @@
 	}
 }
 
-func (f *flaky) serve(conn net.Conn) {
+func (f *flakyServer) serve(conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -72,11 +72,11 @@
 		"get":           {Method: http.MethodGet},
 		"empty keyed":   {Method: http.MethodPost, Header: http.Header{"Idempotency-Key": {"k"}}},
 		"keyed booking": {Method: http.MethodPost, Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte("seat")},
-		"fresh":         {Method: http.MethodPost, Body: []byte("seat"), Fresh: true},
+		"fresh":         {Method: http.MethodPost, Body: []byte("seat"), NewConnection: true},
 	}
 	for name, attempt := range cases {
 		t.Run(name, func(t *testing.T) {
-			server := startFlaky(t)
+			server := startFlakyServer(t)
 			client := NewClient(ClientOptions{})
 			defer client.Close()
 			warm := attempt
@@ -94,7 +94,7 @@
 		})
 	}
 	t.Run("control: a plain transport replays", func(t *testing.T) {
-		server := startFlaky(t)
+		server := startFlakyServer(t)
 		plain := &http.Transport{}
 		defer plain.CloseIdleConnections()
 		for _, path := range []string{"/warm", "/drop"} {
@@ -111,18 +111,18 @@
 	})
 }
 
-// heldConn holds back the first write until the test releases it.
-type heldConn struct {
+// blockedConn holds back the first write until the test releases it.
+type blockedConn struct {
 	net.Conn
 	reached chan struct{}
 }
 
-func (c *heldConn) Write(p []byte) (int, error) {
+func (c *blockedConn) Write(p []byte) (int, error) {
 	close(c.reached)
 	return len(p), nil
 }
 
-func (c *heldConn) Read([]byte) (int, error) {
+func (c *blockedConn) Read([]byte) (int, error) {
 	<-c.reached
 	return 0, io.EOF
 }
@@ -130,7 +130,7 @@
 // TestNothingSentIsTruthful: a caller hears "not run" though its booking went
 // through. The router gives up while net/http still holds the request in a
 // buffer, and the buffer is written afterwards.
-func TestNothingSentIsTruthful(t *testing.T) {
+func TestNotSentIsReportedOnlyIfNothingLeaves(t *testing.T) {
 	t.Run("dial fails", func(t *testing.T) {
 		client := NewClient(ClientOptions{Dial: func(context.Context, string, string) (net.Conn, error) {
 			return nil, errors.New("refused")
@@ -141,7 +141,7 @@
 	t.Run("a begun write counts as sent", func(t *testing.T) {
 		client := NewClient(ClientOptions{Dial: func(context.Context, string, string) (net.Conn, error) {
 			inner, _ := net.Pipe()
-			return &heldConn{Conn: inner, reached: make(chan struct{})}, nil
+			return &blockedConn{Conn: inner, reached: make(chan struct{})}, nil
 		}})
 		_, err := client.Send(context.Background(), Attempt{BaseURL: "http://127.0.0.1:1", Target: "/", Method: http.MethodPost, Body: []byte("x")})
 		require.Equal(t, StageSent, StageOf(err))
@@ -149,8 +149,8 @@
 	t.Run("no write begins after the statement", func(t *testing.T) {
 		inner, _ := net.Pipe()
 		conn := &fencedConn{Conn: inner}
-		watch := &sendWatch{conn: conn}
-		stage, _ := watch.stop()
+		watch := &sendTracker{conn: conn}
+		stage, _ := watch.finish()
 		require.Equal(t, StageNotSent, stage)
 		_, err := conn.Write([]byte("late"))
 		require.ErrorIs(t, err, errFenced)
@@ -165,8 +165,8 @@
 		stage Stage
 		cause error
 	}{
-		"whole by length": {"Content-Length: 2\r\n\r\nok", StageWhole, nil},
-		"whole by chunks": {"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", StageWhole, nil},
+		"whole by length": {"Content-Length: 2\r\n\r\nok", StageComplete, nil},
+		"whole by chunks": {"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", StageComplete, nil},
 		"short of length": {"Content-Length: 9\r\n\r\nok", StageTruncated, io.ErrUnexpectedEOF},
 		"no final chunk":  {"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", StageTruncated, io.ErrUnexpectedEOF},
 		"no framing":      {"Connection: close\r\n\r\nok", StageTruncated, ErrUnframed},
--- a/transport/upstream/dial.go
+++ b/transport/upstream/dial.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-func plainDial(ctx context.Context, network, address string) (net.Conn, error) {
+func dialTCP(ctx context.Context, network, address string) (net.Conn, error) {
 	return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, network, address)
 }
 
--- a/transport/upstream/fence.go
+++ b/transport/upstream/fence.go
@@ -20,33 +20,33 @@
 // them twice. A write either begins before fence and is counted, or fails.
 type fencedConn struct {
 	net.Conn
-	mu     sync.Mutex
-	begun  uint64
-	fenced bool
+	mu         sync.Mutex
+	writeCount uint64
+	fenced     bool
 }
 
 // Write counts the write before any byte can leave.
 func (c *fencedConn) Write(p []byte) (int, error) {
-	if !c.begin() {
+	if !c.beginWrite() {
 		return 0, errFenced
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *fencedConn) begin() bool {
+func (c *fencedConn) beginWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.fenced {
 		return false
 	}
-	c.begun++
+	c.writeCount++
 	return true
 }
 
-func (c *fencedConn) writes() uint64 {
+func (c *fencedConn) writesBegun() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.begun
+	return c.writeCount
 }
 
 // fence lets no further write begin and returns the writes begun so far.
@@ -54,22 +54,22 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fenced = true
-	return c.begun
+	return c.writeCount
 }
 
-// sendWatch follows one attempt over the connections net/http gives it.
-type sendWatch struct {
+// sendTracker follows one attempt over the connections net/http gives it.
+type sendTracker struct {
 	// cancel ends the round trip when net/http wants to replay it.
 	cancel context.CancelCauseFunc
 
-	mu     sync.Mutex
-	conn   *fencedConn
-	mark   uint64
-	sent   bool
-	reused bool
+	mu           sync.Mutex
+	conn         *fencedConn
+	writesBefore uint64
+	sent         bool
+	reused       bool
 }
 
-func (w *sendWatch) trace() *httptrace.ClientTrace {
+func (w *sendTracker) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: w.gotConn}
 }
 
@@ -77,45 +77,45 @@
 // it took part of the request, the new one is fenced at once: net/http wants to
 // replay, and a second copy must not leave. Cancelling keeps it from trying one
 // kept connection after the other.
-func (w *sendWatch) gotConn(info httptrace.GotConnInfo) {
+func (w *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
+	w.fenceCurrent()
 	w.reused = info.Reused
-	w.conn = unwrap(info.Conn)
+	w.conn = unwrapFenced(info.Conn)
 	if w.conn == nil {
 		w.sent = true
 		return
 	}
-	w.mark = w.conn.writes()
+	w.writesBefore = w.conn.writesBegun()
 	if w.sent {
 		w.conn.fence()
 		w.cancel(errFenced)
 	}
 }
 
-// settle fences the present connection and notes whether it took anything.
-func (w *sendWatch) settle() {
-	if w.conn != nil && w.conn.fence() > w.mark {
+// fenceCurrent fences the present connection and notes whether it took anything.
+func (w *sendTracker) fenceCurrent() {
+	if w.conn != nil && w.conn.fence() > w.writesBefore {
 		w.sent = true
 	}
 	w.conn = nil
 }
 
-// stop ends the watch of a failed attempt. The statement is final: nothing
+// finish ends the watch of a failed attempt. The statement is final: nothing
 // leaves after it.
-func (w *sendWatch) stop() (stage Stage, reused bool) {
+func (w *sendTracker) finish() (stage Stage, reused bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.settle()
+	w.fenceCurrent()
 	if w.sent {
 		return StageSent, w.reused
 	}
 	return StageNotSent, w.reused
 }
 
-// unwrap returns the fenced connection under conn, or nil.
-func unwrap(conn net.Conn) *fencedConn {
+// unwrapFenced returns the fenced connection under conn, or nil.
+func unwrapFenced(conn net.Conn) *fencedConn {
 	if secure, ok := conn.(*tls.Conn); ok {
 		conn = secure.NetConn()
 	}
--- a/transport/upstream/poller.go
+++ b/transport/upstream/poller.go
@@ -69,7 +69,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Poller{
-		client: &http.Client{Transport: newTransport(ClientOptions{Dial: plainDial}), CheckRedirect: noRedirect},
+		client: &http.Client{Transport: newTransport(ClientOptions{Dial: dialTCP}), CheckRedirect: noRedirect},
 		emit:   emit,
 		wait:   opts.Wait,
 		log:    opts.Log,
@@ -128,7 +128,7 @@
 		}
 		p.logChange(t, failing, err)
 		failing = err != nil
-		p.emit(eventOf(t, report, err))
+		p.emit(pollEvent(t, report, err))
 		if p.wait(ctx, p.interval()) != nil {
 			return
 		}
@@ -153,7 +153,7 @@
 	return time.Duration(float64(PollInterval) * spread)
 }
 
-func eventOf(t Target, report state.LoadReport, err error) scheduler.Event {
+func pollEvent(t Target, report state.LoadReport, err error) scheduler.Event {
 	if err != nil {
 		return scheduler.Unreachable{Upstream: t.Upstream}
 	}
--- a/transport/upstream/report.go
+++ b/transport/upstream/report.go
@@ -75,14 +75,14 @@
 
 // CheckReport returns a *ReportError if nothing may go by the report.
 func CheckReport(upstream state.Upstream, report state.LoadReport) error {
-	if reason := faultOf(upstream, report); reason != "" {
+	if reason := reportFault(upstream, report); reason != "" {
 		return &ReportError{Upstream: upstream, Reason: reason}
 	}
 	return nil
 }
 
-// faultOf returns what is wrong with a report, or nothing.
-func faultOf(upstream state.Upstream, report state.LoadReport) string {
+// reportFault returns what is wrong with a report, or nothing.
+func reportFault(upstream state.Upstream, report state.LoadReport) string {
 	switch {
 	case report.Upstream != upstream:
 		return "names another upstream"
--- a/transport/upstream/report_test.go
+++ b/transport/upstream/report_test.go
@@ -24,7 +24,7 @@
 			require.Zero(t, report)
 			return
 		}
-		require.Empty(t, faultOf("u", report))
+		require.Empty(t, reportFault("u", report))
 		text, err := json.Marshal(report)
 		require.NoError(t, err)
 		again, err := DecodeReport("u", text)
