--- a/capacity/measure_memory.go
+++ b/capacity/measure_memory.go
@@ -95,11 +95,11 @@
 func seriesOf(n int) any {
 	m := metrics.New("router-0001", "sala-01")
 	for i := range n {
-		s := m.For(state.Workspace(fmt.Sprintf("workspace-%05d", i)), "short")
-		s.Dispatched(time.Millisecond)
-		s.FirstByte(time.Millisecond)
-		s.Between(time.Millisecond)
-		s.Finished(result.New(result.OK, ""), time.Second, state.CostUnit)
+		s := m.SeriesFor(state.Workspace(fmt.Sprintf("workspace-%05d", i)), "short")
+		s.RecordDispatch(time.Millisecond)
+		s.RecordFirstByte(time.Millisecond)
+		s.RecordEventGap(time.Millisecond)
+		s.RecordResult(result.New(result.OK, ""), time.Second, state.CostUnit)
 	}
 	return m
 }
--- a/capacity/measure_progress.go
+++ b/capacity/measure_progress.go
@@ -73,14 +73,14 @@
 	return actions
 }
 
-// Left does nothing.
-func (*countedReports) Left(state.RequestID) {}
+// Withdraw does nothing.
+func (*countedReports) Withdraw(state.RequestID) {}
 
-// Progressed counts.
-func (c *countedReports) Progressed(state.RequestID, state.Cost) { c.reports.Add(1) }
+// ReportProgress counts.
+func (c *countedReports) ReportProgress(state.RequestID, state.Cost) { c.reports.Add(1) }
 
-// Ended does nothing.
-func (*countedReports) Ended(state.RequestID, state.Cost, scheduler.Outcome) {}
+// ReportEnd does nothing.
+func (*countedReports) ReportEnd(state.RequestID, state.Cost, scheduler.Outcome) {}
 
 // oneService is a view with one engine.
 type oneService struct{ url string }
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -245,7 +245,7 @@
 	},
 	Watcher: {
 		{Watcher, "root object", "B", func(c *calc) float64 { return c.at(WireRoot, c.Upstreams) + c.growth(WireRootTeams, c.Teams) }, constant(objectstore.MaxValueBytes), "one object of teams and upstreams"},
-		{Watcher, "staleness of settings", "s", func(c *calc) float64 { return objectstore.DefaultPause.Seconds() + c.changeTime() }, func(c *calc) float64 { return c.MaxStale }, "waiting watch"},
+		{Watcher, "staleness of settings", "s", func(c *calc) float64 { return objectstore.DefaultWatchInterval.Seconds() + c.changeTime() }, func(c *calc) float64 { return c.MaxStale }, "waiting watch"},
 		{Watcher, "time in the scheduler per change", "ms", func(c *calc) float64 { return 1e3 * c.configureTime() }, nil, "whole settings configured anew"},
 	},
 	Peer: {
--- a/cmd/figstiled/edge.go
+++ b/cmd/figstiled/edge.go
@@ -35,7 +35,7 @@
 		return exitUsage
 	}
 	settings.Addresses.Metrics = c.Metrics
-	output := logging.NewAsync(os.Stdout)
+	output := logging.NewAsyncWriter(os.Stdout)
 	defer output.Close()
 	log := logging.New(output, c.LogLevel)
 	ctx := untilStopped()
--- a/standin/platform/bench_test.go
+++ b/standin/platform/bench_test.go
@@ -32,7 +32,7 @@
 	var running sync.WaitGroup
 	for range watchers {
 		w := objectstore.NewWatcher(objectstore.WatcherOptions{
-			Store: client, Prefix: "settings/", Pause: 1,
+			Store: client, Prefix: "settings/", WatchInterval: 1,
 			Deliver: func([]objectstore.Object) { seen <- struct{}{} },
 		})
 		running.Go(func() { _ = w.Run(ctx) })
--- a/transport/admin/admin_test.go
+++ b/transport/admin/admin_test.go
@@ -27,30 +27,30 @@
 // fakeStore is the stand-in's object API, which tests can take away.
 type fakeStore struct {
 	*platform.Store
-	away atomic.Bool
-	// lost makes objects look as if they had never been written.
-	lost atomic.Bool
+	unavailable atomic.Bool
+	// objectsLost makes objects look as if they had never been written.
+	objectsLost atomic.Bool
 }
 
 func (f *fakeStore) Get(ctx context.Context, key string) (objectstore.Object, error) {
-	if f.away.Load() {
+	if f.unavailable.Load() {
 		return objectstore.Object{}, objectstore.ErrUnavailable
 	}
-	if f.lost.Load() {
+	if f.objectsLost.Load() {
 		return objectstore.Object{}, objectstore.ErrNotFound
 	}
 	return f.Store.Get(ctx, key)
 }
 
 func (f *fakeStore) List(ctx context.Context, prefix string) ([]objectstore.Object, objectstore.Version, error) {
-	if f.away.Load() {
+	if f.unavailable.Load() {
 		return nil, 0, objectstore.ErrUnavailable
 	}
 	return f.Store.List(ctx, prefix)
 }
 
-// router serves the API on a loopback address.
-type router struct {
+// testRouter serves the API on a loopback address.
+type testRouter struct {
 	t      *testing.T
 	name   state.Router
 	url    string
@@ -60,9 +60,11 @@
 	drains atomic.Int32
 }
 
-func (r *router) Status() admin.RouterStatus { return admin.RouterStatus{Router: r.name, Ready: true} }
-func (r *router) AdminPeers() []admin.Peer   { return r.peers }
-func (r *router) Drain()                     { r.drains.Add(1) }
+func (r *testRouter) Status() admin.RouterStatus {
+	return admin.RouterStatus{Router: r.name, Ready: true}
+}
+func (r *testRouter) AdminPeers() []admin.Peer { return r.peers }
+func (r *testRouter) Drain()                   { r.drains.Add(1) }
 
 const (
 	operatorToken = "operator-token"
@@ -71,15 +73,15 @@
 	fleetToken    = "fleet-token"
 )
 
-func newRouter(t *testing.T, name state.Router, store *fakeStore) *router {
+func newRouter(t *testing.T, name state.Router, store *fakeStore) *testRouter {
 	t.Helper()
-	r := &router{t: t, name: name, store: store}
+	r := &testRouter{t: t, name: name, store: store}
 	r.source = settings.NewSource(settings.SourceOptions{Log: zerolog.Nop()})
 	writer := settings.NewWriter(settings.WriterOptions{Store: store, Source: r.source, Log: zerolog.Nop()})
 	handler := admin.New(admin.Options{
 		Source: r.source, Writer: writer, Status: r, Drain: r, Peers: r, FleetToken: fleetToken, Log: zerolog.Nop(),
-		Bootstrap: []config.Digest{config.DigestOf("bootstrap")},
-		Now:       func() time.Time { return time.Unix(1_700_000_000, 0) },
+		BootstrapDigests: []config.Digest{config.DigestOf("bootstrap")},
+		Now:              func() time.Time { return time.Unix(1_700_000_000, 0) },
 	})
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -91,8 +93,8 @@
 	return &fakeStore{Store: platform.NewStore(platform.StoreOptions{})}
 }
 
-// do sends a request and decodes the answer, which must have the status.
-func (r *router) do(token, method, path string, body any, header map[string]string, status int, into any) {
+// request sends a request and decodes the answer, which must have the status.
+func (r *testRouter) request(token, method, path string, body any, header map[string]string, status int, into any) {
 	r.t.Helper()
 	data, ok := body.([]byte)
 	if !ok && body != nil {
@@ -117,11 +119,11 @@
 	}
 }
 
-// refused sends a request that must be refused with the code.
-func (r *router) refused(token, method, path string, body any, header map[string]string, code result.Code) admin.Problem {
+// requireRefused sends a request that must be refused with the code.
+func (r *testRouter) requireRefused(token, method, path string, body any, header map[string]string, code result.Code) admin.Problem {
 	r.t.Helper()
 	var p admin.Problem
-	r.do(token, method, path, body, header, result.Lookup(code).Status, &p)
+	r.request(token, method, path, body, header, result.Lookup(code).Status, &p)
 	require.Equal(r.t, int(code), p.Code, "%+v", p)
 	require.Equal(r.t, result.Lookup(code).Ran.String(), p.Ran)
 	return p
@@ -141,26 +143,26 @@
 }
 
 // newReadyRouter returns a router of a fleet with a root and one workspace.
-func newReadyRouter(t *testing.T) *router {
+func newReadyRouter(t *testing.T) *testRouter {
 	t.Helper()
 	r := newRouter(t, "router-1", newStore())
-	r.do("bootstrap", http.MethodPut, "/config/root", testRoot(), map[string]string{"If-None-Match": "*"}, http.StatusOK, nil)
+	r.request("bootstrap", http.MethodPut, "/config/root", testRoot(), map[string]string{"If-None-Match": "*"}, http.StatusOK, nil)
 	guides := config.Workspace{Name: "guides", Weight: 1, Tokens: []string{config.DigestOf(callerToken).String()}}
-	r.do(teamToken, http.MethodPost, "/teams/turismo/workspaces", guides, nil, http.StatusOK, nil)
+	r.request(teamToken, http.MethodPost, "/teams/turismo/workspaces", guides, nil, http.StatusOK, nil)
 	return r
 }
 
 func TestBootstrapEndsWithTheFirstRoot(t *testing.T) {
 	r := newRouter(t, "router-1", newStore())
-	r.refused(operatorToken, http.MethodGet, "/config", nil, nil, result.NotReady)
+	r.requireRefused(operatorToken, http.MethodGet, "/config", nil, nil, result.NotReady)
 	locked := testRoot()
 	locked.OperatorTokens = nil
 	create := map[string]string{"If-None-Match": "*"}
-	p := r.refused("bootstrap", http.MethodPut, "/config/root", locked, create, result.ConfigInvalid)
+	p := r.requireRefused("bootstrap", http.MethodPut, "/config/root", locked, create, result.ConfigInvalid)
 	require.Equal(t, "operator_tokens", p.Faults[0].Path)
-	r.do("bootstrap", http.MethodPut, "/config/root", testRoot(), create, http.StatusOK, nil)
-	r.refused("bootstrap", http.MethodGet, "/config", nil, nil, result.Unauthorized)
-	r.do(operatorToken, http.MethodGet, "/config", nil, nil, http.StatusOK, nil)
+	r.request("bootstrap", http.MethodPut, "/config/root", testRoot(), create, http.StatusOK, nil)
+	r.requireRefused("bootstrap", http.MethodGet, "/config", nil, nil, result.Unauthorized)
+	r.request(operatorToken, http.MethodGet, "/config", nil, nil, http.StatusOK, nil)
 }
 
 // A team's administrator tries to enlarge her team's share, to reach another
@@ -184,20 +186,20 @@
 		{http.MethodGet, "/fleet", nil},
 		{http.MethodPost, "/drain", nil},
 	} {
-		r.refused(teamToken, c.method, c.path, c.body, nil, result.ConfigOutside)
-		r.refused(callerToken, c.method, c.path, c.body, nil, result.ConfigOutside)
-		r.refused("nobody", c.method, c.path, c.body, nil, result.Unauthorized)
+		r.requireRefused(teamToken, c.method, c.path, c.body, nil, result.ConfigOutside)
+		r.requireRefused(callerToken, c.method, c.path, c.body, nil, result.ConfigOutside)
+		r.requireRefused("nobody", c.method, c.path, c.body, nil, result.Unauthorized)
 	}
 	buried := config.Subtree{Team: "turismo", Deleted: true}
-	r.refused(teamToken, http.MethodPut, "/config/teams/turismo", buried, map[string]string{"If-Match": `"2"`}, result.ConfigOutside)
+	r.requireRefused(teamToken, http.MethodPut, "/config/teams/turismo", buried, map[string]string{"If-Match": `"2"`}, result.ConfigOutside)
 	require.Zero(t, r.drains.Load())
 
 	var list admin.ObjectList
-	r.do(teamToken, http.MethodGet, "/config", nil, nil, http.StatusOK, &list)
+	r.request(teamToken, http.MethodGet, "/config", nil, nil, http.StatusOK, &list)
 	require.Len(t, list.Objects, 1)
 	require.Equal(t, "team/turismo/"+config.DigestOf(teamToken).Short(), list.Objects[0].Change.By)
 	var teams admin.TeamList
-	r.do(teamToken, http.MethodGet, "/teams", nil, nil, http.StatusOK, &teams)
+	r.request(teamToken, http.MethodGet, "/teams", nil, nil, http.StatusOK, &teams)
 	require.Len(t, teams.Teams, 1)
 }
 
@@ -206,13 +208,13 @@
 func TestConflictShowsTheWinner(t *testing.T) {
 	r := newReadyRouter(t)
 	seen := map[string]string{"If-Match": `"2"`}
-	r.do(teamToken, http.MethodPut, "/teams/turismo/workspaces/guides/weight", admin.SetWeight{Weight: 2}, seen, http.StatusOK, nil)
-	p := r.refused(operatorToken, http.MethodPut, "/teams/turismo/workspaces/guides/weight", admin.SetWeight{Weight: 9}, seen, result.ConfigConflict)
+	r.request(teamToken, http.MethodPut, "/teams/turismo/workspaces/guides/weight", admin.SetWeight{Weight: 2}, seen, http.StatusOK, nil)
+	p := r.requireRefused(operatorToken, http.MethodPut, "/teams/turismo/workspaces/guides/weight", admin.SetWeight{Weight: 9}, seen, result.ConfigConflict)
 	require.Equal(t, uint64(3), p.Conflict.Version)
 	require.Contains(t, p.Conflict.Winner.By, "team/turismo/")
 	require.Equal(t, "set weight of workspace guides to 2", p.Conflict.Winner.Summary)
 	var list admin.WorkspaceList
-	r.do(operatorToken, http.MethodGet, "/workspaces", nil, nil, http.StatusOK, &list)
+	r.request(operatorToken, http.MethodGet, "/workspaces", nil, nil, http.StatusOK, &list)
 	require.InDelta(t, 2, list.Workspaces[0].Weight, 0)
 	require.InDelta(t, 1, list.Workspaces[0].Share, 0)
 }
@@ -225,25 +227,25 @@
 	path := "/teams/turismo/workspaces/guides/weight"
 	mine := map[string]string{admin.HeaderChangeID: "0123456789abcdef"}
 	var first, again admin.WriteResult
-	r.do(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 2}, mine, http.StatusOK, &first)
-	r.do(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 3}, nil, http.StatusOK, nil)
-	r.do(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 2}, mine, http.StatusOK, &again)
+	r.request(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 2}, mine, http.StatusOK, &first)
+	r.request(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 3}, nil, http.StatusOK, nil)
+	r.request(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 2}, mine, http.StatusOK, &again)
 	require.Equal(t, first, again)
-	r.refused(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 4}, mine, result.BadRequest)
+	r.requireRefused(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 4}, mine, result.BadRequest)
 	subtree, _ := r.source.View().Subtree("turismo")
 	require.InDelta(t, 3, subtree.Workspaces[0].Weight, 0)
 }
 
 // The platform goes away. Operators still see what is in force, and a change
 // is refused with the word that nothing was changed.
-func TestPlatformAway(t *testing.T) {
+func TestPlatformUnavailable(t *testing.T) {
 	r := newReadyRouter(t)
-	r.store.away.Store(true)
+	r.store.unavailable.Store(true)
 	var doc admin.ObjectDocument
-	r.do(operatorToken, http.MethodGet, "/config/teams/turismo", nil, nil, http.StatusOK, &doc)
+	r.request(operatorToken, http.MethodGet, "/config/teams/turismo", nil, nil, http.StatusOK, &doc)
 	require.Equal(t, admin.FromRouter, doc.Source)
 	require.Equal(t, uint64(2), doc.Version)
-	p := r.refused(operatorToken, http.MethodPut, "/teams/reservas/share", admin.SetShare{Share: 2}, nil, result.PlatformUnavailable)
+	p := r.requireRefused(operatorToken, http.MethodPut, "/teams/reservas/share", admin.SetShare{Share: 2}, nil, result.PlatformUnavailable)
 	require.Equal(t, "no", p.Ran)
 }
 
@@ -252,12 +254,12 @@
 // other workspaces of the team away from their callers.
 func TestNoEditOfALostObject(t *testing.T) {
 	r := newReadyRouter(t)
-	r.store.lost.Store(true)
+	r.store.objectsLost.Store(true)
 	extra := config.Workspace{Name: "extra", Weight: 1}
-	p := r.refused(teamToken, http.MethodPost, "/teams/turismo/workspaces", extra, nil, result.ConfigInvalid)
+	p := r.requireRefused(teamToken, http.MethodPost, "/teams/turismo/workspaces", extra, nil, result.ConfigInvalid)
 	require.Contains(t, p.Detail, "in force at version 2")
 	var doc admin.ObjectDocument
-	r.do(teamToken, http.MethodGet, "/config/teams/turismo", nil, nil, http.StatusOK, &doc)
+	r.request(teamToken, http.MethodGet, "/config/teams/turismo", nil, nil, http.StatusOK, &doc)
 	require.Equal(t, admin.FromRouter, doc.Source)
 	require.Contains(t, string(doc.Value), "guides")
 }
@@ -265,22 +267,22 @@
 func TestEditsLeaveHistory(t *testing.T) {
 	r := newReadyRouter(t)
 	digest := config.DigestOf("another").String()
-	r.do(operatorToken, http.MethodPost, "/teams", admin.CreateTeam{Name: "nueva", Share: 2}, nil, http.StatusOK, nil)
-	r.do(operatorToken, http.MethodPost, "/teams/nueva/tokens", admin.AddToken{Digest: digest}, nil, http.StatusOK, nil)
-	r.do(operatorToken, http.MethodPost, "/upstreams/engine-1/drain", nil, nil, http.StatusOK, nil)
+	r.request(operatorToken, http.MethodPost, "/teams", admin.CreateTeam{Name: "nueva", Share: 2}, nil, http.StatusOK, nil)
+	r.request(operatorToken, http.MethodPost, "/teams/nueva/tokens", admin.AddToken{Digest: digest}, nil, http.StatusOK, nil)
+	r.request(operatorToken, http.MethodPost, "/upstreams/engine-1/drain", nil, nil, http.StatusOK, nil)
 	var again admin.WriteResult
-	r.do(operatorToken, http.MethodPost, "/upstreams/engine-1/drain", nil, nil, http.StatusOK, &again)
+	r.request(operatorToken, http.MethodPost, "/upstreams/engine-1/drain", nil, nil, http.StatusOK, &again)
 	require.True(t, again.Unchanged)
-	r.do(operatorToken, http.MethodDelete, "/teams/nueva/tokens/"+digest, nil, nil, http.StatusOK, nil)
-	r.do(operatorToken, http.MethodDelete, "/teams/nueva", nil, nil, http.StatusOK, nil)
-	p := r.refused(operatorToken, http.MethodDelete, "/teams/turismo", nil, nil, result.ConfigInvalid)
+	r.request(operatorToken, http.MethodDelete, "/teams/nueva/tokens/"+digest, nil, nil, http.StatusOK, nil)
+	r.request(operatorToken, http.MethodDelete, "/teams/nueva", nil, nil, http.StatusOK, nil)
+	p := r.requireRefused(operatorToken, http.MethodDelete, "/teams/turismo", nil, nil, result.ConfigInvalid)
 	require.Equal(t, "workspaces", p.Faults[0].Path)
-	r.do(operatorToken, http.MethodDelete, "/teams/turismo?force=true", nil, nil, http.StatusOK, nil)
+	r.request(operatorToken, http.MethodDelete, "/teams/turismo?force=true", nil, nil, http.StatusOK, nil)
 	_, alive := r.source.View().Subtree("turismo")
 	require.False(t, alive)
 
 	var history admin.HistoryDocument
-	r.do(operatorToken, http.MethodGet, "/history/root", nil, nil, http.StatusOK, &history)
+	r.request(operatorToken, http.MethodGet, "/history/root", nil, nil, http.StatusOK, &history)
 	var summaries []string
 	for i, c := range history.Changes {
 		summaries = append(summaries, c.Summary)
@@ -301,26 +303,26 @@
 	var done admin.WriteResult
 	changed := testRoot()
 	changed.Teams[0].Share = 5
-	r.do(operatorToken, http.MethodPut, "/config/root?dry_run=true", changed, match, http.StatusOK, &done)
+	r.request(operatorToken, http.MethodPut, "/config/root?dry_run=true", changed, match, http.StatusOK, &done)
 	require.True(t, done.DryRun)
 	changed.Teams = changed.Teams[1:]
-	p := r.refused(operatorToken, http.MethodPut, "/config/root?dry_run=true", changed, match, result.ConfigInvalid)
+	p := r.requireRefused(operatorToken, http.MethodPut, "/config/root?dry_run=true", changed, match, result.ConfigInvalid)
 	require.Equal(t, "config/teams/turismo#team", p.Faults[0].Path)
-	r.refused(operatorToken, http.MethodPut, "/config/root", changed, nil, result.BadRequest)
-	r.refused(operatorToken, http.MethodPut, "/config/root", []byte("{"), match, result.ConfigInvalid)
-	r.refused(operatorToken, http.MethodPut, "/config/root", bytes.Repeat([]byte(" "), config.MaxObjectBytes+1), match, result.BodyTooLarge)
-	r.refused(operatorToken, http.MethodPost, "/teams", []byte(`{"nam": "x"}`), nil, result.BadRequest)
-	r.refused(operatorToken, http.MethodGet, "/config/other", nil, nil, result.NotFound)
-	r.refused(operatorToken, http.MethodPost, "/upstreams/none/drain", nil, nil, result.NotFound)
-	r.refused(operatorToken, http.MethodPatch, "/config/root", nil, nil, result.NotFound)
+	r.requireRefused(operatorToken, http.MethodPut, "/config/root", changed, nil, result.BadRequest)
+	r.requireRefused(operatorToken, http.MethodPut, "/config/root", []byte("{"), match, result.ConfigInvalid)
+	r.requireRefused(operatorToken, http.MethodPut, "/config/root", bytes.Repeat([]byte(" "), config.MaxObjectBytes+1), match, result.BodyTooLarge)
+	r.requireRefused(operatorToken, http.MethodPost, "/teams", []byte(`{"nam": "x"}`), nil, result.BadRequest)
+	r.requireRefused(operatorToken, http.MethodGet, "/config/other", nil, nil, result.NotFound)
+	r.requireRefused(operatorToken, http.MethodPost, "/upstreams/none/drain", nil, nil, result.NotFound)
+	r.requireRefused(operatorToken, http.MethodPatch, "/config/root", nil, nil, result.NotFound)
 	require.Equal(t, version, r.store.Version())
 }
 
 // A fleet without a fleet token must not show its status to those without a
 // token.
-func TestNoFleetTokenAdmitsNobody(t *testing.T) {
+func TestEmptyFleetTokenGrantsNoAccess(t *testing.T) {
 	r := newReadyRouter(t)
-	r.do(fleetToken, http.MethodGet, "/status", nil, nil, http.StatusOK, nil)
+	r.request(fleetToken, http.MethodGet, "/status", nil, nil, http.StatusOK, nil)
 	open := admin.New(admin.Options{Source: r.source, Status: r, Log: zerolog.Nop()})
 	answer := httptest.NewRecorder()
 	open.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, admin.Prefix+"/status", nil))
@@ -332,11 +334,11 @@
 func TestFleetStatusInAPartition(t *testing.T) {
 	r := newReadyRouter(t)
 	second := newRouter(t, "router-2", r.store)
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
-	r.peers = []admin.Peer{{Router: "router-3", URL: gone.URL}, {Router: "router-2", URL: second.url}}
+	stopped := httptest.NewServer(http.NotFoundHandler())
+	stopped.Close()
+	r.peers = []admin.Peer{{Router: "router-3", URL: stopped.URL}, {Router: "router-2", URL: second.url}}
 	var fleet admin.FleetStatus
-	r.do(operatorToken, http.MethodGet, "/fleet", nil, nil, http.StatusOK, &fleet)
+	r.request(operatorToken, http.MethodGet, "/fleet", nil, nil, http.StatusOK, &fleet)
 	require.Len(t, fleet.Routers, 3)
 	for i, report := range fleet.Routers {
 		require.Equal(t, state.Router(fmt.Sprintf("router-%d", i+1)), report.Router)
@@ -344,6 +346,6 @@
 	require.Len(t, fleet.Routers[0].Status.Config, 2)
 	require.Empty(t, fleet.Routers[1].Status.Config, "it has not followed the platform yet")
 	require.NotEmpty(t, fleet.Routers[2].Error)
-	r.do(operatorToken, http.MethodPost, "/drain", nil, nil, http.StatusAccepted, nil)
+	r.request(operatorToken, http.MethodPost, "/drain", nil, nil, http.StatusAccepted, nil)
 	require.Equal(t, int32(1), r.drains.Load())
 }
--- a/transport/admin/auth.go
+++ b/transport/admin/auth.go
@@ -22,27 +22,27 @@
 	return a.principal.Kind == config.Operator
 }
 
-// mayTeam tells whether the actor may read and change a team's subtree.
-func (a actor) mayTeam(team state.Team) bool {
+// mayAccessTeam tells whether the actor may read and change a team's subtree.
+func (a actor) mayAccessTeam(team state.Team) bool {
 	return a.isOperator() || a.principal.Kind == config.TeamAdmin && a.principal.Team == team
 }
 
-// mayKey tells whether the actor may read and change an object.
-func (a actor) mayKey(key string) bool {
+// mayAccessKey tells whether the actor may read and change an object.
+func (a actor) mayAccessKey(key string) bool {
 	if team, ok := config.TeamOf(key); ok {
-		return a.mayTeam(team)
+		return a.mayAccessTeam(team)
 	}
 	return a.isOperator()
 }
 
-func outside(what string) error {
+func outOfReach(what string) error {
 	return result.New(result.ConfigOutside, "the token does not reach "+what)
 }
 
 // authenticate finds the administrator behind a request. Callers' tokens are
 // known but reach nothing here.
 func (h *Handler) authenticate(r *http.Request) (actor, error) {
-	token := bearer(r)
+	token := bearerToken(r)
 	if token == "" {
 		return actor{}, result.New(result.Unauthorized, "a bearer token is needed")
 	}
@@ -51,7 +51,7 @@
 		return actor{}, h.unknownToken()
 	}
 	if principal.Kind == config.Caller {
-		return actor{}, outside("the administration")
+		return actor{}, outOfReach("the administration")
 	}
 	return actor{principal: principal, name: actorName(principal, token)}, nil
 }
@@ -63,7 +63,7 @@
 	}
 	// A fleet without a root knows no operator, so the first root could
 	// never be written. The start-up setting counts only until there is one.
-	known := slices.Contains(h.options.Bootstrap, config.DigestOf(token))
+	known := slices.Contains(h.options.BootstrapDigests, config.DigestOf(token))
 	return config.Principal{Kind: config.Operator}, known
 }
 
@@ -84,7 +84,7 @@
 	return p.Kind.String() + "/" + short
 }
 
-func bearer(r *http.Request) string {
+func bearerToken(r *http.Request) string {
 	scheme, token, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
 		return ""
@@ -92,10 +92,10 @@
 	return strings.TrimSpace(token)
 }
 
-// fromRouter tells whether another router asks. An empty fleet token admits
+// isFromRouter tells whether another router asks. An empty fleet token admits
 // nobody.
-func (h *Handler) fromRouter(r *http.Request) bool {
+func (h *Handler) isFromRouter(r *http.Request) bool {
 	want := config.DigestOf(h.options.FleetToken)
-	got := config.DigestOf(bearer(r))
+	got := config.DigestOf(bearerToken(r))
 	return h.options.FleetToken != "" && subtle.ConstantTimeCompare(want[:], got[:]) == 1
 }
--- a/transport/admin/edit.go
+++ b/transport/admin/edit.go
@@ -26,8 +26,8 @@
 	load func([]byte) (T, error)
 	// change makes the object what is wanted.
 	change func(*T) error
-	// whole says that the change does not build on what the object holds.
-	whole bool
+	// replacesWhole says that the change does not build on what the object holds.
+	replacesWhole bool
 }
 
 func editRoot(summary string, change func(*config.Root) error) edit[config.Root] {
@@ -51,11 +51,11 @@
 	return edit[config.Subtree]{key: config.TeamKey(team), summary: summary, load: load, change: change}
 }
 
-// run reads the platform's present version, changes it and writes it on the
+// runEdit reads the platform's present version, changes it and writes it on the
 // condition that nobody else did so meanwhile. It does not try again after a
 // conflict: the loser of a race is shown what won and decides anew.
-func run[T changeable[T]](h *Handler, c *call, e edit[T]) (WriteResult, error) {
-	expected, err := c.expects()
+func runEdit[T changeable[T]](h *Handler, c *call, e edit[T]) (WriteResult, error) {
+	expected, err := c.expectedVersion()
 	if err != nil {
 		return WriteResult{}, err
 	}
@@ -63,35 +63,35 @@
 	if err != nil {
 		return WriteResult{}, err
 	}
-	present, err := h.present(c, e.key)
+	current, err := h.readCurrent(c, e.key)
 	if err != nil {
 		return WriteResult{}, err
 	}
-	if err := h.checkNotLost(present, e.whole); err != nil {
+	if err := h.checkNotLost(current, e.replacesWhole); err != nil {
 		return WriteResult{}, err
 	}
-	changes, _ := config.HistoryOf(e.key, present.Value)
+	changes, _ := config.HistoryOf(e.key, current.Value)
 	if done, ok := config.FindChange(changes, id); ok {
-		return alreadyDone(e, done, changes, present)
+		return answerRepeated(e, done, changes, current)
 	}
-	if expected.given && expected.version != present.Version {
-		return WriteResult{}, conflict(present, expected.version, changes)
+	if expected.given && expected.version != current.Version {
+		return WriteResult{}, conflict(current, expected.version, changes)
 	}
-	value, same, err := e.changed(present.Value)
+	value, same, err := e.apply(current.Value)
 	if err != nil {
 		return WriteResult{}, err
 	}
 	if same {
-		return WriteResult{Key: e.key, Version: present.Version, Unchanged: true}, nil
+		return WriteResult{Key: e.key, Version: current.Version, Unchanged: true}, nil
 	}
-	stamped := value.WithChange(config.Change{ID: id, By: c.name, At: h.options.Now().UTC(), Base: present.Version, Summary: e.summary})
-	return h.write(c, e.key, id, present.Version, stamped)
+	stamped := value.WithChange(config.Change{ID: id, By: c.name, At: h.options.Now().UTC(), Base: current.Version, Summary: e.summary})
+	return h.write(c, e.key, id, current.Version, stamped)
 }
 
-// alreadyDone answers a client that repeats a change whose answer it lost. An
+// answerRepeated answers a client that repeats a change whose answer it lost. An
 // id that was used for another change is refused: the client would else
 // believe in a change that was never made.
-func alreadyDone[T changeable[T]](e edit[T], done config.Change, changes []config.Change, present config.Object) (WriteResult, error) {
+func answerRepeated[T changeable[T]](e edit[T], done config.Change, changes []config.Change, present config.Object) (WriteResult, error) {
 	if done.Summary != e.summary {
 		return WriteResult{}, badRequest("this change id was used for another change: " + done.Summary)
 	}
@@ -99,9 +99,9 @@
 	return WriteResult{Key: e.key, Version: version, ChangeID: done.ID}, nil
 }
 
-// changed returns the object after the change, and whether it is the same as
+// apply returns the object after the change, and whether it is the same as
 // before. The value is loaded twice, as the change works in place.
-func (e edit[T]) changed(data []byte) (after T, same bool, err error) {
+func (e edit[T]) apply(data []byte) (after T, same bool, err error) {
 	before, err := e.load(data)
 	if err != nil {
 		return after, false, err
@@ -116,9 +116,9 @@
 	return after, len(data) > 0 && reflect.DeepEqual(before, after), nil
 }
 
-// present returns the platform's version of an object, or one of version zero
+// readCurrent returns the platform's version of an object, or one of version zero
 // if there is none.
-func (h *Handler) present(c *call, key string) (config.Object, error) {
+func (h *Handler) readCurrent(c *call, key string) (config.Object, error) {
 	o, err := h.options.Writer.Read(c.r.Context(), key)
 	var missing *settings.NotFoundError
 	if errors.As(err, &missing) {
@@ -131,12 +131,12 @@
 // routers go on with their copy. The edit would begin from nothing, and its
 // higher version would take away everything else the object holds: all other
 // workspaces of a team at once. Only a whole object may be written then.
-func (h *Handler) checkNotLost(present config.Object, whole bool) error {
-	held, ok := h.options.Source.Object(present.Key)
-	if !ok || whole || present.Version > 0 {
+func (h *Handler) checkNotLost(present config.Object, replacesWhole bool) error {
+	cached, ok := h.options.Source.Object(present.Key)
+	if !ok || replacesWhole || present.Version > 0 {
 		return nil
 	}
-	reason := fmt.Sprintf("the platform has lost this object, which is in force at version %d: restore it as a whole first", held.Version)
+	reason := fmt.Sprintf("the platform has lost this object, which is in force at version %d: restore it as a whole first", cached.Version)
 	return invalid(present.Key, reason)
 }
 
@@ -162,9 +162,9 @@
 	return e
 }
 
-// answer runs an edit and writes its result.
-func answer[T changeable[T]](h *Handler, c *call, e edit[T]) error {
-	done, err := run(h, c, e)
+// answerEdit runs an edit and writes its result.
+func answerEdit[T changeable[T]](h *Handler, c *call, e edit[T]) error {
+	done, err := runEdit(h, c, e)
 	if err != nil {
 		return err
 	}
--- a/transport/admin/handler.go
+++ b/transport/admin/handler.go
@@ -32,10 +32,10 @@
 	Client *http.Client
 	// FleetToken is what routers show each other to read status.
 	FleetToken string
-	// Bootstrap holds digests of operators' tokens that count until the
+	// BootstrapDigests holds digests of operators' tokens that count until the
 	// first root is in force.
-	Bootstrap []config.Digest
-	Log       zerolog.Logger
+	BootstrapDigests []config.Digest
+	Log              zerolog.Logger
 	// Now is the time of changes; nil means the machine's clock.
 	Now func() time.Time
 	// NewID returns a new change id; nil means a random one.
@@ -76,8 +76,8 @@
 	actor
 }
 
-// route answers a call or returns why it does not.
-type route func(c *call) error
+// routeFunc answers a call or returns why it does not.
+type routeFunc func(c *call) error
 
 func (h *Handler) routes() {
 	h.handle("GET /config", h.listObjects)
@@ -86,26 +86,26 @@
 	h.handle("GET /history/{key...}", h.getHistory)
 
 	h.handle("GET /teams", h.listTeams)
-	h.handle("POST /teams", operators(h.createTeam))
-	h.handle("PUT /teams/{team}/share", operators(h.setShare))
-	h.handle("POST /teams/{team}/tokens", operators(h.addTeamToken))
-	h.handle("DELETE /teams/{team}/tokens/{digest}", operators(h.removeTeamToken))
-	h.handle("DELETE /teams/{team}", operators(h.deleteTeam))
+	h.handle("POST /teams", operatorsOnly(h.createTeam))
+	h.handle("PUT /teams/{team}/share", operatorsOnly(h.setShare))
+	h.handle("POST /teams/{team}/tokens", operatorsOnly(h.addTeamToken))
+	h.handle("DELETE /teams/{team}/tokens/{digest}", operatorsOnly(h.removeTeamToken))
+	h.handle("DELETE /teams/{team}", operatorsOnly(h.deleteTeam))
 
 	h.handle("GET /workspaces", h.listWorkspaces)
-	h.handle("POST /teams/{team}/workspaces", ownTeam(h.createWorkspace))
-	h.handle("PUT /teams/{team}/workspaces/{workspace}/weight", ownTeam(h.setWeight))
-	h.handle("POST /teams/{team}/workspaces/{workspace}/tokens", ownTeam(h.addToken))
-	h.handle("DELETE /teams/{team}/workspaces/{workspace}/tokens/{digest}", ownTeam(h.removeToken))
-	h.handle("DELETE /teams/{team}/workspaces/{workspace}", ownTeam(h.deleteWorkspace))
+	h.handle("POST /teams/{team}/workspaces", ownTeamOnly(h.createWorkspace))
+	h.handle("PUT /teams/{team}/workspaces/{workspace}/weight", ownTeamOnly(h.setWeight))
+	h.handle("POST /teams/{team}/workspaces/{workspace}/tokens", ownTeamOnly(h.addToken))
+	h.handle("DELETE /teams/{team}/workspaces/{workspace}/tokens/{digest}", ownTeamOnly(h.removeToken))
+	h.handle("DELETE /teams/{team}/workspaces/{workspace}", ownTeamOnly(h.deleteWorkspace))
 
-	h.handle("GET /upstreams", operators(h.listUpstreams))
-	h.handle("POST /upstreams/{upstream}/drain", operators(h.setDraining(true)))
-	h.handle("POST /upstreams/{upstream}/resume", operators(h.setDraining(false)))
+	h.handle("GET /upstreams", operatorsOnly(h.listUpstreams))
+	h.handle("POST /upstreams/{upstream}/drain", operatorsOnly(h.setDraining(true)))
+	h.handle("POST /upstreams/{upstream}/resume", operatorsOnly(h.setDraining(false)))
 
 	h.mux.HandleFunc("GET "+Prefix+"/status", h.serveStatus)
-	h.handle("GET /fleet", operators(h.getFleet))
-	h.handle("POST /drain", operators(h.drain))
+	h.handle("GET /fleet", operatorsOnly(h.getFleet))
+	h.handle("POST /drain", operatorsOnly(h.drain))
 	h.mux.HandleFunc(Prefix+"/", func(w http.ResponseWriter, r *http.Request) {
 		writeProblem(w, result.New(result.NotFound, "no "+r.Method+" "+r.URL.Path+" in this API"))
 	})
@@ -113,7 +113,7 @@
 
 // handle registers a route for administrators. The pattern is a method and a
 // path below Prefix.
-func (h *Handler) handle(pattern string, serve route) {
+func (h *Handler) handle(pattern string, serve routeFunc) {
 	method, path, _ := strings.Cut(pattern, " ")
 	h.mux.HandleFunc(method+" "+Prefix+path, func(w http.ResponseWriter, r *http.Request) {
 		c := &call{w: w, r: r}
@@ -124,7 +124,7 @@
 	})
 }
 
-func (h *Handler) serve(c *call, serve route) error {
+func (h *Handler) serve(c *call, serve routeFunc) error {
 	a, err := h.authenticate(c.r)
 	if err != nil {
 		return err
@@ -143,21 +143,21 @@
 		Str("by", c.name).Uint16("code", uint16(res.Code)).Err(err).Send()
 }
 
-// operators keeps teams out of a route.
-func operators(serve route) route {
+// operatorsOnly keeps teams out of a route.
+func operatorsOnly(serve routeFunc) routeFunc {
 	return func(c *call) error {
 		if !c.isOperator() {
-			return outside("what only operators change")
+			return outOfReach("what only operators change")
 		}
 		return serve(c)
 	}
 }
 
-// ownTeam keeps other teams out of a route below /teams/{team}.
-func ownTeam(serve route) route {
+// ownTeamOnly keeps other teams out of a route below /teams/{team}.
+func ownTeamOnly(serve routeFunc) routeFunc {
 	return func(c *call) error {
-		if !c.mayTeam(c.team()) {
-			return outside("team " + string(c.team()))
+		if !c.mayAccessTeam(c.team()) {
+			return outOfReach("team " + string(c.team()))
 		}
 		return serve(c)
 	}
--- a/transport/admin/objects.go
+++ b/transport/admin/objects.go
@@ -12,16 +12,16 @@
 
 // listObjects shows the versions in force on this router.
 func (h *Handler) listObjects(c *call) error {
-	list := ObjectList{Objects: h.versions(c.mayKey), Refused: h.refused(c.mayKey)}
+	list := ObjectList{Objects: h.versions(c.mayAccessKey), Refused: h.refused(c.mayAccessKey)}
 	writeJSON(c.w, http.StatusOK, list)
 	return nil
 }
 
-func (h *Handler) versions(may func(key string) bool) []ObjectVersion {
+func (h *Handler) versions(mayAccess func(key string) bool) []ObjectVersion {
 	found := make([]ObjectVersion, 0)
 	for _, key := range slices.Sorted(maps.Keys(h.options.Source.Versions())) {
 		o, ok := h.options.Source.Object(key)
-		if !ok || !may(key) {
+		if !ok || !mayAccess(key) {
 			continue
 		}
 		found = append(found, objectVersion(o))
@@ -38,11 +38,11 @@
 	return v
 }
 
-func (h *Handler) refused(may func(key string) bool) []RefusedVersion {
+func (h *Handler) refused(mayAccess func(key string) bool) []RefusedVersion {
 	var found []RefusedVersion
-	for key, bad := range h.options.Source.Invalid() {
-		if may(key) {
-			found = append(found, RefusedVersion{Key: key, Version: bad.Version, Reason: bad.Err.Error()})
+	for key, rejected := range h.options.Source.InvalidObjects() {
+		if mayAccess(key) {
+			found = append(found, RefusedVersion{Key: key, Version: rejected.Version, Reason: rejected.Err.Error()})
 		}
 	}
 	slices.SortFunc(found, func(a, b RefusedVersion) int { return cmp.Compare(a.Key, b.Key) })
@@ -57,11 +57,11 @@
 	if err == nil {
 		return o, FromPlatform, nil
 	}
-	held, ok := h.options.Source.Object(key)
+	cached, ok := h.options.Source.Object(key)
 	if !ok {
 		return o, "", err
 	}
-	return held, FromRouter, nil
+	return cached, FromRouter, nil
 }
 
 func (h *Handler) getObject(c *call) error {
@@ -107,7 +107,7 @@
 	if err != nil {
 		return err
 	}
-	expected, err := c.expects()
+	expected, err := c.expectedVersion()
 	if err != nil {
 		return err
 	}
@@ -123,13 +123,13 @@
 		if err != nil {
 			return err
 		}
-		return answer(h, c, replaceSubtree(c, wanted))
+		return answerEdit(h, c, replaceSubtree(c, wanted))
 	}
 	wanted, err := config.ParseRoot(data)
 	if err != nil {
 		return err
 	}
-	return answer(h, c, replaceRoot(wanted))
+	return answerEdit(h, c, replaceRoot(wanted))
 }
 
 const replacedWhole = "replaced as a whole"
@@ -138,7 +138,7 @@
 	e := editRoot(replacedWhole, func(r *config.Root) error {
 		wanted.ChangeID, wanted.History = r.ChangeID, r.History
 		*r = wanted
-		return keepsOperators(wanted)
+		return requireOperatorToken(wanted)
 	})
 	e.load = func(data []byte) (config.Root, error) {
 		root, err := loadRoot(data)
@@ -147,13 +147,13 @@
 		}
 		return root, nil
 	}
-	e.whole = true
+	e.replacesWhole = true
 	return e
 }
 
-// keepsOperators stops a root that would lock every operator out: nobody
+// requireOperatorToken stops a root that would lock every operator out: nobody
 // could mend it through the API.
-func keepsOperators(r config.Root) error {
+func requireOperatorToken(r config.Root) error {
 	if len(r.OperatorTokens) == 0 {
 		return invalid("operator_tokens", "at least one must remain")
 	}
@@ -163,21 +163,21 @@
 func replaceSubtree(c *call, wanted config.Subtree) edit[config.Subtree] {
 	e := editSubtree(wanted.Team, replacedWhole, func(s *config.Subtree) error {
 		if wanted.Deleted != s.Deleted && !c.isOperator() {
-			return outside("the existence of a team")
+			return outOfReach("the existence of a team")
 		}
 		wanted.ChangeID, wanted.History = s.ChangeID, s.History
 		*s = wanted
 		return nil
 	})
-	strict := e.load
+	parse := e.load
 	e.load = func(data []byte) (config.Subtree, error) {
-		subtree, err := strict(data)
+		subtree, err := parse(data)
 		if err != nil {
 			subtree = config.Subtree{Team: wanted.Team}
 			subtree.History, _ = config.HistoryOf(e.key, data)
 		}
 		return subtree, nil
 	}
-	e.whole = true
+	e.replacesWhole = true
 	return e
 }
--- a/transport/admin/problem.go
+++ b/transport/admin/problem.go
@@ -16,8 +16,8 @@
 // defaultRetryAfter is used if a code asks to come back and nobody said when.
 const defaultRetryAfter = 2 * time.Second
 
-// resulter is an error that knows its code.
-type resulter interface {
+// resultError is an error that knows its code.
+type resultError interface {
 	error
 	Result() result.Result
 }
@@ -29,7 +29,7 @@
 	if errors.As(err, &known) {
 		return known
 	}
-	var coded resulter
+	var coded resultError
 	if errors.As(err, &coded) {
 		return coded.Result()
 	}
@@ -78,7 +78,7 @@
 	if errors.As(err, &conflict) {
 		p.Conflict = conflictDocument(conflict)
 	}
-	var unknown *settings.UnknownError
+	var unknown *settings.UnknownOutcomeError
 	if errors.As(err, &unknown) {
 		p.ChangeID = unknown.ChangeID
 	}
--- a/transport/admin/request.go
+++ b/transport/admin/request.go
@@ -34,8 +34,8 @@
 func (c *call) key() (string, error) {
 	key := config.Prefix + c.r.PathValue("key")
 	_, isTeam := config.TeamOf(key)
-	if !c.mayKey(key) {
-		return "", outside(key)
+	if !c.mayAccessKey(key) {
+		return "", outOfReach(key)
 	}
 	if !isTeam && key != config.RootKey {
 		return "", result.New(result.NotFound, "there is no "+key)
@@ -80,30 +80,30 @@
 	return nil
 }
 
-// expectation is the version that a client wants to replace.
-type expectation struct {
+// versionCondition is the version that a client wants to replace.
+type versionCondition struct {
 	version uint64
 	given   bool
 }
 
-// expects reads If-Match with a version, or If-None-Match with a star for an
+// expectedVersion reads If-Match with a version, or If-None-Match with a star for an
 // object that must not exist.
-func (c *call) expects() (expectation, error) {
+func (c *call) expectedVersion() (versionCondition, error) {
 	match := c.r.Header.Get("If-Match")
 	none := c.r.Header.Get("If-None-Match")
 	switch {
 	case match == "" && none == "":
-		return expectation{}, nil
+		return versionCondition{}, nil
 	case match == "" && none == "*":
-		return expectation{given: true}, nil
+		return versionCondition{given: true}, nil
 	case none != "":
-		return expectation{}, badRequest("If-None-Match takes only a star, and no If-Match beside it")
+		return versionCondition{}, badRequest("If-None-Match takes only a star, and no If-Match beside it")
 	}
 	version, err := strconv.ParseUint(strings.Trim(match, `"`), 10, 64)
 	if err != nil {
-		return expectation{}, badRequest("If-Match takes one version")
+		return versionCondition{}, badRequest("If-Match takes one version")
 	}
-	return expectation{version: version, given: true}, nil
+	return versionCondition{version: version, given: true}, nil
 }
 
 // changeID returns the client's change id, or a new one.
--- a/transport/admin/status.go
+++ b/transport/admin/status.go
@@ -39,21 +39,21 @@
 	// peerTimeout keeps one router behind a network partition from delaying
 	// the answer of all others.
 	peerTimeout = 2 * time.Second
-	// peersAtOnce lets a fleet of hundreds of routers answer within a few
+	// maxConcurrentPeers lets a fleet of hundreds of routers answer within a few
 	// timeouts without as many connections at once.
-	peersAtOnce = 64
-	// statusBytes is above the status of 120 workspaces on ten services.
-	statusBytes = 4 << 20
+	maxConcurrentPeers = 64
+	// maxStatusBytes is above the status of 120 workspaces on ten services.
+	maxStatusBytes = 4 << 20
 )
 
 // serveStatus answers operators and other routers.
 func (h *Handler) serveStatus(w http.ResponseWriter, r *http.Request) {
 	c := &call{w: w, r: r}
-	if h.fromRouter(r) {
+	if h.isFromRouter(r) {
 		_ = h.getStatus(c)
 		return
 	}
-	if err := h.serve(c, operators(h.getStatus)); err != nil {
+	if err := h.serve(c, operatorsOnly(h.getStatus)); err != nil {
 		h.refuse(c, err)
 	}
 }
@@ -77,20 +77,20 @@
 	own := h.status()
 	reports := []RouterReport{{Router: own.Router, Status: &own}}
 	if h.options.Peers != nil {
-		reports = append(reports, h.askPeers(c.r.Context(), h.options.Peers.AdminPeers())...)
+		reports = append(reports, h.fetchPeers(c.r.Context(), h.options.Peers.AdminPeers())...)
 	}
 	slices.SortFunc(reports, func(a, b RouterReport) int { return cmp.Compare(a.Router, b.Router) })
 	writeJSON(c.w, http.StatusOK, FleetStatus{Routers: reports})
 	return nil
 }
 
-func (h *Handler) askPeers(ctx context.Context, peers []Peer) []RouterReport {
+func (h *Handler) fetchPeers(ctx context.Context, peers []Peer) []RouterReport {
 	reports := make([]RouterReport, len(peers))
 	var group errgroup.Group
-	group.SetLimit(peersAtOnce)
+	group.SetLimit(maxConcurrentPeers)
 	for i, p := range peers {
 		group.Go(func() error {
-			reports[i] = h.askPeer(ctx, p)
+			reports[i] = h.fetchPeer(ctx, p)
 			return nil
 		})
 	}
@@ -98,7 +98,7 @@
 	return reports
 }
 
-func (h *Handler) askPeer(ctx context.Context, p Peer) RouterReport {
+func (h *Handler) fetchPeer(ctx context.Context, p Peer) RouterReport {
 	report := RouterReport{Router: p.Router, URL: p.URL}
 	status, err := h.fetchStatus(ctx, p)
 	if err != nil {
@@ -128,6 +128,6 @@
 		return nil, fmt.Errorf("the router answered %s", response.Status)
 	}
 	var status RouterStatus
-	err = json.NewDecoder(io.LimitReader(response.Body, statusBytes)).Decode(&status)
+	err = json.NewDecoder(io.LimitReader(response.Body, maxStatusBytes)).Decode(&status)
 	return &status, err
 }
--- a/transport/admin/teams.go
+++ b/transport/admin/teams.go
@@ -27,7 +27,7 @@
 	}
 	list := TeamList{Teams: make([]TeamDocument, 0)}
 	for _, t := range v.Root().Teams {
-		if !c.mayTeam(t.Name) {
+		if !c.mayAccessTeam(t.Name) {
 			continue
 		}
 		subtree, _ := v.Subtree(t.Name)
@@ -50,7 +50,7 @@
 		return err
 	}
 	summary := fmt.Sprintf("created team %s with share %v", wanted.Name, wanted.Share)
-	return answer(h, c, editRoot(summary, func(r *config.Root) error {
+	return answerEdit(h, c, editRoot(summary, func(r *config.Root) error {
 		r.Teams = append(r.Teams, config.TeamShare(wanted))
 		return nil
 	}))
@@ -62,7 +62,7 @@
 		return err
 	}
 	summary := fmt.Sprintf("set share of team %s to %v", c.team(), wanted.Share)
-	return answer(h, c, editTeam(c.team(), summary, func(t *config.TeamShare) error {
+	return answerEdit(h, c, editTeam(c.team(), summary, func(t *config.TeamShare) error {
 		t.Share = wanted.Share
 		return nil
 	}))
@@ -73,16 +73,16 @@
 	if err := c.decode(&wanted); err != nil {
 		return err
 	}
-	summary := fmt.Sprintf("added token %s of team %s", short(wanted.Digest), c.team())
-	return answer(h, c, editTeam(c.team(), summary, func(t *config.TeamShare) error {
+	summary := fmt.Sprintf("added token %s of team %s", shortDigest(wanted.Digest), c.team())
+	return answerEdit(h, c, editTeam(c.team(), summary, func(t *config.TeamShare) error {
 		t.Tokens = append(t.Tokens, wanted.Digest)
 		return nil
 	}))
 }
 
 func (h *Handler) removeTeamToken(c *call) error {
-	summary := fmt.Sprintf("removed token %s of team %s", short(c.r.PathValue("digest")), c.team())
-	return answer(h, c, editTeam(c.team(), summary, func(t *config.TeamShare) error {
+	summary := fmt.Sprintf("removed token %s of team %s", shortDigest(c.r.PathValue("digest")), c.team())
+	return answerEdit(h, c, editTeam(c.team(), summary, func(t *config.TeamShare) error {
 		return removeDigest(&t.Tokens, c.r.PathValue("digest"))
 	}))
 }
@@ -99,9 +99,9 @@
 	})
 }
 
-// short names a token in the history by the first digits of its digest, as
+// shortDigest names a token in the history by the first digits of its digest, as
 // config.Digest does.
-func short(digest string) string {
+func shortDigest(digest string) string {
 	return digest[:min(len(digest), config.ShortDigits)]
 }
 
@@ -119,20 +119,20 @@
 // between the two is mended by deleting again.
 func (h *Handler) deleteTeam(c *call) error {
 	team := c.team()
-	if expected, err := c.expects(); err != nil || expected.given || c.dryRun() {
+	if expected, err := c.expectedVersion(); err != nil || expected.given || c.dryRun() {
 		return badRequest("deleting a team writes two objects; it takes no expected version and no dry run")
 	}
-	present, err := h.present(c, config.TeamKey(team))
+	present, err := h.readCurrent(c, config.TeamKey(team))
 	if err != nil {
 		return err
 	}
 	summary := "deleted team " + string(team)
 	if present.Version > 0 {
-		if _, err := run(h, c, buryTeam(c, summary)); err != nil {
+		if _, err := runEdit(h, c, tombstoneTeam(c, summary)); err != nil {
 			return err
 		}
 	}
-	return answer(h, c, editRoot(summary, func(r *config.Root) error {
+	return answerEdit(h, c, editRoot(summary, func(r *config.Root) error {
 		i := slices.IndexFunc(r.Teams, func(t config.TeamShare) bool { return t.Name == team })
 		if i < 0 {
 			return notFound("team " + string(team))
@@ -142,7 +142,7 @@
 	}))
 }
 
-func buryTeam(c *call, summary string) edit[config.Subtree] {
+func tombstoneTeam(c *call, summary string) edit[config.Subtree] {
 	return editSubtree(c.team(), summary, func(s *config.Subtree) error {
 		if len(s.Workspaces) > 0 && !c.force() {
 			return invalid("workspaces", fmt.Sprintf("the team still has %d; delete them first, or force", len(s.Workspaces)))
--- a/transport/admin/upstreams.go
+++ b/transport/admin/upstreams.go
@@ -22,14 +22,14 @@
 	return nil
 }
 
-func (h *Handler) setDraining(draining bool) route {
+func (h *Handler) setDraining(draining bool) routeFunc {
 	return func(c *call) error {
 		name := state.Upstream(c.r.PathValue("upstream"))
 		summary := "resumed upstream " + string(name)
 		if draining {
 			summary = "drained upstream " + string(name)
 		}
-		return answer(h, c, editRoot(summary, func(r *config.Root) error {
+		return answerEdit(h, c, editRoot(summary, func(r *config.Root) error {
 			u := findUpstream(r, name)
 			if u == nil {
 				return notFound("upstream " + string(name))
--- a/transport/admin/workspaces.go
+++ b/transport/admin/workspaces.go
@@ -17,7 +17,7 @@
 	list := WorkspaceList{Workspaces: make([]WorkspaceDocument, 0)}
 	for _, t := range v.Root().Teams {
 		subtree, ok := v.Subtree(t.Name)
-		if !ok || !c.mayTeam(t.Name) {
+		if !ok || !c.mayAccessTeam(t.Name) {
 			continue
 		}
 		for _, w := range subtree.Workspaces {
@@ -41,7 +41,7 @@
 		return err
 	}
 	summary := fmt.Sprintf("created workspace %s with weight %v", wanted.Name, wanted.Weight)
-	return answer(h, c, editSubtree(c.team(), summary, func(s *config.Subtree) error {
+	return answerEdit(h, c, editSubtree(c.team(), summary, func(s *config.Subtree) error {
 		s.Deleted = false
 		s.Workspaces = append(s.Workspaces, wanted)
 		return nil
@@ -54,7 +54,7 @@
 		return err
 	}
 	summary := fmt.Sprintf("set weight of workspace %s to %v", c.workspace(), wanted.Weight)
-	return answer(h, c, editWorkspace(c, summary, func(w *config.Workspace) error {
+	return answerEdit(h, c, editWorkspace(c, summary, func(w *config.Workspace) error {
 		w.Weight = wanted.Weight
 		return nil
 	}))
@@ -65,23 +65,23 @@
 	if err := c.decode(&wanted); err != nil {
 		return err
 	}
-	summary := fmt.Sprintf("added token %s of workspace %s", short(wanted.Digest), c.workspace())
-	return answer(h, c, editWorkspace(c, summary, func(w *config.Workspace) error {
+	summary := fmt.Sprintf("added token %s of workspace %s", shortDigest(wanted.Digest), c.workspace())
+	return answerEdit(h, c, editWorkspace(c, summary, func(w *config.Workspace) error {
 		w.Tokens = append(w.Tokens, wanted.Digest)
 		return nil
 	}))
 }
 
 func (h *Handler) removeToken(c *call) error {
-	summary := fmt.Sprintf("removed token %s of workspace %s", short(c.r.PathValue("digest")), c.workspace())
-	return answer(h, c, editWorkspace(c, summary, func(w *config.Workspace) error {
+	summary := fmt.Sprintf("removed token %s of workspace %s", shortDigest(c.r.PathValue("digest")), c.workspace())
+	return answerEdit(h, c, editWorkspace(c, summary, func(w *config.Workspace) error {
 		return removeDigest(&w.Tokens, c.r.PathValue("digest"))
 	}))
 }
 
 func (h *Handler) deleteWorkspace(c *call) error {
 	summary := fmt.Sprintf("deleted workspace %s", c.workspace())
-	return answer(h, c, editSubtree(c.team(), summary, func(s *config.Subtree) error {
+	return answerEdit(h, c, editSubtree(c.team(), summary, func(s *config.Subtree) error {
 		i := indexWorkspace(c, s)
 		if i < 0 {
 			return notFound(workspaceOf(c))
--- a/transport/caller/bench_test.go
+++ b/transport/caller/bench_test.go
@@ -31,31 +31,31 @@
 	}
 }
 
-// instant dispatches each request at once.
-type instant struct{}
+// immediateScheduler dispatches each request at once.
+type immediateScheduler struct{}
 
-func (instant) NextID() state.RequestID { return 1 }
+func (immediateScheduler) NextID() state.RequestID { return 1 }
 
-func (instant) Submit(scheduler.Request) <-chan scheduler.Action {
+func (immediateScheduler) Submit(scheduler.Request) <-chan scheduler.Action {
 	actions := make(chan scheduler.Action, 1)
 	actions <- scheduler.Dispatch{ID: 1, Upstream: "one", Attempt: 1}
 	return actions
 }
 
-func (instant) Left(state.RequestID)                                 {}
-func (instant) Progressed(state.RequestID, state.Cost)               {}
-func (instant) Ended(state.RequestID, state.Cost, scheduler.Outcome) {}
+func (immediateScheduler) Withdraw(state.RequestID)                                 {}
+func (immediateScheduler) ReportProgress(state.RequestID, state.Cost)               {}
+func (immediateScheduler) ReportEnd(state.RequestID, state.Cost, scheduler.Outcome) {}
 
-// discard is a caller that reads everything at once.
-type discard struct{ header http.Header }
+// discardResponseWriter is a caller that reads everything at once.
+type discardResponseWriter struct{ header http.Header }
 
-func (d *discard) Header() http.Header         { return d.header }
-func (d *discard) WriteHeader(int)             {}
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d *discard) Flush()                      {}
+func (d *discardResponseWriter) Header() http.Header         { return d.header }
+func (d *discardResponseWriter) WriteHeader(int)             {}
+func (d *discardResponseWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardResponseWriter) Flush()                      {}
 
-func (d *discard) SetReadDeadline(time.Time) error  { return nil }
-func (d *discard) SetWriteDeadline(time.Time) error { return nil }
+func (d *discardResponseWriter) SetReadDeadline(time.Time) error  { return nil }
+func (d *discardResponseWriter) SetWriteDeadline(time.Time) error { return nil }
 
 func benchHandler(b *testing.B, worker http.HandlerFunc) (*Handler, string) {
 	b.Helper()
@@ -68,7 +68,7 @@
 		"pages":  {Name: "pages", Kind: config.KindWorker, Repeatable: true, Upstreams: ups},
 		"drafts": {Name: "drafts", Kind: config.KindEngine, Repeatable: true, Upstreams: ups},
 	}}
-	return NewHandler(Options{Router: "r", Scheduler: instant{}, Settings: view, Client: client, Log: zerolog.Nop()}), up.URL
+	return NewHandler(Options{Router: "r", Scheduler: immediateScheduler{}, Settings: view, Client: client, Log: zerolog.Nop()}), up.URL
 }
 
 func benchRequest(method, path, body string) *http.Request {
@@ -77,20 +77,20 @@
 	return r
 }
 
-func page(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "a map") }
+func servePage(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "a map") }
 
 // BenchmarkPage is one short request through the handler. BenchmarkPagePlain
 // is the same exchange without it; the difference is the router's part.
 func BenchmarkPage(b *testing.B) {
-	h, _ := benchHandler(b, page)
+	h, _ := benchHandler(b, servePage)
 	b.ReportAllocs()
 	for b.Loop() {
-		h.ServeHTTP(&discard{header: http.Header{}}, benchRequest(http.MethodGet, "/pages/map", ""))
+		h.ServeHTTP(&discardResponseWriter{header: http.Header{}}, benchRequest(http.MethodGet, "/pages/map", ""))
 	}
 }
 
 func BenchmarkPagePlain(b *testing.B) {
-	_, url := benchHandler(b, page)
+	_, url := benchHandler(b, servePage)
 	transport := &http.Transport{}
 	b.Cleanup(transport.CloseIdleConnections)
 	b.ReportAllocs()
@@ -122,7 +122,7 @@
 			})
 			b.ReportAllocs()
 			for b.Loop() {
-				h.ServeHTTP(&discard{header: http.Header{}}, benchRequest(http.MethodPost, "/drafts/v1/chat/completions", prompt))
+				h.ServeHTTP(&discardResponseWriter{header: http.Header{}}, benchRequest(http.MethodPost, "/drafts/v1/chat/completions", chatBody))
 			}
 		})
 	}
--- a/transport/caller/follow.go
+++ b/transport/caller/follow.go
@@ -16,29 +16,29 @@
 // errDeadlinePassed is the cause of an attempt cancelled at its deadline.
 var errDeadlinePassed = errors.New("caller: deadline passed")
 
-// elsewhereRetry sends the caller of a stopping router to another one, in the
+// drainingRetryAfter sends the caller of a stopping router to another one, in the
 // least time that Retry-After can say.
-const elsewhereRetry = time.Second
+const drainingRetryAfter = time.Second
 
-// follow submits the request and does what the scheduler says until the
+// followScheduler submits the request and does what the scheduler says until the
 // request is final.
-func (x *exchange) follow() result.Result {
+func (x *exchange) followScheduler() result.Result {
 	x.id = x.h.opts.Scheduler.NextID()
 	x.job.request.ID = x.id
 	actions := x.h.opts.Scheduler.Submit(x.job.request)
 	for {
 		select {
 		case <-x.ctx.Done():
-			return x.leave(actions)
+			return x.withdraw(actions)
 		case action := <-actions:
-			if res, final := x.perform(action); final {
+			if res, final := x.performAction(action); final {
 				return res
 			}
 		}
 	}
 }
 
-func (x *exchange) perform(action scheduler.Action) (res result.Result, final bool) {
+func (x *exchange) performAction(action scheduler.Action) (res result.Result, final bool) {
 	switch a := action.(type) {
 	case scheduler.Refuse:
 		return x.refuse(a.Result), true
@@ -50,62 +50,62 @@
 	}
 }
 
-// leave withdraws a waiting request whose context has ended. A dispatch may
+// withdraw withdraws a waiting request whose context has ended. A dispatch may
 // cross with that; it is ended unused, or its slot would stay taken.
-func (x *exchange) leave(actions <-chan scheduler.Action) result.Result {
-	x.h.opts.Scheduler.Left(x.id)
+func (x *exchange) withdraw(actions <-chan scheduler.Action) result.Result {
+	x.h.opts.Scheduler.Withdraw(x.id)
 	for action := range actions {
 		if _, ok := action.(scheduler.Dispatch); ok {
-			x.ended(0, scheduler.OutcomeAbandoned)
+			x.endDispatch(0, scheduler.OutcomeAbandoned)
 		}
 	}
-	return x.brokenOff()
+	return x.endCancelled()
 }
 
-// brokenOff ends a request whose context has ended and whose answer has not
+// endCancelled ends a request whose context has ended and whose answer has not
 // begun.
-func (x *exchange) brokenOff() result.Result {
-	if x.cutOff() {
+func (x *exchange) endCancelled() result.Result {
+	if x.isCutOff() {
 		return x.refuse(x.stoppedResult())
 	}
-	return x.abandoned()
+	return x.endAbandoned()
 }
 
-// cutOff says whether the router has ended the request because it stops.
-func (x *exchange) cutOff() bool { return conntrack.IsCancelled(x.ctx) }
+// isCutOff says whether the router has ended the request because it stops.
+func (x *exchange) isCutOff() bool { return conntrack.IsCancelled(x.ctx) }
 
 func (x *exchange) stoppedResult() result.Result {
 	if x.sent {
 		return result.New(result.StoppedWhileRun, "")
 	}
-	return result.New(result.Draining, "").WithRetryAfter(elsewhereRetry)
+	return result.New(result.Draining, "").WithRetryAfter(drainingRetryAfter)
 }
 
-// abandoned aborts the connection as well: returning would send an empty 200.
-func (x *exchange) abandoned() result.Result {
-	x.abort = true
+// endAbandoned aborts the connection as well: returning would send an empty 200.
+func (x *exchange) endAbandoned() result.Result {
+	x.abortConnection = true
 	x.record.Abandoned = true
-	return x.truthful(result.New(result.DeadlinePassed, "The caller went away."))
+	return x.correctRan(result.New(result.DeadlinePassed, "The caller went away."))
 }
 
 // dispatch runs one attempt. It is not final if the scheduler decides again.
 func (x *exchange) dispatch(d scheduler.Dispatch) (res result.Result, final bool) {
-	base, ok := x.baseURL(d.Upstream)
+	baseURL, ok := x.baseURL(d.Upstream)
 	if !ok {
-		return x.undone(scheduler.OutcomeNotSent)
+		return x.endUnsent(scheduler.OutcomeNotSent)
 	}
 	attempt := x.h.nextAttempt()
-	if res, ok := x.mayRun(attempt); !ok {
-		return x.forgo(res), true
+	if res, ok := x.checkBeforeSend(attempt); !ok {
+		return x.endWithoutSending(res), true
 	}
 	x.record.Upstream = d.Upstream
-	x.record.Waited = x.since()
-	return x.send(x.attempt(attempt, base), d.Attempt == 1)
+	x.record.QueueWait = x.elapsed()
+	return x.sendAttempt(x.newAttempt(attempt, baseURL), d.Attempt == 1)
 }
 
-// send runs one attempt under the request's deadline, which bounds the time to
+// sendAttempt runs one attempt under the request's deadline, which bounds the time to
 // the head of the answer: a draft that has begun is worth its end.
-func (x *exchange) send(attempt upstream.Attempt, first bool) (res result.Result, final bool) {
+func (x *exchange) sendAttempt(attempt upstream.Attempt, first bool) (res result.Result, final bool) {
 	m := newMeter(x.job, x.h.opts.Now())
 	ctx, cancel := context.WithCancelCause(x.ctx)
 	defer cancel(nil)
@@ -117,32 +117,32 @@
 		err = &upstream.Error{Stage: upstream.StageSent, Err: errDeadlinePassed}
 	}
 	if err != nil {
-		return x.unanswered(err, context.Cause(ctx), &m)
+		return x.endUnanswered(err, context.Cause(ctx), &m)
 	}
 	defer answer.Close()
 	x.sent = true
-	if first && x.job.request.Repeatable && turnedAway(answer.Status) {
-		x.end(&m, 0, scheduler.OutcomeLost)
+	if first && x.job.request.Repeatable && isRejection(answer.Status) {
+		x.endAttempt(&m, 0, scheduler.OutcomeLost)
 		return result.Result{}, false
 	}
-	x.record.Head = x.since()
-	return x.relay(answer, &m), true
+	x.record.HeadTime = x.elapsed()
+	return x.relayAnswer(answer, &m), true
 }
 
-// turnedAway recognises an upstream that would not take the request, as one
+// isRejection recognises an upstream that would not take the request, as one
 // that starts to leave or is overloaded. A request that may be repeated is then
 // tried once elsewhere; a second such answer goes to the caller.
-func turnedAway(status int) bool {
+func isRejection(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// forgo gives a dispatch back that must not run.
-func (x *exchange) forgo(res result.Result) result.Result {
+// endWithoutSending gives a dispatch back that must not run.
+func (x *exchange) endWithoutSending(res result.Result) result.Result {
 	if x.ctx.Err() != nil {
-		x.ended(0, scheduler.OutcomeAbandoned)
-		return x.brokenOff()
+		x.endDispatch(0, scheduler.OutcomeAbandoned)
+		return x.endCancelled()
 	}
-	x.ended(0, scheduler.OutcomeRefused)
+	x.endDispatch(0, scheduler.OutcomeRefused)
 	return x.refuse(res)
 }
 
@@ -162,8 +162,8 @@
 	return "", false
 }
 
-// mayRun checks what must hold just before a request leaves.
-func (x *exchange) mayRun(attempt state.AttemptID) (result.Result, bool) {
+// checkBeforeSend checks what must hold just before a request leaves.
+func (x *exchange) checkBeforeSend(attempt state.AttemptID) (result.Result, bool) {
 	if x.sent && !x.job.request.Repeatable {
 		// The scheduler sends such a request once; a second dispatch
 		// would be a doubled booking, so the rule is held here too.
@@ -172,7 +172,7 @@
 	if x.untilDeadline() <= 0 {
 		return result.New(result.DeadlinePassed, ""), false
 	}
-	claim, needed := x.job.claim(attempt)
+	claim, needed := x.job.claimRequest(attempt)
 	if !needed || x.claimed != nil {
 		return result.Result{}, true
 	}
@@ -193,10 +193,10 @@
 	return x.job.deadline.Sub(x.h.opts.Now())
 }
 
-func (x *exchange) attempt(id state.AttemptID, base string) upstream.Attempt {
+func (x *exchange) newAttempt(id state.AttemptID, baseURL string) upstream.Attempt {
 	return upstream.Attempt{
 		ID:            id,
-		BaseURL:       base,
+		BaseURL:       baseURL,
 		Target:        x.job.target,
 		Method:        x.job.method,
 		Header:        x.job.header,
@@ -205,29 +205,29 @@
 	}
 }
 
-// unanswered ends an attempt that brought no answer.
-func (x *exchange) unanswered(err, cause error, m *meter) (res result.Result, final bool) {
+// endUnanswered ends an attempt that brought no answer.
+func (x *exchange) endUnanswered(err, cause error, m *meter) (res result.Result, final bool) {
 	if upstream.StageOf(err) != upstream.StageNotSent {
 		x.sent = true
 	}
 	if errors.Is(err, upstream.ErrCrossed) {
-		x.record.Crossed++
+		x.record.CrossedAnswers++
 	}
 	cost := state.Cost(0)
 	if x.sent {
-		cost = m.used(nil, nil, x.h.opts.Now())
+		cost = m.totalCost(nil, nil, x.h.opts.Now())
 	}
 	switch {
 	case x.ctx.Err() != nil:
-		x.end(m, cost, scheduler.OutcomeAbandoned)
-		return x.brokenOff(), true
+		x.endAttempt(m, cost, scheduler.OutcomeAbandoned)
+		return x.endCancelled(), true
 	case errors.Is(cause, errDeadlinePassed) || errors.Is(err, errDeadlinePassed):
-		x.end(m, cost, scheduler.OutcomeAbandoned)
+		x.endAttempt(m, cost, scheduler.OutcomeAbandoned)
 		return x.refuse(x.deadlineResult()), true
 	case upstream.StageOf(err) == upstream.StageNotSent:
-		return x.undone(scheduler.OutcomeNotSent)
+		return x.endUnsent(scheduler.OutcomeNotSent)
 	default:
-		x.end(m, cost, scheduler.OutcomeLost)
+		x.endAttempt(m, cost, scheduler.OutcomeLost)
 		return result.Result{}, false
 	}
 }
@@ -239,28 +239,28 @@
 	return result.New(result.DeadlinePassed, "")
 }
 
-// undone gives a dispatch back that sent nothing.
-func (x *exchange) undone(outcome scheduler.Outcome) (res result.Result, final bool) {
-	x.ended(0, outcome)
+// endUnsent gives a dispatch back that sent nothing.
+func (x *exchange) endUnsent(outcome scheduler.Outcome) (res result.Result, final bool) {
+	x.endDispatch(0, outcome)
 	return result.Result{}, false
 }
 
-// ended ends the dispatch under way.
-func (x *exchange) ended(cost state.Cost, outcome scheduler.Outcome) {
+// endDispatch ends the dispatch under way.
+func (x *exchange) endDispatch(cost state.Cost, outcome scheduler.Outcome) {
 	x.dispatched = false
-	x.h.opts.Scheduler.Ended(x.id, cost, outcome)
+	x.h.opts.Scheduler.ReportEnd(x.id, cost, outcome)
 }
 
-// recovered ends a dispatch that a fault in this package left open: the
+// endOpenDispatch ends a dispatch that a fault in this package left open: the
 // server survives a panicking handler, and the slot would stay taken for good.
-func (x *exchange) recovered() {
+func (x *exchange) endOpenDispatch() {
 	if x.dispatched {
-		x.ended(0, scheduler.OutcomeTruncated)
+		x.endDispatch(0, scheduler.OutcomeTruncated)
 	}
 }
 
-// end reports the last of an attempt's cost.
-func (x *exchange) end(m *meter, total state.Cost, outcome scheduler.Outcome) {
+// endAttempt reports the last of an attempt's cost.
+func (x *exchange) endAttempt(m *meter, total state.Cost, outcome scheduler.Outcome) {
 	x.record.Cost += max(total, m.reported)
-	x.ended(m.final(total), outcome)
+	x.endDispatch(m.unreportedCost(total), outcome)
 }
--- a/transport/caller/fuzz_test.go
+++ b/transport/caller/fuzz_test.go
@@ -22,7 +22,7 @@
 		parts.feed(stream[at:])
 		require.Equal(t, whole.tokens, parts.tokens)
 		require.Equal(t, whole.usage, parts.usage)
-		require.Equal(t, whole.done, parts.done)
+		require.Equal(t, whole.doneSeen, parts.doneSeen)
 		require.GreaterOrEqual(t, whole.tokens, int64(0))
 	})
 }
--- a/transport/caller/handler.go
+++ b/transport/caller/handler.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	// defaultRequests bounds the requests a router holds at once: with a
+	// defaultMaxRequests bounds the requests a router holds at once: with a
 	// goroutine and buffers each they stay well under a small VM's memory.
-	defaultRequests = 8192
+	defaultMaxRequests = 8192
 	// defaultBodyBudget bounds the bodies a router holds at once.
 	defaultBodyBudget = 256 << 20
 	// defaultBodyTimeout bounds reading one body, so that a caller that
@@ -44,7 +44,7 @@
 	// AfterFunc runs f after d unless stopped; nil takes the system's timer.
 	AfterFunc func(d time.Duration, f func()) (stop func() bool)
 
-	Requests     int
+	MaxRequests  int
 	BodyBudget   int64
 	BodyTimeout  time.Duration
 	WriteTimeout time.Duration
@@ -57,8 +57,8 @@
 	if o.AfterFunc == nil {
 		o.AfterFunc = afterFunc
 	}
-	if o.Requests == 0 {
-		o.Requests = defaultRequests
+	if o.MaxRequests == 0 {
+		o.MaxRequests = defaultMaxRequests
 	}
 	if o.BodyBudget == 0 {
 		o.BodyBudget = defaultBodyBudget
@@ -84,7 +84,7 @@
 // NewHandler returns a handler for callers.
 func NewHandler(opts Options) *Handler {
 	opts = opts.withDefaults()
-	return &Handler{opts: opts, budget: newBudget(opts.Requests, opts.BodyBudget)}
+	return &Handler{opts: opts, budget: newBudget(opts.MaxRequests, opts.BodyBudget)}
 }
 
 func (h *Handler) nextAttempt() state.AttemptID {
@@ -99,20 +99,20 @@
 // an answer that broke off, so that the caller's own HTTP library sees it.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{
-		h:       h,
-		w:       w,
-		r:       r,
-		ctx:     r.Context(),
-		control: http.NewResponseController(w),
-		arrived: h.opts.Now(),
-	}
-	defer x.recovered()
+		h:         h,
+		w:         w,
+		r:         r,
+		ctx:       r.Context(),
+		control:   http.NewResponseController(w),
+		arrivedAt: h.opts.Now(),
+	}
+	defer x.endOpenDispatch()
 	res := x.run()
-	x.finish(res)
+	x.finishRequest(res)
 	// The connection may serve another handler next, which knows nothing of
 	// this one's deadline.
 	_ = x.control.SetWriteDeadline(time.Time{})
-	if x.abort {
+	if x.abortConnection {
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -120,13 +120,13 @@
 // exchange is one caller's request under way. It belongs to the goroutine of
 // its HTTP handler.
 type exchange struct {
-	h       *Handler
-	w       http.ResponseWriter
-	r       *http.Request
-	ctx     context.Context
-	control *http.ResponseController
-	hold    *hold
-	arrived time.Time
+	h          *Handler
+	w          http.ResponseWriter
+	r          *http.Request
+	ctx        context.Context
+	control    *http.ResponseController
+	allocation *allocation
+	arrivedAt  time.Time
 
 	job *job
 	id  state.RequestID
@@ -137,9 +137,9 @@
 	sent bool
 	// claimed is the claim held for this request.
 	claimed *ClaimRequest
-	// abort is set if the answer under way must not be ended cleanly.
-	abort  bool
-	record Record
+	// abortConnection is set if the answer under way must not be ended cleanly.
+	abortConnection bool
+	record          Record
 }
 
 func (x *exchange) run() result.Result {
@@ -148,52 +148,52 @@
 		// of the answer, so a truncated one would look whole to it.
 		return x.refuse(result.New(result.BadRequest, "HTTP/1.1 or later is needed."))
 	}
-	hold, ok := x.h.budget.enter()
+	allocated, ok := x.h.budget.acquire()
 	if !ok {
 		return x.refuse(result.New(result.TooManyRequests, ""))
 	}
-	x.hold = hold
-	defer hold.release()
+	x.allocation = allocated
+	defer allocated.release()
 	j, err := x.admit()
 	if err != nil {
 		return x.refuse(resultOf(err))
 	}
 	x.job = j
-	return x.follow()
+	return x.followScheduler()
 }
 
 // refuse answers the caller with a problem document.
 func (x *exchange) refuse(res result.Result) result.Result {
-	res = x.truthful(res)
-	x.extendWrite()
+	res = x.correctRan(res)
+	x.extendWriteDeadline()
 	problem.Write(x.w, res)
 	return res
 }
 
-// truthful keeps a refusal from saying "not run" once something was sent: a
+// correctRan keeps a refusal from saying "not run" once something was sent: a
 // later refusal, as of a retry that found no upstream, knows nothing of the
 // attempt before it.
-func (x *exchange) truthful(res result.Result) result.Result {
+func (x *exchange) correctRan(res result.Result) result.Result {
 	if x.sent && res.Ran == result.RanNo {
 		return res.WithRan(result.RanUnknown)
 	}
 	return res
 }
 
-// finish settles the claim and reports the request.
-func (x *exchange) finish(res result.Result) {
+// finishRequest settles the claim and reports the request.
+func (x *exchange) finishRequest(res result.Result) {
 	if x.claimed != nil {
-		x.h.opts.Claims.Complete(*x.claimed, x.claimOutcome(res))
+		x.h.opts.Claims.Complete(*x.claimed, x.claimRan(res))
 	}
 	x.record.Result = res
-	x.record.Total = x.since()
+	x.record.TotalTime = x.elapsed()
 	if x.h.opts.Observer != nil {
-		x.h.opts.Observer.Finished(x.record)
+		x.h.opts.Observer.ObserveRequest(x.record)
 	}
-	x.log()
+	x.logRequest()
 }
 
-func (x *exchange) claimOutcome(res result.Result) result.Ran {
+func (x *exchange) claimRan(res result.Result) result.Ran {
 	switch {
 	case !x.sent:
 		return result.RanNo
@@ -204,13 +204,13 @@
 	}
 }
 
-func (x *exchange) since() time.Duration { return x.h.opts.Now().Sub(x.arrived) }
+func (x *exchange) elapsed() time.Duration { return x.h.opts.Now().Sub(x.arrivedAt) }
 
-func (x *exchange) extendWrite() {
+func (x *exchange) extendWriteDeadline() {
 	_ = x.control.SetWriteDeadline(x.h.opts.Now().Add(x.h.opts.WriteTimeout))
 }
 
-func (x *exchange) log() {
+func (x *exchange) logRequest() {
 	rec := &x.record
 	x.h.opts.Log.Info().
 		Str("event", "request").
@@ -220,9 +220,9 @@
 		Int("result", int(rec.Result.Code)).
 		Stringer("ran", rec.Result.Ran).
 		Bool("abandoned", rec.Abandoned).
-		Int("crossed", rec.Crossed).
-		Dur("waited", rec.Waited).
-		Dur("total", rec.Total).
+		Int("crossed", rec.CrossedAnswers).
+		Dur("waited", rec.QueueWait).
+		Dur("total", rec.TotalTime).
 		Int64("cost", int64(rec.Cost)).
 		Send()
 }
--- a/transport/caller/handler_test.go
+++ b/transport/caller/handler_test.go
@@ -37,7 +37,7 @@
 	outcomes  []scheduler.Outcome
 	cost      state.Cost
 	reports   int
-	left      bool
+	withdrawn bool
 }
 
 func (f *fakeScheduler) NextID() state.RequestID { return 1 }
@@ -47,12 +47,12 @@
 	defer f.mu.Unlock()
 	f.request = req
 	f.actions = make(chan scheduler.Action, len(f.script)+1)
-	f.next()
+	f.sendNext()
 	close(f.submitted)
 	return f.actions
 }
 
-func (f *fakeScheduler) next() {
+func (f *fakeScheduler) sendNext() {
 	if len(f.script) == 0 {
 		return
 	}
@@ -61,32 +61,32 @@
 	f.actions <- action
 }
 
-func (f *fakeScheduler) Left(state.RequestID) {
+func (f *fakeScheduler) Withdraw(state.RequestID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.left = true
-	f.next()
+	f.withdrawn = true
+	f.sendNext()
 	close(f.actions)
 }
 
-func (f *fakeScheduler) Progressed(_ state.RequestID, cost state.Cost) {
+func (f *fakeScheduler) ReportProgress(_ state.RequestID, cost state.Cost) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cost += cost
 	f.reports++
 }
 
-func (f *fakeScheduler) Ended(_ state.RequestID, cost state.Cost, outcome scheduler.Outcome) {
+func (f *fakeScheduler) ReportEnd(_ state.RequestID, cost state.Cost, outcome scheduler.Outcome) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cost += cost
 	f.outcomes = append(f.outcomes, outcome)
 	if outcome == scheduler.OutcomeLost || outcome == scheduler.OutcomeNotSent {
-		f.next()
+		f.sendNext()
 	}
 }
 
-func (f *fakeScheduler) heard() (outcomes []scheduler.Outcome, cost state.Cost) {
+func (f *fakeScheduler) reported() (outcomes []scheduler.Outcome, cost state.Cost) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]scheduler.Outcome(nil), f.outcomes...), f.cost
@@ -116,13 +116,13 @@
 
 type fakeClaims struct {
 	answer    result.Result
-	fault     bool
+	panics    bool
 	claimed   []ClaimRequest
 	completed []result.Ran
 }
 
 func (c *fakeClaims) Claim(_ context.Context, req ClaimRequest) result.Result {
-	if c.fault {
+	if c.panics {
 		panic("a fault in the router")
 	}
 	c.claimed = append(c.claimed, req)
@@ -133,17 +133,17 @@
 	c.completed = append(c.completed, ran)
 }
 
-type records chan Record
+type recordChannel chan Record
 
-func (r records) Finished(rec Record) { r <- rec }
+func (r recordChannel) ObserveRequest(rec Record) { r <- rec }
 
-func (r records) Between(state.Workspace, string, time.Duration) {}
+func (r recordChannel) ObserveEventGap(state.Workspace, string, time.Duration) {}
 
-// bench is a handler between a scripted scheduler and one upstream.
-type bench struct {
+// handlerFixture is a handler between a scripted scheduler and one upstream.
+type handlerFixture struct {
 	*fakeScheduler
 	claims  *fakeClaims
-	records records
+	records recordChannel
 	url     string
 	// expire passes the deadline of the attempt under way.
 	expire atomic.Pointer[func()]
@@ -151,11 +151,11 @@
 	cutOff context.CancelCauseFunc
 }
 
-func newBench(t *testing.T, worker http.HandlerFunc, script ...scheduler.Action) *bench {
+func newHandlerFixture(t *testing.T, worker http.HandlerFunc, script ...scheduler.Action) *handlerFixture {
 	t.Helper()
 	up := httptest.NewServer(worker)
 	t.Cleanup(up.Close)
-	b := &bench{fakeScheduler: &fakeScheduler{script: script, submitted: make(chan struct{})}, claims: &fakeClaims{}, records: make(records, 1)}
+	b := &handlerFixture{fakeScheduler: &fakeScheduler{script: script, submitted: make(chan struct{})}, claims: &fakeClaims{}, records: make(recordChannel, 1)}
 	one := []config.Upstream{{Name: "one", URL: up.URL}, {Name: "dead", URL: "http://127.0.0.1:1"}}
 	view := fakeView{services: map[state.Service]config.Service{
 		"drafts":   {Name: "drafts", Kind: config.KindEngine, Repeatable: true, Models: []state.Model{"guide"}, Upstreams: one, Cost: config.CostWeights{InputToken: 1, OutputToken: 2}},
@@ -180,9 +180,9 @@
 	return b
 }
 
-// call sends a request with header pairs and returns the answer, its body and
+// post sends a request with header pairs and returns the answer, its body and
 // the error of reading it.
-func (b *bench) call(t *testing.T, path, body string, pairs ...string) (*http.Response, string, error) {
+func (b *handlerFixture) post(t *testing.T, path, body string, pairs ...string) (*http.Response, string, error) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, b.url+path, strings.NewReader(body))
 	require.NoError(t, err)
@@ -201,7 +201,7 @@
 	return scheduler.Dispatch{ID: 1, Upstream: name}
 }
 
-const prompt = `{"model":"guide","max_tokens":100,"messages":[{"role":"user","content":"Laredo in spring"}]}`
+const chatBody = `{"model":"guide","max_tokens":100,"messages":[{"role":"user","content":"Laredo in spring"}]}`
 
 func sse(events ...string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -214,15 +214,15 @@
 	}
 }
 
-func TestStreamIsWholeAndCharged(t *testing.T) {
-	b := newBench(t, sse(`{"choices":[{"delta":{"content":"a"}}]}`, `{"choices":[]}`, `{"usage":{"prompt_tokens":7,"completion_tokens":5}}`, "[DONE]"), dispatch("one"))
-	resp, body, err := b.call(t, "/drafts/v1/chat/completions", prompt, HeaderClass, "long")
+func TestWholeStreamIsCharged(t *testing.T) {
+	b := newHandlerFixture(t, sse(`{"choices":[{"delta":{"content":"a"}}]}`, `{"choices":[]}`, `{"usage":{"prompt_tokens":7,"completion_tokens":5}}`, "[DONE]"), dispatch("one"))
+	resp, body, err := b.post(t, "/drafts/v1/chat/completions", chatBody, HeaderClass, "long")
 	require.NoError(t, err)
 	require.True(t, strings.HasSuffix(body, "data: [DONE]\n\n"))
 	require.Equal(t, "0", resp.Trailer.Get(problem.HeaderResult))
 	require.Equal(t, "yes", resp.Trailer.Get(problem.HeaderRan))
 	rec := <-b.records
-	outcomes, cost := b.heard()
+	outcomes, cost := b.reported()
 	require.Equal(t, []scheduler.Outcome{scheduler.OutcomeServed}, outcomes)
 	require.Equal(t, 17*state.CostUnit, cost)
 	require.Equal(t, cost, rec.Cost)
@@ -236,22 +236,22 @@
 
 // TestJSONAnswersAreCharged covers answers that are held and those too long.
 func TestJSONAnswersAreCharged(t *testing.T) {
-	for _, length := range []int{10, 3 * relayBytes} {
-		b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+	for _, length := range []int{10, 3 * relayBufferBytes} {
+		b := newHandlerFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 			text := strings.Repeat(`\"usage\":{} `, length/13)
 			_, _ = fmt.Fprintf(w, `{"choices":[{"message":{"content":"%s"}}],"usage":{"prompt_tokens":7,"completion_tokens":90000}}`, text)
 		}, dispatch("one"))
-		_, _, err := b.call(t, "/drafts/v1/chat/completions", prompt)
+		_, _, err := b.post(t, "/drafts/v1/chat/completions", chatBody)
 		require.NoError(t, err)
 		<-b.records
-		_, cost := b.heard()
+		_, cost := b.reported()
 		require.Equal(t, 180_007*state.CostUnit, cost)
 	}
 }
 
 // TestTruncatedStreamIsSeen: a councillor prints half a guide. The engine
 // falls in mid-stream, and a clean end would make the half look whole.
-func TestTruncatedStreamIsSeen(t *testing.T) {
+func TestTruncatedStreamIsReported(t *testing.T) {
 	cases := map[string]http.HandlerFunc{
 		"no done": sse(`{"choices":[]}`),
 		"cut": func(w http.ResponseWriter, r *http.Request) {
@@ -261,21 +261,21 @@
 	}
 	for name, worker := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, worker, dispatch("one"))
-			resp, body, err := b.call(t, "/drafts/v1/chat/completions", prompt)
+			b := newHandlerFixture(t, worker, dispatch("one"))
+			resp, body, err := b.post(t, "/drafts/v1/chat/completions", chatBody)
 			require.Error(t, err)
 			require.Contains(t, body, "event: error\n")
 			require.Contains(t, body, `"code":3003`)
 			require.Empty(t, resp.Trailer.Get(problem.HeaderResult))
 			<-b.records
-			outcomes, _ := b.heard()
+			outcomes, _ := b.reported()
 			require.Equal(t, []scheduler.Outcome{scheduler.OutcomeTruncated}, outcomes)
 		})
 	}
 }
 
 func TestWorkerAnswers(t *testing.T) {
-	large := strings.Repeat("x", 3*relayBytes)
+	large := strings.Repeat("x", 3*relayBufferBytes)
 	cases := map[string]struct {
 		worker  http.HandlerFunc
 		status  int
@@ -301,7 +301,7 @@
 		}, 502, "3003", false, scheduler.OutcomeTruncated},
 		"streamed and cut": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "99000")
-			_, _ = io.WriteString(w, large[:2*relayBytes])
+			_, _ = io.WriteString(w, large[:2*relayBufferBytes])
 		}, 200, "", true, scheduler.OutcomeTruncated},
 		"too long": {func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, large+large)
@@ -309,14 +309,14 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, c.worker, dispatch("one"))
-			resp, body, err := b.call(t, "/bookings/seats?flight=12", "4A")
+			b := newHandlerFixture(t, c.worker, dispatch("one"))
+			resp, body, err := b.post(t, "/bookings/seats?flight=12", "4A")
 			require.Equal(t, c.broken, err != nil)
 			require.Equal(t, c.status, resp.StatusCode)
 			code := resp.Header.Get(problem.HeaderResult) + resp.Trailer.Get(problem.HeaderResult)
 			require.Equal(t, c.code, code)
 			<-b.records
-			outcomes, cost := b.heard()
+			outcomes, cost := b.reported()
 			require.Equal(t, []scheduler.Outcome{c.outcome}, outcomes)
 			if name == "held" {
 				require.Equal(t, "seat 4A", body)
@@ -344,8 +344,8 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, nil, scheduler.Refuse{ID: 1, Result: result.New(result.QueueFull, "").WithRetryAfter(1500e6)})
-			resp, body, err := b.call(t, c.path, c.body, c.pairs...)
+			b := newHandlerFixture(t, nil, scheduler.Refuse{ID: 1, Result: result.New(result.QueueFull, "").WithRetryAfter(1500e6)})
+			resp, body, err := b.post(t, c.path, c.body, c.pairs...)
 			require.NoError(t, err)
 			require.Equal(t, c.code, resp.Header.Get(problem.HeaderResult), body)
 			require.Equal(t, "no", resp.Header.Get(problem.HeaderRan))
@@ -361,18 +361,18 @@
 // answer said "not run". The worker read the booking and fell; the scheduler's
 // later refusal knows nothing of it.
 func TestRefusalAfterALostAttempt(t *testing.T) {
-	lose := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
-	b := newBench(t, lose, dispatch("dead"), dispatch("one"), scheduler.Refuse{ID: 1, Result: result.New(result.NoUpstream, "")})
-	resp, _, err := b.call(t, "/bookings/seats", "4A")
+	dropConnection := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+	b := newHandlerFixture(t, dropConnection, dispatch("dead"), dispatch("one"), scheduler.Refuse{ID: 1, Result: result.New(result.NoUpstream, "")})
+	resp, _, err := b.post(t, "/bookings/seats", "4A")
 	require.NoError(t, err)
 	require.Equal(t, "unknown", resp.Header.Get(problem.HeaderRan))
-	outcomes, _ := b.heard()
+	outcomes, _ := b.reported()
 	require.Equal(t, []scheduler.Outcome{scheduler.OutcomeNotSent, scheduler.OutcomeLost}, outcomes)
 }
 
 // TestTurnedAwayIsTriedElsewhere: a kiosk shows an error while its upstream is
 // shut down in a planned way. A page may be fetched again, a booking may not.
-func TestTurnedAwayIsTriedElsewhere(t *testing.T) {
+func TestRejectedRequestIsRetriedElsewhere(t *testing.T) {
 	var calls atomic.Int64
 	worker := func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 1 {
@@ -383,16 +383,16 @@
 	}
 	first, second := dispatch("one"), dispatch("one")
 	first.Attempt, second.Attempt = 1, 2
-	b := newBench(t, worker, first, second)
-	resp, _, err := b.call(t, "/drafts/v1/chat/completions", prompt)
+	b := newHandlerFixture(t, worker, first, second)
+	resp, _, err := b.post(t, "/drafts/v1/chat/completions", chatBody)
 	require.NoError(t, err)
 	require.Equal(t, "0", resp.Trailer.Get(problem.HeaderResult))
-	outcomes, _ := b.heard()
+	outcomes, _ := b.reported()
 	require.Equal(t, []scheduler.Outcome{scheduler.OutcomeLost, scheduler.OutcomeServed}, outcomes)
 
 	calls.Store(0)
-	b = newBench(t, worker, first, second)
-	resp, _, err = b.call(t, "/bookings/seats", "4A")
+	b = newHandlerFixture(t, worker, first, second)
+	resp, _, err = b.post(t, "/bookings/seats", "4A")
 	require.NoError(t, err)
 	require.Equal(t, "3007", resp.Header.Get(problem.HeaderResult))
 	require.Equal(t, "unknown", resp.Header.Get(problem.HeaderRan))
@@ -403,12 +403,12 @@
 // errs and dispatches a request again that may not be repeated.
 func TestNoSecondDispatch(t *testing.T) {
 	var runs atomic.Int64
-	lose := func(http.ResponseWriter, *http.Request) {
+	dropConnection := func(http.ResponseWriter, *http.Request) {
 		runs.Add(1)
 		panic(http.ErrAbortHandler)
 	}
-	b := newBench(t, lose, dispatch("one"), dispatch("one"))
-	resp, _, err := b.call(t, "/bookings/seats", "4A", HeaderIdempotencyKey, "k1")
+	b := newHandlerFixture(t, dropConnection, dispatch("one"), dispatch("one"))
+	resp, _, err := b.post(t, "/bookings/seats", "4A", HeaderIdempotencyKey, "k1")
 	require.NoError(t, err)
 	require.Equal(t, "3002", resp.Header.Get(problem.HeaderResult))
 	require.EqualValues(t, 1, runs.Load())
@@ -420,30 +420,30 @@
 func TestKeyedRequests(t *testing.T) {
 	ok := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
 	t.Run("completed", func(t *testing.T) {
-		b := newBench(t, ok, dispatch("one"))
-		_, _, err := b.call(t, "/bookings/seats", "4A", HeaderIdempotencyKey, "k1")
+		b := newHandlerFixture(t, ok, dispatch("one"))
+		_, _, err := b.post(t, "/bookings/seats", "4A", HeaderIdempotencyKey, "k1")
 		require.NoError(t, err)
 		<-b.records
 		require.Equal(t, "k1", b.claims.claimed[0].Key)
 		require.Equal(t, []result.Ran{result.RanYes}, b.claims.completed)
 	})
 	t.Run("released when nothing was sent", func(t *testing.T) {
-		b := newBench(t, ok, dispatch("dead"), scheduler.Refuse{ID: 1, Result: result.New(result.UpstreamUnreachable, "")})
-		resp, _, err := b.call(t, "/bookings/seats", "4A", HeaderIdempotencyKey, "k1")
+		b := newHandlerFixture(t, ok, dispatch("dead"), scheduler.Refuse{ID: 1, Result: result.New(result.UpstreamUnreachable, "")})
+		resp, _, err := b.post(t, "/bookings/seats", "4A", HeaderIdempotencyKey, "k1")
 		require.NoError(t, err)
 		require.Equal(t, "no", resp.Header.Get(problem.HeaderRan))
 		<-b.records
 		require.Equal(t, []result.Ran{result.RanNo}, b.claims.completed)
 	})
 	t.Run("refused by the claim", func(t *testing.T) {
-		b := newBench(t, ok, dispatch("one"))
+		b := newHandlerFixture(t, ok, dispatch("one"))
 		b.claims.answer = result.New(result.KeyCompleted, "")
-		resp, _, err := b.call(t, "/bookings/seats", "4A", HeaderIdempotencyKey, "k1")
+		resp, _, err := b.post(t, "/bookings/seats", "4A", HeaderIdempotencyKey, "k1")
 		require.NoError(t, err)
 		require.Equal(t, "yes", resp.Header.Get(problem.HeaderRan))
 		<-b.records
 		require.Empty(t, b.claims.completed)
-		outcomes, _ := b.heard()
+		outcomes, _ := b.reported()
 		require.Equal(t, []scheduler.Outcome{scheduler.OutcomeRefused}, outcomes)
 	})
 }
@@ -451,15 +451,15 @@
 // TestCrossedAnswerIsDropped: a kiosk shows another town's map. An upstream
 // answers an earlier attempt on a later connection.
 func TestCrossedAnswerIsDropped(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, _ *http.Request) {
+	b := newHandlerFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(upstream.AttemptHeader, "laredo-1.2.0")
 		_, _ = io.WriteString(w, "another's map")
 	}, dispatch("one"), scheduler.Refuse{ID: 1, Result: result.New(result.UpstreamLost, "")})
-	_, body, err := b.call(t, "/bookings/map", "")
+	_, body, err := b.post(t, "/bookings/map", "")
 	require.NoError(t, err)
 	require.NotContains(t, body, "another's")
-	require.Equal(t, 1, (<-b.records).Crossed)
-	outcomes, _ := b.heard()
+	require.Equal(t, 1, (<-b.records).CrossedAnswers)
+	outcomes, _ := b.reported()
 	require.Equal(t, []scheduler.Outcome{scheduler.OutcomeLost}, outcomes)
 }
 
@@ -468,7 +468,7 @@
 // while the worker runs it.
 func TestCallerLeaves(t *testing.T) {
 	t.Run("while waiting, crossing a dispatch", func(t *testing.T) {
-		b := newBench(t, nil)
+		b := newHandlerFixture(t, nil)
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
 			<-b.submitted
@@ -477,26 +477,26 @@
 			b.mu.Unlock()
 			cancel()
 		}()
-		require.ErrorIs(t, b.callWith(ctx, t), context.Canceled)
+		require.ErrorIs(t, b.postWith(ctx, t), context.Canceled)
 		require.True(t, (<-b.records).Abandoned)
-		outcomes, _ := b.heard()
+		outcomes, _ := b.reported()
 		require.Equal(t, []scheduler.Outcome{scheduler.OutcomeAbandoned}, outcomes)
-		require.True(t, b.left)
+		require.True(t, b.withdrawn)
 	})
 	t.Run("while running", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		told := make(chan error, 1)
-		b := newBench(t, func(_ http.ResponseWriter, r *http.Request) {
+		upstreamErr := make(chan error, 1)
+		b := newHandlerFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 			// A server notices a closed connection once the body is read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			cancel()
 			<-r.Context().Done()
-			told <- r.Context().Err()
+			upstreamErr <- r.Context().Err()
 		}, dispatch("one"))
-		require.ErrorIs(t, b.callWith(ctx, t), context.Canceled)
-		require.ErrorIs(t, <-told, context.Canceled)
+		require.ErrorIs(t, b.postWith(ctx, t), context.Canceled)
+		require.ErrorIs(t, <-upstreamErr, context.Canceled)
 		require.True(t, (<-b.records).Abandoned)
-		outcomes, _ := b.heard()
+		outcomes, _ := b.reported()
 		require.Equal(t, []scheduler.Outcome{scheduler.OutcomeAbandoned}, outcomes)
 	})
 }
@@ -505,14 +505,14 @@
 // seat is booked. The router that had the request ran out of time to stop and
 // closed the connection, while the request waited, while the worker ran it, or
 // while its answer was held or under way.
-func TestStopCutsOff(t *testing.T) {
+func TestStopAnswersOpenRequests(t *testing.T) {
 	t.Run("while waiting", func(t *testing.T) {
-		b := newBench(t, nil)
+		b := newHandlerFixture(t, nil)
 		go func() {
 			<-b.submitted
 			b.cutOff(conntrack.ErrStopping)
 		}()
-		resp, _, err := b.call(t, "/bookings/x", "4A")
+		resp, _, err := b.post(t, "/bookings/x", "4A")
 		require.NoError(t, err)
 		require.Equal(t, "2005", resp.Header.Get(problem.HeaderResult))
 		require.Equal(t, "no", resp.Header.Get(problem.HeaderRan))
@@ -520,39 +520,39 @@
 		require.False(t, (<-b.records).Abandoned)
 	})
 	t.Run("while running", func(t *testing.T) {
-		var b *bench
-		b = newBench(t, func(_ http.ResponseWriter, r *http.Request) {
+		var b *handlerFixture
+		b = newHandlerFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			b.cutOff(conntrack.ErrStopping)
 			<-r.Context().Done()
 		}, dispatch("one"))
-		resp, _, err := b.call(t, "/bookings/x", "4A", HeaderIdempotencyKey, "k")
+		resp, _, err := b.post(t, "/bookings/x", "4A", HeaderIdempotencyKey, "k")
 		require.NoError(t, err)
 		require.Equal(t, "5002", resp.Header.Get(problem.HeaderResult))
 		require.Equal(t, "unknown", resp.Header.Get(problem.HeaderRan))
 		require.False(t, (<-b.records).Abandoned)
 		require.Equal(t, []result.Ran{result.RanUnknown}, b.claims.completed)
-		outcomes, _ := b.heard()
+		outcomes, _ := b.reported()
 		require.Equal(t, []scheduler.Outcome{scheduler.OutcomeAbandoned}, outcomes)
 	})
 	t.Run("while the answer is held", func(t *testing.T) {
-		var b *bench
-		b = newBench(t, func(w http.ResponseWriter, r *http.Request) {
+		var b *handlerFixture
+		b = newHandlerFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, "seat")
 			_ = http.NewResponseController(w).Flush()
 			b.cutOff(conntrack.ErrStopping)
 			<-r.Context().Done()
 		}, dispatch("one"))
-		resp, body, err := b.call(t, "/bookings/x", "")
+		resp, body, err := b.post(t, "/bookings/x", "")
 		require.NoError(t, err)
 		require.Equal(t, "5002", resp.Header.Get(problem.HeaderResult), body)
 	})
 	t.Run("while streaming", func(t *testing.T) {
-		b := newBench(t, func(w http.ResponseWriter, r *http.Request) {
+		b := newHandlerFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			sse(`{"choices":[]}`)(w, r)
 			<-r.Context().Done()
 		}, dispatch("one"))
-		req, err := http.NewRequest(http.MethodPost, b.url+"/drafts/v1/chat/completions", strings.NewReader(prompt))
+		req, err := http.NewRequest(http.MethodPost, b.url+"/drafts/v1/chat/completions", strings.NewReader(chatBody))
 		require.NoError(t, err)
 		req.Header.Set("Authorization", "Bearer secret")
 		resp, err := http.DefaultClient.Do(req)
@@ -568,14 +568,14 @@
 // TestPanicFreesTheSlot: an engine idles for good. A fault of the router ends
 // the handler between the dispatch and its report.
 func TestPanicFreesTheSlot(t *testing.T) {
-	b := newBench(t, nil, dispatch("one"))
-	b.claims.fault = true
-	require.Error(t, b.callWith(context.Background(), t))
-	outcomes, _ := b.heard()
+	b := newHandlerFixture(t, nil, dispatch("one"))
+	b.claims.panics = true
+	require.Error(t, b.postWith(context.Background(), t))
+	outcomes, _ := b.reported()
 	require.Equal(t, []scheduler.Outcome{scheduler.OutcomeTruncated}, outcomes)
 }
 
-func (b *bench) callWith(ctx context.Context, t *testing.T) error {
+func (b *handlerFixture) postWith(ctx context.Context, t *testing.T) error {
 	t.Helper()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, b.url+"/bookings/x", strings.NewReader("4A"))
 	require.NoError(t, err)
@@ -592,18 +592,18 @@
 // TestDeadlines: a guardian waits on a page that gave up long ago. The
 // deadline passes before the dispatch, or while the worker is silent.
 func TestDeadlines(t *testing.T) {
-	var b *bench
-	b = newBench(t, func(_ http.ResponseWriter, r *http.Request) {
+	var b *handlerFixture
+	b = newHandlerFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 		(*b.expire.Load())()
 		<-r.Context().Done()
 	}, dispatch("one"))
-	resp, _, err := b.call(t, "/bookings/x", "")
+	resp, _, err := b.post(t, "/bookings/x", "")
 	require.NoError(t, err)
 	require.Equal(t, "3006", resp.Header.Get(problem.HeaderResult))
 	require.Equal(t, "unknown", resp.Header.Get(problem.HeaderRan))
 
-	b = newBench(t, nil, dispatch("one"))
-	resp, _, err = b.call(t, "/bookings/x", "", HeaderDeadline, "0")
+	b = newHandlerFixture(t, nil, dispatch("one"))
+	resp, _, err = b.post(t, "/bookings/x", "", HeaderDeadline, "0")
 	require.NoError(t, err)
 	require.Equal(t, "2004", resp.Header.Get(problem.HeaderResult))
 	require.Equal(t, "no", resp.Header.Get(problem.HeaderRan))
--- a/transport/caller/headers.go
+++ b/transport/caller/headers.go
@@ -35,24 +35,24 @@
 	errKey      = errors.New("Idempotency-Key is not 1 to 255 visible ASCII characters, given once")
 )
 
-// hints are what a caller says of its request in headers.
-type hints struct {
+// requestHints are what a caller says of its request in headers.
+type requestHints struct {
 	deadline time.Time
 	class    string
 	key      string
 }
 
-func parseHints(header http.Header, now time.Time) (hints, error) {
-	var h hints
+func parseHints(header http.Header, now time.Time) (requestHints, error) {
+	var h requestHints
 	var err error
 	if h.deadline, err = parseDeadline(header.Get(HeaderDeadline), now); err != nil {
-		return hints{}, err
+		return requestHints{}, err
 	}
 	if h.class, err = parseClass(header.Get(HeaderClass)); err != nil {
-		return hints{}, err
+		return requestHints{}, err
 	}
 	if h.key, err = parseKey(header[HeaderIdempotencyKey]); err != nil {
-		return hints{}, err
+		return requestHints{}, err
 	}
 	return h, nil
 }
--- a/transport/caller/keys.go
+++ b/transport/caller/keys.go
@@ -61,6 +61,6 @@
 	if !ok {
 		return IssuedKey{}, result.New(result.Unauthorized, "")
 	}
-	key, until, res := h.Issuer.Issue(workspace)
-	return IssuedKey{Key: key, Expires: until, Router: h.Router, DataCentre: h.DataCentre}, res
+	key, expires, res := h.Issuer.Issue(workspace)
+	return IssuedKey{Key: key, Expires: expires, Router: h.Router, DataCentre: h.DataCentre}, res
 }
--- a/transport/caller/limits_test.go
+++ b/transport/caller/limits_test.go
@@ -12,7 +12,7 @@
 func TestConnectionsAreBounded(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	listener := Limit(inner, ServerOptions{Connections: 1})
+	listener := LimitListener(inner, ServerOptions{MaxConnections: 1})
 	accepted := make(chan net.Conn)
 	ended := make(chan error)
 	go func() {
@@ -47,11 +47,11 @@
 // send large bodies at once.
 func TestMemoryIsBounded(t *testing.T) {
 	b := newBudget(2, 100)
-	first, ok := b.enter()
+	first, ok := b.acquire()
 	require.True(t, ok)
-	second, ok := b.enter()
+	second, ok := b.acquire()
 	require.True(t, ok)
-	_, ok = b.enter()
+	_, ok = b.acquire()
 	require.False(t, ok)
 	require.True(t, first.grow(80))
 	require.False(t, second.grow(30))
@@ -59,6 +59,6 @@
 	require.True(t, second.grow(30))
 	first.release()
 	second.release()
-	require.Equal(t, newBudget(2, 100).bytes, b.bytes)
-	require.Equal(t, 2, b.requests)
+	require.Equal(t, newBudget(2, 100).freeBytes, b.freeBytes)
+	require.Equal(t, 2, b.freeRequests)
 }
--- a/transport/caller/meter.go
+++ b/transport/caller/meter.go
@@ -18,8 +18,8 @@
 	// progressInterval bounds how often a running request reports cost, so
 	// that control traffic does not grow with the speed of engines.
 	progressInterval = time.Second
-	// maxBusy bounds the busy time an upstream may state.
-	maxBusy = 24 * time.Hour
+	// maxBusyTime bounds the busy time an upstream may state.
+	maxBusyTime = 24 * time.Hour
 )
 
 func tokenCost(w config.CostWeights, input, output int64) state.Cost {
@@ -34,71 +34,71 @@
 // meter turns what an attempt shows of itself into cost, and spaces the
 // reports of it.
 type meter struct {
-	weights  config.CostWeights
-	engine   bool
-	prompt   int64
-	started  time.Time
-	reported state.Cost
-	at       time.Time
+	weights      config.CostWeights
+	engine       bool
+	promptTokens int64
+	started      time.Time
+	reported     state.Cost
+	reportedAt   time.Time
 }
 
 func newMeter(j *job, now time.Time) meter {
 	return meter{
-		weights: j.service.Cost.WithDefaults(j.service.Kind),
-		engine:  j.engine(),
-		prompt:  j.promptTokens,
-		started: now,
-		at:      now,
+		weights:      j.service.Cost.WithDefaults(j.service.Kind),
+		engine:       j.isEngine(),
+		promptTokens: j.promptTokens,
+		started:      now,
+		reportedAt:   now,
 	}
 }
 
-// streamed returns the cost of an engine's attempt after some tokens. The
+// streamedCost returns the cost of an engine's attempt after some tokens. The
 // prompt is left to the end, when the engine's own count corrects the guess:
 // what was reported cannot be taken back from counters that only grow.
-func (m *meter) streamed(tokens int64) state.Cost {
+func (m *meter) streamedCost(tokens int64) state.Cost {
 	return tokenCost(m.weights, 0, tokens)
 }
 
-// due returns the cost to report now: once a second, or when the cost has
+// dueReport returns the cost to report now: once a second, or when the cost has
 // doubled, so that a burst of short work shows at once.
-func (m *meter) due(total state.Cost, now time.Time) (state.Cost, bool) {
+func (m *meter) dueReport(total state.Cost, now time.Time) (state.Cost, bool) {
 	if total <= m.reported {
 		return 0, false
 	}
-	if now.Sub(m.at) < progressInterval && total < 2*m.reported {
+	if now.Sub(m.reportedAt) < progressInterval && total < 2*m.reported {
 		return 0, false
 	}
-	since := total - m.reported
+	unreported := total - m.reported
 	m.reported = total
-	m.at = now
-	return since, true
+	m.reportedAt = now
+	return unreported, true
 }
 
-// final returns what remains to be charged, never less than zero.
-func (m *meter) final(total state.Cost) state.Cost {
+// unreportedCost returns what remains to be charged, never less than zero.
+func (m *meter) unreportedCost(total state.Cost) state.Cost {
 	return max(total-m.reported, 0)
 }
 
-// used returns the whole cost of an attempt that ended at now.
-func (m *meter) used(scan *eventScanner, header http.Header, now time.Time) state.Cost {
+// totalCost returns the whole cost of an attempt that ended at now.
+func (m *meter) totalCost(events *eventScanner, header http.Header, now time.Time) state.Cost {
 	switch {
 	case !m.engine:
-		return busyCost(m.weights, m.busy(header, now))
-	case scan == nil:
-		return tokenCost(m.weights, m.prompt, 0)
-	case scan.usage != nil:
-		return tokenCost(m.weights, scan.usage.PromptTokens, scan.usage.CompletionTokens)
+		return busyCost(m.weights, m.busyTime(header, now))
+	case events == nil:
+		return tokenCost(m.weights, m.promptTokens, 0)
+	case events.usage != nil:
+		return tokenCost(m.weights, events.usage.PromptTokens, events.usage.CompletionTokens)
 	default:
-		return tokenCost(m.weights, m.prompt, scan.tokens)
+		return tokenCost(m.weights, m.promptTokens, events.tokens)
 	}
 }
 
-// busy prefers the worker's own figure: the measured time holds the network
+// busyTime prefers the worker's own figure: the measured time holds the network
 // and a slow caller too.
-func (m *meter) busy(header http.Header, now time.Time) time.Duration {
+func (m *meter) busyTime(header http.Header, now time.Time) time.Duration {
 	millis, err := strconv.ParseUint(header.Get(HeaderBusy), 10, 32)
 	busy := time.Duration(millis) * time.Millisecond
-	if err != nil || busy > maxBusy {
+	if err != nil || busy > maxBusyTime {
 		return now.Sub(m.started)
 	}
 	return busy
--- a/transport/caller/ports.go
+++ b/transport/caller/ports.go
@@ -20,12 +20,12 @@
 	// Refuse, after Left, and after an Ended that needs no further action.
 	// A Dispatch that crosses with Left is still delivered before that.
 	Submit(req scheduler.Request) <-chan scheduler.Action
-	// Left withdraws a request whose caller went away while it waited.
-	Left(id state.RequestID)
-	// Progressed adds cost of the dispatch under way.
-	Progressed(id state.RequestID, cost state.Cost)
-	// Ended ends the dispatch under way with the cost since Progressed.
-	Ended(id state.RequestID, cost state.Cost, outcome scheduler.Outcome)
+	// Withdraw withdraws a request whose caller went away while it waited.
+	Withdraw(id state.RequestID)
+	// ReportProgress adds cost of the dispatch under way.
+	ReportProgress(id state.RequestID, cost state.Cost)
+	// ReportEnd ends the dispatch under way with the cost since Progressed.
+	ReportEnd(id state.RequestID, cost state.Cost, outcome scheduler.Outcome)
 }
 
 // View is one version of the settings in force.
@@ -68,20 +68,20 @@
 	// Abandoned is set if the caller went away first; Result then has no
 	// reader.
 	Abandoned bool
-	// Crossed counts dropped answers that belonged to another attempt.
-	Crossed int
-	// Waited is the time to the last dispatch, Head that to the first byte
+	// CrossedAnswers counts dropped answers that belonged to another attempt.
+	CrossedAnswers int
+	// QueueWait is the time to the last dispatch, Head that to the first byte
 	// of the answer, Total that to the end; zero where it was not reached.
-	Waited time.Duration
-	Head   time.Duration
-	Total  time.Duration
-	Cost   state.Cost
+	QueueWait time.Duration
+	HeadTime  time.Duration
+	TotalTime time.Duration
+	Cost      state.Cost
 }
 
 // Observer hears of requests, for metrics. It must not block.
 type Observer interface {
-	Finished(rec Record)
-	// Between hears the time between two parts of a stream that brought
+	ObserveRequest(rec Record)
+	// ObserveEventGap hears the time between two parts of a stream that brought
 	// tokens, once for each later part.
-	Between(ws state.Workspace, class string, gap time.Duration)
+	ObserveEventGap(ws state.Workspace, class string, gap time.Duration)
 }
--- a/transport/caller/request.go
+++ b/transport/caller/request.go
@@ -31,18 +31,18 @@
 // job is one admitted request. It is kept until the request is final, since a
 // later dispatch needs it whole.
 type job struct {
-	service      config.Service
-	key          string
-	method       string
-	target       string
-	header       http.Header
-	body         []byte
-	deadline     time.Time
-	promptTokens int64
-	request      scheduler.Request
+	service        config.Service
+	idempotencyKey string
+	method         string
+	target         string
+	header         http.Header
+	body           []byte
+	deadline       time.Time
+	promptTokens   int64
+	request        scheduler.Request
 }
 
-func (j *job) engine() bool { return j.service.Kind == config.KindEngine }
+func (j *job) isEngine() bool { return j.service.Kind == config.KindEngine }
 
 func (j *job) answerLimit() int64 {
 	if j.service.Limits.AnswerBytes > 0 {
@@ -51,18 +51,18 @@
 	return defaultAnswerBytes
 }
 
-// claim returns the claim a dispatch needs; ok is false without a key.
-func (j *job) claim(attempt state.AttemptID) (ClaimRequest, bool) {
+// claimRequest returns the claim a dispatch needs; ok is false without a key.
+func (j *job) claimRequest(attempt state.AttemptID) (ClaimRequest, bool) {
 	return ClaimRequest{
 		Workspace: j.request.Workspace,
 		Service:   j.request.Service,
-		Key:       j.key,
+		Key:       j.idempotencyKey,
 		Attempt:   attempt,
-	}, j.key != ""
+	}, j.idempotencyKey != ""
 }
 
-// completion is what the router reads of an engine's request.
-type completion struct {
+// completionRequest is what the router reads of an engine's request.
+type completionRequest struct {
 	Model               state.Model     `json:"model"`
 	MaxTokens           int64           `json:"max_tokens"`
 	MaxCompletionTokens int64           `json:"max_completion_tokens"`
@@ -70,14 +70,14 @@
 	Prompt              json.RawMessage `json:"prompt"`
 }
 
-func (c *completion) prompt() []byte {
+func (c *completionRequest) rawPrompt() []byte {
 	if len(c.Messages) > 0 {
 		return c.Messages
 	}
 	return c.Prompt
 }
 
-func (c *completion) limit() int64 {
+func (c *completionRequest) tokenLimit() int64 {
 	limit := max(c.MaxTokens, c.MaxCompletionTokens)
 	return min(max(limit, 0), maxTokens)
 }
@@ -92,8 +92,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if !j.engine() {
-		if err := j.allowed(view); err != nil {
+	if !j.isEngine() {
+		if err := j.checkAccess(view); err != nil {
 			return nil, err
 		}
 	}
@@ -102,14 +102,14 @@
 	}
 	j.request.Bytes = int64(len(j.body))
 	j.request.Fingerprint = fingerprint(j)
-	if !j.engine() {
+	if !j.isEngine() {
 		return j, nil
 	}
 	if err := j.readCompletion(); err != nil {
 		return nil, err
 	}
 	// An engine's model is known only from the body.
-	return j, j.allowed(view)
+	return j, j.checkAccess(view)
 }
 
 // readHead takes what the head of a request tells: whose it is, where it goes
@@ -126,31 +126,31 @@
 		return nil, result.New(result.UnknownService, "")
 	}
 	x.record.Service = name
-	hints, err := parseHints(x.r.Header, x.arrived)
+	hints, err := parseHints(x.r.Header, x.arrivedAt)
 	if err != nil {
 		return nil, result.New(result.BadRequest, err.Error())
 	}
 	x.record.Class = hints.class
 	j := &job{
-		service:  service,
-		key:      hints.key,
-		method:   x.r.Method,
-		target:   target,
-		deadline: deadlineOf(hints, service, x.arrived),
+		service:        service,
+		idempotencyKey: hints.key,
+		method:         x.r.Method,
+		target:         target,
+		deadline:       requestDeadline(hints, service, x.arrivedAt),
 	}
-	j.header = upstreamHeader(x.r.Header, j.engine())
+	j.header = upstreamHeader(x.r.Header, j.isEngine())
 	j.request = scheduler.Request{
 		Service:    service.Name,
 		Workspace:  workspace,
 		Class:      hints.class,
 		Deadline:   j.deadline,
-		Repeatable: service.Repeatable && j.key == "",
+		Repeatable: service.Repeatable && j.idempotencyKey == "",
 	}
 	return j, nil
 }
 
-// allowed checks the workspace's access to the service and model.
-func (j *job) allowed(view View) error {
+// checkAccess checks the workspace's access to the service and model.
+func (j *job) checkAccess(view View) error {
 	code := view.Allows(j.request.Workspace, j.request.Service, j.request.Model)
 	if code != result.OK {
 		return result.New(code, "")
@@ -170,7 +170,7 @@
 	return state.Service(name), target
 }
 
-func deadlineOf(h hints, svc config.Service, now time.Time) time.Time {
+func requestDeadline(h requestHints, svc config.Service, now time.Time) time.Time {
 	if !h.deadline.IsZero() {
 		return h.deadline
 	}
@@ -198,7 +198,7 @@
 	if j.method != http.MethodPost {
 		return nil
 	}
-	var c completion
+	var c completionRequest
 	if err := json.Unmarshal(j.body, &c); err != nil {
 		return result.New(result.BadRequest, "The body is not a JSON object of the engines' API.")
 	}
@@ -208,17 +208,17 @@
 	if c.Model == "" && len(j.service.Models) > 1 {
 		return result.New(result.BadRequest, "The body names no model.")
 	}
-	prompt := c.prompt()
+	prompt := c.rawPrompt()
 	j.promptTokens = int64(len(prompt)) / bytesPerToken
 	j.request.Model = c.Model
-	j.request.Prefix = prefixOf(prompt)
-	if limit := c.limit(); limit > 0 {
+	j.request.Prefix = prefixHash(prompt)
+	if limit := c.tokenLimit(); limit > 0 {
 		j.request.CostHint = tokenCost(j.service.Cost.WithDefaults(j.service.Kind), j.promptTokens, limit)
 	}
 	return nil
 }
 
-func prefixOf(prompt []byte) uint64 {
+func prefixHash(prompt []byte) uint64 {
 	if len(prompt) == 0 {
 		return 0
 	}
@@ -240,20 +240,20 @@
 	if length < 0 {
 		reserve = limit
 	}
-	if !x.hold.grow(reserve) {
+	if !x.allocation.grow(reserve) {
 		return nil, result.New(result.TooManyRequests, "")
 	}
 	_ = x.control.SetReadDeadline(x.h.opts.Now().Add(x.h.opts.BodyTimeout))
-	body, err := readAll(x.r.Body, length, limit)
+	body, err := readWithin(x.r.Body, length, limit)
 	_ = x.control.SetReadDeadline(time.Time{})
 	if err != nil {
 		return nil, err
 	}
-	x.hold.shrink(reserve - int64(len(body)))
+	x.allocation.shrink(reserve - int64(len(body)))
 	return body, nil
 }
 
-func readAll(from io.Reader, length, limit int64) ([]byte, error) {
+func readWithin(from io.Reader, length, limit int64) ([]byte, error) {
 	if length >= 0 {
 		body := make([]byte, length)
 		if _, err := io.ReadFull(from, body); err != nil {
--- a/transport/caller/server.go
+++ b/transport/caller/server.go
@@ -14,10 +14,10 @@
 	HeaderTimeout time.Duration
 	// IdleTimeout bounds a connection's time between two requests.
 	IdleTimeout time.Duration
-	// HeaderBytes bounds a request's head.
-	HeaderBytes int
-	// Connections bounds open connections of one listener.
-	Connections int
+	// MaxHeaderBytes bounds a request's head.
+	MaxHeaderBytes int
+	// MaxConnections bounds open connections of one listener.
+	MaxConnections int
 }
 
 const (
@@ -28,10 +28,10 @@
 	// the balancer and not the router closes first and no request meets a
 	// closing connection.
 	defaultIdleTimeout = 2 * time.Minute
-	// defaultHeaderBytes holds a token, a key and a browser's cookies.
-	defaultHeaderBytes = 32 << 10
-	// defaultConnections stays below the usual limit of open files.
-	defaultConnections = 16384
+	// defaultMaxHeaderBytes holds a token, a key and a browser's cookies.
+	defaultMaxHeaderBytes = 32 << 10
+	// defaultMaxConnections stays below the usual limit of open files.
+	defaultMaxConnections = 16384
 )
 
 func (o ServerOptions) withDefaults() ServerOptions {
@@ -41,11 +41,11 @@
 	if o.IdleTimeout == 0 {
 		o.IdleTimeout = defaultIdleTimeout
 	}
-	if o.HeaderBytes == 0 {
-		o.HeaderBytes = defaultHeaderBytes
+	if o.MaxHeaderBytes == 0 {
+		o.MaxHeaderBytes = defaultMaxHeaderBytes
 	}
-	if o.Connections == 0 {
-		o.Connections = defaultConnections
+	if o.MaxConnections == 0 {
+		o.MaxConnections = defaultMaxConnections
 	}
 	return o
 }
@@ -59,54 +59,54 @@
 		Handler:           handler,
 		ReadHeaderTimeout: opts.HeaderTimeout,
 		IdleTimeout:       opts.IdleTimeout,
-		MaxHeaderBytes:    opts.HeaderBytes,
+		MaxHeaderBytes:    opts.MaxHeaderBytes,
 	}
 }
 
-// Limit returns a listener that holds at most the options' number of open
+// LimitListener returns a listener that holds at most the options' number of open
 // connections. Further ones wait in the kernel's queue, where they cost no
 // memory here.
-func Limit(listener net.Listener, opts ServerOptions) net.Listener {
+func LimitListener(listener net.Listener, opts ServerOptions) net.Listener {
 	opts = opts.withDefaults()
 	return &limitedListener{
 		Listener: listener,
-		slots:    make(chan struct{}, opts.Connections),
+		permits:  make(chan struct{}, opts.MaxConnections),
 		closed:   make(chan struct{}),
 	}
 }
 
 type limitedListener struct {
 	net.Listener
-	slots  chan struct{}
-	closed chan struct{}
-	once   sync.Once
+	permits   chan struct{}
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // Accept waits for a free slot, then for a connection.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
-	case l.slots <- struct{}{}:
+	case l.permits <- struct{}{}:
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 	conn, err := l.Listener.Accept()
 	if err != nil {
-		<-l.slots
+		<-l.permits
 		return nil, err
 	}
-	return &limitedConn{Conn: conn, free: func() { <-l.slots }}, nil
+	return &limitedConn{Conn: conn, releasePermit: func() { <-l.permits }}, nil
 }
 
 // Close closes the listener and ends a wait for a slot.
 func (l *limitedListener) Close() error {
-	l.once.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
 type limitedConn struct {
 	net.Conn
-	free func()
-	once sync.Once
+	releasePermit func()
+	releaseOnce   sync.Once
 }
 
 // NetConn returns the connection below.
@@ -115,6 +115,6 @@
 // Close closes the connection and frees its slot once.
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.free)
+	c.releaseOnce.Do(c.releasePermit)
 	return err
 }
--- a/transport/caller/sse.go
+++ b/transport/caller/sse.go
@@ -24,14 +24,14 @@
 // eventScanner reads a stream of server-sent events as it passes through. It
 // copies only lines that are split over two reads.
 type eventScanner struct {
-	partial  []byte
-	skipping bool
+	partialLine  []byte
+	skippingLine bool
 	// tokens counts data events, of which engines send one for each token.
 	tokens int64
 	// usage is the last one seen, nil if there is none.
 	usage *usage
-	// done is set once the terminating line has been read to its end.
-	done bool
+	// doneSeen is set once the terminating line has been read to its end.
+	doneSeen bool
 }
 
 // feed reads the next bytes of the stream.
@@ -39,7 +39,7 @@
 	for len(p) > 0 {
 		end := bytes.IndexAny(p, "\r\n")
 		if end < 0 {
-			s.keep(p)
+			s.keepPartial(p)
 			return
 		}
 		s.endLine(p[:end])
@@ -47,60 +47,60 @@
 	}
 }
 
-func (s *eventScanner) keep(p []byte) {
-	if s.skipping || len(s.partial)+len(p) > maxEventBytes {
-		s.skipping = true
-		s.partial = s.partial[:0]
+func (s *eventScanner) keepPartial(p []byte) {
+	if s.skippingLine || len(s.partialLine)+len(p) > maxEventBytes {
+		s.skippingLine = true
+		s.partialLine = s.partialLine[:0]
 		return
 	}
-	s.partial = append(s.partial, p...)
+	s.partialLine = append(s.partialLine, p...)
 }
 
 func (s *eventScanner) endLine(rest []byte) {
-	if s.skipping {
-		s.skipping = false
-		s.count()
+	if s.skippingLine {
+		s.skippingLine = false
+		s.countToken()
 		return
 	}
-	if len(s.partial) == 0 {
-		s.line(rest)
+	if len(s.partialLine) == 0 {
+		s.scanLine(rest)
 		return
 	}
-	s.partial = append(s.partial, rest...)
-	s.line(s.partial)
-	s.partial = s.partial[:0]
+	s.partialLine = append(s.partialLine, rest...)
+	s.scanLine(s.partialLine)
+	s.partialLine = s.partialLine[:0]
 }
 
-func (s *eventScanner) line(line []byte) {
-	data, ok := bytes.CutPrefix(line, dataField)
+func (s *eventScanner) scanLine(scanLine []byte) {
+	data, ok := bytes.CutPrefix(scanLine, dataField)
 	if !ok {
 		return
 	}
 	data = bytes.TrimSpace(data)
 	if bytes.Equal(data, doneMarker) {
-		s.done = true
+		s.doneSeen = true
 		return
 	}
-	if u := usageOf(data); u != nil {
+	if u := lastUsage(data); u != nil {
 		s.usage = u
 		if u.CompletionTokens > s.tokens {
 			s.tokens = u.CompletionTokens
 		}
 		return
 	}
-	s.count()
+	s.countToken()
 }
 
-func (s *eventScanner) count() {
-	if !s.done {
+func (s *eventScanner) countToken() {
+	if !s.doneSeen {
 		s.tokens++
 	}
 }
 
-// usageOf decodes the last usage member in an event, an answer or the end of
+// lastUsage decodes the last usage member in an event, an answer or the end of
 // one. Within generated text the quotes of "usage" are escaped, so text never
 // passes for the member.
-func usageOf(data []byte) *usage {
+func lastUsage(data []byte) *usage {
 	at := bytes.LastIndex(data, usageMember)
 	if at < 0 {
 		return nil
--- a/transport/claims/host.go
+++ b/transport/claims/host.go
@@ -23,11 +23,11 @@
 	// out and a round between them. Then it hears "not run" and may send
 	// again, which serves it better than an open connection.
 	claimTimeout = 3 * time.Second
-	// wholeTimeout bounds the read of a whole chain, once for each shard after
+	// chainTimeout bounds the read of a whole chain, once for each shard after
 	// a start: some megabytes where a shard remembers all that it may. While
 	// a platform that does not answer is not known to be away, every caller
 	// waits in vain, hence no longer than one of them would.
-	wholeTimeout = claimTimeout
+	chainTimeout = claimTimeout
 )
 
 // Options wire a Host.
@@ -51,21 +51,21 @@
 	closed atomic.Bool
 
 	// What follows belongs to the actor.
-	machine *claims.Machine
-	waiting map[state.AttemptID]chan<- result.Result
-	wake    *time.Timer
-	flushed chan<- struct{}
-	broken  bool
+	machine   *claims.Machine
+	waiting   map[state.AttemptID]chan<- result.Result
+	tickTimer *time.Timer
+	flushDone chan<- struct{}
+	panicked  bool
 }
 
-// ask is a claim with the channel its decision goes to.
-type ask struct {
-	request claims.Request
-	answer  chan<- result.Result
+// claimMessage is a claim with the channel its decision goes to.
+type claimMessage struct {
+	request  claims.Request
+	decision chan<- result.Result
 }
 
-// flush asks to be told once nothing is pending.
-type flush struct {
+// flushMessage asks to be told once nothing is pending.
+type flushMessage struct {
 	done chan<- struct{}
 }
 
@@ -97,7 +97,7 @@
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	answer := make(chan result.Result, 1)
-	h.send(ask{request: req, answer: answer})
+	h.send(claimMessage{request: req, decision: answer})
 	select {
 	case res := <-answer:
 		return res
@@ -112,8 +112,8 @@
 	h.send(claims.RequestFinished{Request: req, Ran: ran})
 }
 
-// Resize says how many routers share the platform.
-func (h *Host) Resize(routers int) {
+// SetRouterCount says how many routers share the platform.
+func (h *Host) SetRouterCount(routers int) {
 	h.send(claims.FleetResized{Routers: routers})
 }
 
@@ -123,7 +123,7 @@
 func (h *Host) Close(ctx context.Context) error {
 	h.closed.Store(true)
 	done := make(chan struct{}, 1)
-	h.send(flush{done: done})
+	h.send(flushMessage{done: done})
 	var err error
 	select {
 	case <-done:
@@ -141,7 +141,7 @@
 
 // receive is the actor: one message at a time reaches the machine.
 func (h *Host) receive(c actor.Context) {
-	if h.broken {
+	if h.panicked {
 		h.refuse(c.Message())
 		return
 	}
@@ -153,42 +153,42 @@
 // leaves it half changed, and the supervisor would go on with it: it could grant
 // a key twice. Every claim is refused instead until the router is replaced.
 func (h *Host) failClosed() {
-	fault := recover()
-	if fault == nil {
+	cause := recover()
+	if cause == nil {
 		return
 	}
-	h.broken = true
+	h.panicked = true
 	h.stopTimer()
-	h.opts.Log.Error().Str("event", "claims-broken").Interface("panic", fault).Send()
+	h.opts.Log.Error().Str("event", "claims-broken").Interface("panic", cause).Send()
 	for attempt, answer := range h.waiting {
 		delete(h.waiting, attempt)
 		answer <- result.New(result.ClaimUnavailable, "")
 	}
-	if h.flushed != nil {
-		close(h.flushed)
+	if h.flushDone != nil {
+		close(h.flushDone)
 	}
 }
 
 // refuse answers messages once the machine is broken.
 func (h *Host) refuse(message any) {
 	switch m := message.(type) {
-	case ask:
-		m.answer <- result.New(result.ClaimUnavailable, "")
-	case flush:
+	case claimMessage:
+		m.decision <- result.New(result.ClaimUnavailable, "")
+	case flushMessage:
 		close(m.done)
 	}
 }
 
 func (h *Host) handle(message any) {
 	switch m := message.(type) {
-	case ask:
-		h.waiting[m.request.Attempt] = m.answer
+	case claimMessage:
+		h.waiting[m.request.Attempt] = m.decision
 		h.step(claims.ClaimWanted{Request: m.request})
 	case claims.ClaimWithdrawn:
 		delete(h.waiting, m.Request.Attempt)
 		h.step(m)
-	case flush:
-		h.flushed = m.done
+	case flushMessage:
+		h.flushDone = m.done
 		h.step(claims.FlushRequested{})
 	case claims.Event:
 		h.step(m)
@@ -201,40 +201,40 @@
 	for _, action := range h.machine.Step(h.opts.Now(), event) {
 		h.perform(action)
 	}
-	if h.flushed != nil && h.machine.Pending() == 0 {
-		close(h.flushed)
-		h.flushed = nil
+	if h.flushDone != nil && h.machine.Pending() == 0 {
+		close(h.flushDone)
+		h.flushDone = nil
 	}
 }
 
 func (h *Host) perform(action claims.Action) {
 	switch a := action.(type) {
 	case claims.Read:
-		h.call(readTimeout(a), func(ctx context.Context) claims.Event { return h.read(ctx, a) })
+		h.startCall(readTimeout(a), func(ctx context.Context) claims.Event { return h.read(ctx, a) })
 	case claims.Write:
-		h.call(callTimeout, func(ctx context.Context) claims.Event { return h.write(ctx, a) })
+		h.startCall(callTimeout, func(ctx context.Context) claims.Event { return h.write(ctx, a) })
 	case claims.Decide:
-		h.answer(a)
+		h.deliverDecision(a)
 	case claims.Wake:
 		h.stopTimer()
-		h.wake = time.AfterFunc(a.At.Sub(h.opts.Now()), func() { h.send(claims.Tick{}) })
+		h.tickTimer = time.AfterFunc(a.At.Sub(h.opts.Now()), func() { h.send(claims.Tick{}) })
 	}
 }
 
 func readTimeout(a claims.Read) time.Duration {
 	if a.WholeChain {
-		return wholeTimeout
+		return chainTimeout
 	}
 	return callTimeout
 }
 
 func (h *Host) stopTimer() {
-	if h.wake != nil {
-		h.wake.Stop()
+	if h.tickTimer != nil {
+		h.tickTimer.Stop()
 	}
 }
 
-func (h *Host) answer(d claims.Decide) {
+func (h *Host) deliverDecision(d claims.Decide) {
 	answer, ok := h.waiting[d.Attempt]
 	if !ok {
 		return
@@ -243,13 +243,13 @@
 	answer <- d.Result
 }
 
-// call runs one call to the platform beside the actor.
-func (h *Host) call(timeout time.Duration, do func(context.Context) claims.Event) {
+// startCall runs one call to the platform beside the actor.
+func (h *Host) startCall(timeout time.Duration, perform func(context.Context) claims.Event) {
 	h.calls.Add(1)
 	go func() {
 		defer h.calls.Done()
 		ctx, cancel := context.WithTimeout(h.ctx, timeout)
 		defer cancel()
-		h.send(do(ctx))
+		h.send(perform(ctx))
 	}()
 }
--- a/transport/claims/host_test.go
+++ b/transport/claims/host_test.go
@@ -19,21 +19,21 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// memory is an object store in memory. fault, if set, decides how a write
+// memoryStore is an object store in memory. fault, if set, decides how a write
 // ends; it may let it take effect first.
-type memory struct {
+type memoryStore struct {
 	objectstore.Store
-	mu      sync.Mutex
-	objects map[string]objectstore.Object
-	version objectstore.Version
-	fault   func(apply func()) error
-	away    bool
+	mu          sync.Mutex
+	objects     map[string]objectstore.Object
+	version     objectstore.Version
+	putFault    func(apply func()) error
+	unavailable bool
 }
 
-func (m *memory) Get(ctx context.Context, key string) (objectstore.Object, error) {
+func (m *memoryStore) Get(ctx context.Context, key string) (objectstore.Object, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
+	if m.unavailable {
 		return objectstore.Object{}, objectstore.ErrUnavailable
 	}
 	object, ok := m.objects[key]
@@ -43,25 +43,25 @@
 	return object, ctx.Err()
 }
 
-func (m *memory) List(ctx context.Context, prefix string) ([]objectstore.Object, objectstore.Version, error) {
+func (m *memoryStore) List(ctx context.Context, prefix string) ([]objectstore.Object, objectstore.Version, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
+	if m.unavailable {
 		return nil, 0, objectstore.ErrUnavailable
 	}
-	var under []objectstore.Object
+	var matching []objectstore.Object
 	for _, key := range slices.Sorted(maps.Keys(m.objects)) {
 		if strings.HasPrefix(key, prefix) {
-			under = append(under, m.objects[key])
+			matching = append(matching, m.objects[key])
 		}
 	}
-	return under, m.version, ctx.Err()
+	return matching, m.version, ctx.Err()
 }
 
-func (m *memory) Put(_ context.Context, key string, value []byte, expected objectstore.Version) (objectstore.Version, error) {
+func (m *memoryStore) Put(_ context.Context, key string, value []byte, expected objectstore.Version) (objectstore.Version, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.away {
+	if m.unavailable {
 		return 0, objectstore.ErrUnavailable
 	}
 	if current := m.objects[key].Version; current != expected {
@@ -71,22 +71,22 @@
 		m.version++
 		m.objects[key] = objectstore.Object{Key: key, Version: m.version, Value: value}
 	}
-	if fault := m.fault; fault != nil {
-		m.fault = nil
+	if fault := m.putFault; fault != nil {
+		m.putFault = nil
 		return 0, fault(apply)
 	}
 	apply()
 	return m.version, nil
 }
 
-func start(t *testing.T, store *memory, router state.Router) *Host {
+func startHost(t *testing.T, store *memoryStore, router state.Router) *Host {
 	t.Helper()
 	system := actor.NewActorSystem()
 	t.Cleanup(system.Shutdown)
 	return NewHost(Options{Router: router, Incarnation: 1, Store: store, System: system, Log: zerolog.Nop()})
 }
 
-func request(router state.Router, key string, sequence uint64) claims.Request {
+func newRequest(router state.Router, key string, sequence uint64) claims.Request {
 	return claims.Request{
 		Workspace: "lan", Service: "bookings", Key: key,
 		Attempt: state.AttemptID{Router: router, Incarnation: 1, Sequence: sequence},
@@ -95,34 +95,34 @@
 
 func TestHostClaimsOverTheStore(t *testing.T) {
 	ctx := context.Background()
-	store := &memory{objects: map[string]objectstore.Object{}}
-	a, b := start(t, store, "a"), start(t, store, "b")
-	first := request("a", "k", 1)
+	store := &memoryStore{objects: map[string]objectstore.Object{}}
+	a, b := startHost(t, store, "a"), startHost(t, store, "b")
+	first := newRequest("a", "k", 1)
 	require.Equal(t, result.OK, a.Claim(ctx, first).Code)
-	require.Equal(t, result.KeyInProgress, b.Claim(ctx, request("b", "k", 1)).Code)
+	require.Equal(t, result.KeyInProgress, b.Claim(ctx, newRequest("b", "k", 1)).Code)
 	a.Complete(first, result.RanYes)
 	require.NoError(t, a.Close(ctx), "closing writes the completion")
-	require.Equal(t, result.Draining, a.Claim(ctx, request("a", "k2", 2)).Code)
-	require.Equal(t, result.KeyCompleted, b.Claim(ctx, request("b", "k", 2)).Code)
+	require.Equal(t, result.Draining, a.Claim(ctx, newRequest("a", "k2", 2)).Code)
+	require.Equal(t, result.KeyCompleted, b.Claim(ctx, newRequest("b", "k", 2)).Code)
 	require.NoError(t, b.Close(ctx))
 }
 
 // TestHostSettlesLostAnswers: a booking is refused though its claim landed.
 // The platform's answer is lost after the write took effect, or the write
 // itself is.
-func TestHostSettlesLostAnswers(t *testing.T) {
-	for name, lands := range map[string]bool{"landed": true, "lost": false} {
+func TestHostResolvesLostAnswers(t *testing.T) {
+	for name, takesEffect := range map[string]bool{"landed": true, "lost": false} {
 		t.Run(name, func(t *testing.T) {
-			store := &memory{objects: map[string]objectstore.Object{}}
-			store.fault = func(apply func()) error {
-				if lands {
+			store := &memoryStore{objects: map[string]objectstore.Object{}}
+			store.putFault = func(apply func()) error {
+				if takesEffect {
 					apply()
 				}
 				return objectstore.ErrUnknownOutcome
 			}
-			h := start(t, store, "a")
-			require.Equal(t, result.OK, h.Claim(context.Background(), request("a", "k", 1)).Code)
-			require.Equal(t, result.KeyInProgress, h.Claim(context.Background(), request("a", "k", 2)).Code)
+			h := startHost(t, store, "a")
+			require.Equal(t, result.OK, h.Claim(context.Background(), newRequest("a", "k", 1)).Code)
+			require.Equal(t, result.KeyInProgress, h.Claim(context.Background(), newRequest("a", "k", 2)).Code)
 			require.NoError(t, h.Close(context.Background()))
 		})
 	}
@@ -130,11 +130,11 @@
 
 // TestHostRefusesWhileAway: a guardian waits for a time-out to hear that
 // nothing can be booked now.
-func TestHostRefusesWhileAway(t *testing.T) {
-	store := &memory{objects: map[string]objectstore.Object{}, away: true}
-	h := start(t, store, "a")
+func TestHostRefusesWhilePlatformUnavailable(t *testing.T) {
+	store := &memoryStore{objects: map[string]objectstore.Object{}, unavailable: true}
+	h := startHost(t, store, "a")
 	for i := range uint64(3) {
-		res := h.Claim(context.Background(), request("a", "k", i))
+		res := h.Claim(context.Background(), newRequest("a", "k", i))
 		require.Equal(t, result.ClaimUnavailable, res.Code)
 		require.Equal(t, result.RanNo, res.Ran)
 	}
@@ -143,33 +143,33 @@
 
 // TestHostWithdrawsWithItsCaller: a resend hears "in progress" of a claim that
 // nobody holds. The caller leaves while its claim is being written.
-func TestHostWithdrawsWithItsCaller(t *testing.T) {
-	ctx, leave := context.WithCancel(context.Background())
+func TestHostWithdrawsClaimWhenCallerLeaves(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
 	answered := make(chan struct{})
-	store := &memory{objects: map[string]objectstore.Object{}}
-	store.fault = func(apply func()) error {
+	store := &memoryStore{objects: map[string]objectstore.Object{}}
+	store.putFault = func(apply func()) error {
 		apply()
-		leave()
+		cancel()
 		<-answered
 		return objectstore.ErrUnknownOutcome
 	}
-	h := start(t, store, "a")
-	require.Equal(t, result.ClaimUnavailable, h.Claim(ctx, request("a", "k", 1)).Code)
+	h := startHost(t, store, "a")
+	require.Equal(t, result.ClaimUnavailable, h.Claim(ctx, newRequest("a", "k", 1)).Code)
 	close(answered)
-	require.Equal(t, result.OK, h.Claim(context.Background(), request("a", "k", 2)).Code)
+	require.Equal(t, result.OK, h.Claim(context.Background(), newRequest("a", "k", 2)).Code)
 	require.NoError(t, h.Close(context.Background()))
 }
 
 // TestForeignObjectRefusesItsShard: one stray object among the segments of a
 // shard stops every booking. Only those of its shard are refused.
 func TestForeignObjectRefusesItsShard(t *testing.T) {
-	first, second := request("a", "k", 1), request("a", "k2", 2)
+	first, second := newRequest("a", "k", 1), newRequest("a", "k2", 2)
 	shard := claims.ShardOf(first.Digest())
 	require.NotEqual(t, shard, claims.ShardOf(second.Digest()))
 	for _, name := range []string{"01", "x", "1/2"} {
 		key := shardPrefix(shard) + name
-		store := &memory{objects: map[string]objectstore.Object{key: {Key: key, Version: 1}}, version: 1}
-		h := start(t, store, "a")
+		store := &memoryStore{objects: map[string]objectstore.Object{key: {Key: key, Version: 1}}, version: 1}
+		h := startHost(t, store, "a")
 		require.Equal(t, result.ClaimUnavailable, h.Claim(context.Background(), first).Code)
 		require.Equal(t, result.OK, h.Claim(context.Background(), second).Code)
 		require.NoError(t, h.Close(context.Background()))
@@ -179,9 +179,9 @@
 // TestHostFailsClosed: two resends of a booking run, because the router went on
 // after a fault in the middle of a step.
 func TestHostFailsClosed(t *testing.T) {
-	h := start(t, &memory{objects: map[string]objectstore.Object{}}, "a")
+	h := startHost(t, &memoryStore{objects: map[string]objectstore.Object{}}, "a")
 	h.send(claims.ReadDone{Shard: claims.Shards})
-	res := h.Claim(context.Background(), request("a", "k", 1))
+	res := h.Claim(context.Background(), newRequest("a", "k", 1))
 	require.Equal(t, result.ClaimUnavailable, res.Code)
 	require.Equal(t, result.RanNo, res.Ran)
 	require.NoError(t, h.Close(context.Background()))
@@ -198,16 +198,16 @@
 // cut off. Keys of a router's own still run once, whatever the platform does.
 func TestMintedKeysNeedNoPlatform(t *testing.T) {
 	ctx := context.Background()
-	h := start(t, &memory{away: true}, "a")
+	h := startHost(t, &memoryStore{unavailable: true}, "a")
 	ledger, err := NewLedger(h, "pudahuel")
 	require.NoError(t, err)
 	key, _, res := ledger.Issue("lan")
 	require.Equal(t, result.OK, res.Code)
-	first := request("a", key, 1)
+	first := newRequest("a", key, 1)
 	require.Equal(t, result.OK, ledger.Claim(ctx, first).Code)
 	ledger.Complete(first, result.RanYes)
-	require.Equal(t, result.KeyCompleted, ledger.Claim(ctx, request("a", key, 2)).Code)
-	require.Equal(t, result.ClaimUnavailable, ledger.Claim(ctx, request("a", "own", 3)).Code)
+	require.Equal(t, result.KeyCompleted, ledger.Claim(ctx, newRequest("a", key, 2)).Code)
+	require.Equal(t, result.ClaimUnavailable, ledger.Claim(ctx, newRequest("a", "own", 3)).Code)
 	ledger.StopIssuing()
 	_, _, res = ledger.Issue("lan")
 	require.Equal(t, result.Draining, res.Code)
--- a/transport/claims/ledger.go
+++ b/transport/claims/ledger.go
@@ -22,9 +22,9 @@
 	host *Host
 	now  func() time.Time
 
-	mu     sync.Mutex
-	mint   *minted.Mint
-	closed bool
+	mu           sync.Mutex
+	mint         *minted.Mint
+	issueStopped bool
 }
 
 // NewLedger returns a ledger over a host, with a secret of its own.
@@ -45,18 +45,18 @@
 }
 
 // Issue returns a new key of a workspace and when it expires.
-func (l *Ledger) Issue(ws state.Workspace) (key string, until time.Time, res result.Result) {
+func (l *Ledger) Issue(ws state.Workspace) (key string, expires time.Time, res result.Result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.closed {
+	if l.issueStopped {
 		// Nobody runs the key once this router is gone.
 		return "", time.Time{}, result.New(result.Draining, "")
 	}
-	issued, until, res := l.mint.Issue(l.now(), ws)
+	issued, expires, res := l.mint.Issue(l.now(), ws)
 	if res.Code != result.OK {
 		return "", time.Time{}, res
 	}
-	return issued.String(), until, res
+	return issued.String(), expires, res
 }
 
 // Claim asks for the right to run a request.
@@ -80,15 +80,15 @@
 	l.mint.Complete(req, ran)
 }
 
-// Resize says how many routers share the platform.
-func (l *Ledger) Resize(routers int) { l.host.Resize(routers) }
+// SetRouterCount says how many routers share the platform.
+func (l *Ledger) SetRouterCount(routers int) { l.host.SetRouterCount(routers) }
 
 // StopIssuing ends the issue of keys at the start of a drain. Those issued are
 // run as long as the router serves.
 func (l *Ledger) StopIssuing() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.closed = true
+	l.issueStopped = true
 }
 
 // Close closes the host.
--- a/transport/claims/store.go
+++ b/transport/claims/store.go
@@ -14,9 +14,9 @@
 // delete their segments: a deleted one forgets its claims.
 const keyPrefix = "claims/"
 
-// foreignSlot stands for the slot of an object that is no segment. It may hold
+// foreignObjectSlot stands for the slot of an object that is no segment. It may hold
 // claims, so the machine refuses those of its shard.
-const foreignSlot = -1
+const foreignObjectSlot = -1
 
 func shardPrefix(shard int) string { return keyPrefix + strconv.Itoa(shard) + "/" }
 
@@ -26,7 +26,7 @@
 func slotOf(shard int, key string) int {
 	slot, err := strconv.Atoi(strings.TrimPrefix(key, shardPrefix(shard)))
 	if err != nil || key != segmentKey(shard, slot) {
-		return foreignSlot
+		return foreignObjectSlot
 	}
 	return slot
 }
--- a/transport/daemon/admin.go
+++ b/transport/daemon/admin.go
@@ -23,14 +23,14 @@
 	mux.HandleFunc("GET /metrics", d.serveMetrics)
 	mux.HandleFunc("GET /status", d.serveStatus)
 	mux.Handle(admin.Prefix+"/", admin.New(admin.Options{
-		Source:     d.source,
-		Writer:     d.writer,
-		Status:     adminStatus{d},
-		Drain:      d,
-		Peers:      adminStatus{d},
-		FleetToken: d.options.FleetToken,
-		Bootstrap:  d.bootstrapDigests(),
-		Log:        d.log,
+		Source:           d.source,
+		Writer:           d.writer,
+		Status:           adminStatus{d},
+		Drain:            d,
+		Peers:            adminStatus{d},
+		FleetToken:       d.options.FleetToken,
+		BootstrapDigests: d.bootstrapDigests(),
+		Log:              d.log,
 	}))
 	return mux
 }
@@ -56,13 +56,13 @@
 
 func (d *Daemon) serveMetrics(w http.ResponseWriter, r *http.Request) {
 	stats := d.mesh.Stats()
-	d.metrics.Gauge("control_bytes_in", float64(stats.Total.BytesIn))
-	d.metrics.Gauge("control_bytes_out", float64(stats.Total.BytesOut))
-	d.metrics.Gauge("control_messages_in", float64(stats.Total.MessagesIn))
-	d.metrics.Gauge("control_messages_out", float64(stats.Total.MessagesOut))
+	d.metrics.SetGauge("control_bytes_in", float64(stats.Total.BytesIn))
+	d.metrics.SetGauge("control_bytes_out", float64(stats.Total.BytesOut))
+	d.metrics.SetGauge("control_messages_in", float64(stats.Total.MessagesIn))
+	d.metrics.SetGauge("control_messages_out", float64(stats.Total.MessagesOut))
 	for kind, traffic := range d.link.byKind() {
-		d.metrics.Gauge("control_sent_bytes_"+kind, float64(traffic.Bytes))
-		d.metrics.Gauge("control_sent_messages_"+kind, float64(traffic.Messages))
+		d.metrics.SetGauge("control_sent_bytes_"+kind, float64(traffic.Bytes))
+		d.metrics.SetGauge("control_sent_messages_"+kind, float64(traffic.Messages))
 	}
 	d.metrics.Handler().ServeHTTP(w, r)
 }
@@ -147,11 +147,11 @@
 		Ready:       d.source.Ready(),
 		Draining:    s.Draining,
 	}
-	sites := d.upstreamSites()
+	dataCentres := d.upstreamDataCentres()
 	for _, u := range s.Owned {
-		shown := upstreamStatus(s.Router, u)
-		shown.DataCentre = sites[u.Name]
-		status.Upstreams = append(status.Upstreams, shown)
+		entry := upstreamStatus(s.Router, u)
+		entry.DataCentre = dataCentres[u.Name]
+		status.Upstreams = append(status.Upstreams, entry)
 	}
 	for _, svc := range s.Services {
 		status.Services = append(status.Services, admin.ServiceStatus{Service: svc.Name, Gap: fairnessGap(svc)})
@@ -160,19 +160,19 @@
 	return status
 }
 
-// upstreamSites tells where each upstream stands, by the settings in force.
-func (d *Daemon) upstreamSites() map[state.Upstream]state.DataCentre {
-	sites := make(map[state.Upstream]state.DataCentre)
+// upstreamDataCentres tells where each upstream stands, by the settings in force.
+func (d *Daemon) upstreamDataCentres() map[state.Upstream]state.DataCentre {
+	dataCentres := make(map[state.Upstream]state.DataCentre)
 	view := d.source.View()
 	if view == nil {
-		return sites
+		return dataCentres
 	}
 	for _, service := range view.Settings().Services {
 		for _, u := range service.Upstreams {
-			sites[u.Name] = u.DataCentre
+			dataCentres[u.Name] = u.DataCentre
 		}
 	}
-	return sites
+	return dataCentres
 }
 
 func upstreamStatus(owner state.Router, u scheduler.UpstreamStatus) admin.UpstreamStatus {
@@ -203,37 +203,37 @@
 // fairnessGap is the widest difference of virtual time between workspaces
 // that wait here, as service at equal shares.
 func fairnessGap(svc scheduler.ServiceStatus) state.Cost {
-	var least, most float64
+	var minVirtual, maxVirtual float64
 	waiting := 0
 	for _, w := range svc.Workspaces {
 		if w.Waiting == 0 {
 			continue
 		}
 		if waiting == 0 {
-			least, most = w.Virtual, w.Virtual
+			minVirtual, maxVirtual = w.Virtual, w.Virtual
 		}
-		least = min(least, w.Virtual)
-		most = max(most, w.Virtual)
+		minVirtual = min(minVirtual, w.Virtual)
+		maxVirtual = max(maxVirtual, w.Virtual)
 		waiting++
 	}
 	if waiting == 0 {
 		return 0
 	}
-	return state.Cost((most - least) / float64(len(svc.Workspaces)))
+	return state.Cost((maxVirtual - minVirtual) / float64(len(svc.Workspaces)))
 }
 
 // AdminPeers returns the other live routers that said where they administer.
 func (a adminStatus) AdminPeers() []admin.Peer {
-	return a.daemon.adverts.of(a.daemon.peers.others(a.daemon.options.router()))
+	return a.daemon.adminURLs.forLive(a.daemon.peers.others(a.daemon.options.router()))
 }
 
-// adverts are the administration URLs that peers announced.
-type adverts struct {
+// adminURLs are the administration URLs that peers announced.
+type adminURLs struct {
 	mu   sync.Mutex
 	urls map[state.Router]string
 }
 
-func (a *adverts) set(router state.Router, url string) {
+func (a *adminURLs) set(router state.Router, url string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.urls == nil {
@@ -242,9 +242,9 @@
 	a.urls[router] = url
 }
 
-// of returns the adverts of live routers and forgets the others, so that a
+// forLive returns the adverts of live routers and forgets the others, so that a
 // fleet whose VMs are replaced daily doesn't keep every name it ever had.
-func (a *adverts) of(live []state.Router) []admin.Peer {
+func (a *adminURLs) forLive(live []state.Router) []admin.Peer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	maps.DeleteFunc(a.urls, func(router state.Router, _ string) bool {
@@ -259,7 +259,7 @@
 	return peers
 }
 
-func (d *Daemon) sendAdvert(to state.Router) {
+func (d *Daemon) sendAdminURL(to state.Router) {
 	advert := &peerpb.Advert{AdminUrl: d.adminURL()}
 	d.link.Send(to, &peerpb.Envelope{Body: &peerpb.Envelope_Advert{Advert: advert}})
 }
@@ -267,7 +267,7 @@
 func (d *Daemon) adminURL() string {
 	address := d.options.AdvertiseAdmin
 	if address == "" {
-		address = d.admin.Addr().String()
+		address = d.adminListener.Addr().String()
 	}
 	if d.options.TLSCert != "" {
 		return "https://" + address
--- a/transport/daemon/callers.go
+++ b/transport/daemon/callers.go
@@ -65,22 +65,22 @@
 	metrics *metrics.Metrics
 }
 
-// Finished records one request.
-func (o observer) Finished(rec caller.Record) {
-	series := o.metrics.For(rec.Workspace, rec.Class)
-	if rec.Waited > 0 {
-		series.Dispatched(rec.Waited)
+// ObserveRequest records one request.
+func (o observer) ObserveRequest(rec caller.Record) {
+	series := o.metrics.SeriesFor(rec.Workspace, rec.Class)
+	if rec.QueueWait > 0 {
+		series.RecordDispatch(rec.QueueWait)
 	}
-	if rec.Head > 0 {
-		series.FirstByte(rec.Head)
+	if rec.HeadTime > 0 {
+		series.RecordFirstByte(rec.HeadTime)
 	}
-	series.Finished(rec.Result, rec.Total, rec.Cost)
-	if rec.Crossed > 0 {
-		o.metrics.Count("crossed_answers", int64(rec.Crossed))
+	series.RecordResult(rec.Result, rec.TotalTime, rec.Cost)
+	if rec.CrossedAnswers > 0 {
+		o.metrics.AddCount("crossed_answers", int64(rec.CrossedAnswers))
 	}
 }
 
-// Between records the time between two tokens of a stream.
-func (o observer) Between(ws state.Workspace, class string, gap time.Duration) {
-	o.metrics.For(ws, class).Between(gap)
+// ObserveEventGap records the time between two tokens of a stream.
+func (o observer) ObserveEventGap(ws state.Workspace, class string, gap time.Duration) {
+	o.metrics.SeriesFor(ws, class).RecordEventGap(gap)
 }
--- a/transport/daemon/daemon.go
+++ b/transport/daemon/daemon.go
@@ -38,41 +38,41 @@
 	follower  *settings.Follower
 	scheduler *scheduler.Scheduler
 	// stepper is the scheduler, recorded or not.
-	stepper   host.Stepper
-	host      *host.Host
-	mesh      *peer.Mesh
-	poller    *upstream.Poller
-	polls     polls
-	orders    *orderManager
-	metrics   *metrics.Metrics
-	peers     peerSet
-	adverts   adverts
-	link      *countingLink
-	announced announced
-	claims    *claims.Ledger
-	writer    *settings.Writer
-	started   time.Time
-	trace     traceFile
+	stepper           host.Stepper
+	host              *host.Host
+	mesh              *peer.Mesh
+	poller            *upstream.Poller
+	pollTargets       pollTargets
+	orders            *orderManager
+	metrics           *metrics.Metrics
+	peers             peerSet
+	adminURLs         adminURLs
+	link              *countingLink
+	announcedVersions announcedVersions
+	claims            *claims.Ledger
+	writer            *settings.Writer
+	started           time.Time
+	trace             traceFile
 
-	callers listener
-	admin   listener
+	callerListener listener
+	adminListener  listener
 
-	stop     context.CancelFunc
-	drain    chan struct{}
-	draining atomic.Bool
-	drained  chan struct{}
+	stopServing    context.CancelFunc
+	drainRequested chan struct{}
+	draining       atomic.Bool
+	drained        chan struct{}
 }
 
 // New opens the listeners and wires the router. Nothing is served before Run.
 func New(options Options, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{
-		options:     options,
-		log:         log.With().Str("router", options.Router).Logger(),
-		incarnation: state.Incarnation(time.Now().UnixNano()),
-		metrics:     metrics.New(options.router(), options.dataCentre()),
-		drain:       make(chan struct{}, 1),
-		drained:     make(chan struct{}),
-		started:     time.Now(),
+		options:        options,
+		log:            log.With().Str("router", options.Router).Logger(),
+		incarnation:    state.Incarnation(time.Now().UnixNano()),
+		metrics:        metrics.New(options.router(), options.dataCentre()),
+		drainRequested: make(chan struct{}, 1),
+		drained:        make(chan struct{}),
+		started:        time.Now(),
 	}
 	d.openSettings()
 	for _, open := range []func() error{d.openScheduler, d.listen, d.openHost, d.openClaims} {
@@ -81,7 +81,7 @@
 			return nil, err
 		}
 	}
-	d.serve()
+	d.buildServers()
 	return d, nil
 }
 
@@ -110,14 +110,14 @@
 func (d *Daemon) openHost() error {
 	d.link = &countingLink{mesh: d.mesh, peers: func() int { return len(d.peers.others(d.options.router())) }}
 	d.openOrders()
-	d.poller = upstream.NewPoller(upstream.PollerOptions{Seed: uint64(d.incarnation), Log: d.log}, d.onPolled)
-	d.polls.set = d.poller.SetTargets
+	d.poller = upstream.NewPoller(upstream.PollerOptions{Seed: uint64(d.incarnation), Log: d.log}, d.onLoadEvent)
+	d.pollTargets.setTargets = d.poller.SetTargets
 	d.host = host.New(host.Options{
-		Scheduler: d.stepper,
-		Peers:     d.link,
-		Poll:      d.onOwned,
-		OnDrained: func() { close(d.drained) },
-		OnPanic:   d.failStop,
+		Scheduler:          d.stepper,
+		Peers:              d.link,
+		SetPolledUpstreams: d.onOwned,
+		OnDrained:          func() { close(d.drained) },
+		OnPanic:            d.failStop,
 	})
 	return nil
 }
@@ -171,20 +171,20 @@
 	if err != nil {
 		return fmt.Errorf("peer listener: %w", err)
 	}
-	if d.callers.Listener, err = net.Listen("tcp", d.options.Listen); err != nil {
+	if d.callerListener.Listener, err = net.Listen("tcp", d.options.Listen); err != nil {
 		return fmt.Errorf("caller listener: %w", err)
 	}
-	if d.admin.Listener, err = net.Listen("tcp", d.options.AdminListen); err != nil {
+	if d.adminListener.Listener, err = net.Listen("tcp", d.options.AdminListen); err != nil {
 		return fmt.Errorf("administration listener: %w", err)
 	}
 	return nil
 }
 
-// serve builds the two HTTP servers.
-func (d *Daemon) serve() {
+// buildServers builds the two HTTP servers.
+func (d *Daemon) buildServers() {
 	limits := caller.ServerOptions{
-		HeaderBytes: d.options.MaxHeaderBytes,
-		Connections: d.options.MaxConnections,
+		MaxHeaderBytes: d.options.MaxHeaderBytes,
+		MaxConnections: d.options.MaxConnections,
 	}
 	handler := caller.NewHandler(caller.Options{
 		Router:      d.options.router(),
@@ -195,7 +195,7 @@
 		Client:      upstream.NewClient(upstream.ClientOptions{}),
 		Observer:    observer{metrics: d.metrics},
 		Log:         d.log,
-		Requests:    d.options.MaxQueued,
+		MaxRequests: d.options.MaxQueued,
 		BodyBudget:  d.options.MaxQueuedBytes,
 	})
 	keys := &caller.KeysHandler{
@@ -204,9 +204,9 @@
 		Settings:   callerSettings{source: d.source},
 		Issuer:     d.claims,
 	}
-	d.callers.serve(d.parting(withKeys(keys, handler)), limits)
-	d.callers.Listener = caller.Limit(d.callers.Listener, limits)
-	d.admin.serve(d.parting(d.adminHandler()), caller.ServerOptions{})
+	d.callerListener.buildServer(d.closeWhileDraining(withKeys(keys, handler)), limits)
+	d.callerListener.Listener = caller.LimitListener(d.callerListener.Listener, limits)
+	d.adminListener.buildServer(d.closeWhileDraining(d.adminHandler()), caller.ServerOptions{})
 }
 
 // Addresses are the sockets a router listens on.
@@ -220,8 +220,8 @@
 // chose where a setting left them open.
 func (d *Daemon) Addresses() Addresses {
 	return Addresses{
-		Callers: d.callers.Addr().String(),
-		Admin:   d.admin.Addr().String(),
+		Callers: d.callerListener.Addr().String(),
+		Admin:   d.adminListener.Addr().String(),
 		Peers:   d.mesh.Addr(),
 	}
 }
@@ -230,10 +230,10 @@
 // finishes what was admitted. It returns the first error of a server.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.close()
-	work, stop := context.WithCancel(context.Background())
+	workCtx, stop := context.WithCancel(context.Background())
 	defer stop()
-	d.stop = stop
-	group, work := errgroup.WithContext(work)
+	d.stopServing = stop
+	group, workCtx := errgroup.WithContext(workCtx)
 	addresses := d.Addresses()
 	d.log.Info().
 		Str("callers", addresses.Callers).
@@ -242,13 +242,13 @@
 		Str("data_centre", d.options.DataCentre).
 		Uint64("incarnation", uint64(d.incarnation)).
 		Msg("started")
-	group.Go(func() error { return d.mesh.Run(work) })
-	group.Go(func() error { d.follower.Run(work); return nil })
-	group.Go(func() error { d.followVMs(work); return nil })
-	group.Go(func() error { d.tick(work); return nil })
-	group.Go(func() error { return d.callers.run(d.options) })
-	group.Go(func() error { return d.admin.run(d.options) })
-	group.Go(func() error { return d.awaitStop(ctx, work) })
+	group.Go(func() error { return d.mesh.Run(workCtx) })
+	group.Go(func() error { d.follower.Run(workCtx); return nil })
+	group.Go(func() error { d.followVMs(workCtx); return nil })
+	group.Go(func() error { d.tick(workCtx); return nil })
+	group.Go(func() error { return d.callerListener.run(d.options) })
+	group.Go(func() error { return d.adminListener.run(d.options) })
+	group.Go(func() error { return d.awaitStop(ctx, workCtx) })
 	err := group.Wait()
 	d.log.Info().Err(err).Msg("stopped")
 	return err
@@ -257,7 +257,7 @@
 // Drain begins a planned stop, as a termination signal does.
 func (d *Daemon) Drain() {
 	select {
-	case d.drain <- struct{}{}:
+	case d.drainRequested <- struct{}{}:
 	default:
 	}
 }
@@ -265,12 +265,12 @@
 // awaitStop turns a stop into a drain: it is announced, admission ends, what
 // was admitted is finished, and only then the listeners close, the callers'
 // first.
-func (d *Daemon) awaitStop(ctx, work context.Context) error {
-	defer d.stop()
+func (d *Daemon) awaitStop(ctx, workCtx context.Context) error {
+	defer d.stopServing()
 	select {
 	case <-ctx.Done():
-	case <-d.drain:
-	case <-work.Done():
+	case <-d.drainRequested:
+	case <-workCtx.Done():
 		return nil
 	}
 	d.log.Info().Msg("draining")
@@ -278,17 +278,17 @@
 	d.mesh.SetDraining(true)
 	d.claims.StopIssuing()
 	d.post(scheduler.Drain{})
-	finish, answers, cancel := d.drainContexts()
+	finishCtx, answersCtx, cancel := d.drainContexts()
 	defer cancel()
 	select {
 	case <-d.drained:
-	case <-finish.Done():
+	case <-finishCtx.Done():
 		d.log.Warn().Msg("drain timed out")
 	}
-	if err := d.orders.drain(finish); err != nil {
+	if err := d.orders.drain(finishCtx); err != nil {
 		d.log.Warn().Err(err).Msg("drain timed out")
 	}
-	err := errors.Join(d.callers.drain(finish, answers), d.admin.drain(finish, answers))
+	err := errors.Join(d.callerListener.drain(finishCtx, answersCtx), d.adminListener.drain(finishCtx, answersCtx))
 	d.closeClaims()
 	return err
 }
@@ -308,16 +308,16 @@
 
 // drainContexts end when requests may no longer run, and when what has not ended
 // by then may no longer be answered.
-func (d *Daemon) drainContexts() (finish, answers context.Context, cancel context.CancelFunc) {
+func (d *Daemon) drainContexts() (finishCtx, answersCtx context.Context, cancel context.CancelFunc) {
 	if d.options.DrainTimeout == 0 {
 		unlimited, cancel := context.WithCancel(context.Background())
 		return unlimited, unlimited, cancel
 	}
 	now := time.Now()
-	course := drain.Begin(now, d.options.DrainTimeout)
-	answers, cancelAnswers := context.WithTimeout(context.Background(), course.AnswerTimeLeft(now))
-	finish, cancelFinish := context.WithTimeout(answers, course.RunTimeLeft(now))
-	return finish, answers, func() {
+	plan := drain.Begin(now, d.options.DrainTimeout)
+	answersCtx, cancelAnswers := context.WithTimeout(context.Background(), plan.AnswerTimeLeft(now))
+	finishCtx, cancelFinish := context.WithTimeout(answersCtx, plan.RunTimeLeft(now))
+	return finishCtx, answersCtx, func() {
 		cancelFinish()
 		cancelAnswers()
 	}
@@ -339,8 +339,8 @@
 func (d *Daemon) post(ev scheduler.Event) { d.host.Post(ev) }
 
 func (d *Daemon) onSettings(view *config.View) {
-	d.trace.noteVersions(d.self(), d.source.Versions())
-	d.polls.follow(view.Settings())
+	d.trace.recordVersions(d.self(), d.source.Versions())
+	d.pollTargets.setSettings(view.Settings())
 	d.post(scheduler.Configured{Settings: view.Settings()})
 	d.orders.onSettings()
 	d.announceSettings()
@@ -367,7 +367,7 @@
 	if d.orders != nil {
 		d.orders.close()
 	}
-	for _, l := range []listener{d.callers, d.admin} {
+	for _, l := range []listener{d.callerListener, d.adminListener} {
 		if l.server != nil {
 			_ = l.server.Close()
 		}
--- a/transport/daemon/gossip.go
+++ b/transport/daemon/gossip.go
@@ -13,10 +13,10 @@
 	"github.com/figstile/figstile/transport/peer"
 )
 
-// vmInterval is how often the platform's VM list is read. The list lags by
+// vmListInterval is how often the platform's VM list is read. The list lags by
 // itself, so reading it more often than every few seconds finds nothing more,
 // and each read counts against the platform's rate.
-const vmInterval = 2 * time.Second
+const vmListInterval = 2 * time.Second
 
 // roleRouter marks routers on the platform's VM list; any other role is an
 // upstream of that name.
@@ -46,7 +46,7 @@
 	defer d.peers.mu.Unlock()
 	d.peers.peers = slices.Clone(peers)
 	d.post(scheduler.PeersChanged{Peers: peers})
-	d.claims.Resize(len(peers))
+	d.claims.SetRouterCount(len(peers))
 }
 
 // onSession starts again from full state with a peer. Messages may have been
@@ -56,13 +56,13 @@
 func (d *Daemon) onSession(p peer.Session) {
 	d.peers.mu.Lock()
 	defer d.peers.mu.Unlock()
-	without := slices.DeleteFunc(slices.Clone(d.peers.peers), func(known scheduler.Peer) bool {
+	remaining := slices.DeleteFunc(slices.Clone(d.peers.peers), func(known scheduler.Peer) bool {
 		return known.Router == p.Router
 	})
-	d.post(scheduler.PeersChanged{Peers: without})
+	d.post(scheduler.PeersChanged{Peers: remaining})
 	d.post(scheduler.PeersChanged{Peers: slices.Clone(d.peers.peers)})
 	d.sendVersions(p.Router)
-	d.sendAdvert(p.Router)
+	d.sendAdminURL(p.Router)
 }
 
 func (d *Daemon) onEnvelope(from peer.Peer, env *peerpb.Envelope) {
@@ -72,7 +72,7 @@
 	case *peerpb.Envelope_ConfigRequest:
 		d.onConfigRequest(from.Router, body.ConfigRequest)
 	case *peerpb.Envelope_Advert:
-		d.adverts.set(from.Router, body.Advert.GetAdminUrl())
+		d.adminURLs.set(from.Router, body.Advert.GetAdminUrl())
 	case *peerpb.Envelope_ConfigObject:
 		d.onConfigObject(body.ConfigObject)
 	default:
@@ -83,40 +83,40 @@
 func (d *Daemon) onSchedulerMessage(from peer.Peer, env *peerpb.Envelope) {
 	ev, err := wire.ToEvent(from.Router, from.Incarnation, env)
 	if err != nil {
-		d.metrics.Count("peer_messages_refused", 1)
+		d.metrics.AddCount("peer_messages_refused", 1)
 		d.log.Warn().Err(err).Str("peer", string(from.Router)).Msg("message refused")
 		return
 	}
 	d.post(ev)
 }
 
-// announced is what all live peers have been told of the settings.
-type announced struct {
+// announcedVersions is what all live peers have been told of the settings.
+type announcedVersions struct {
 	mu       sync.Mutex
 	versions map[string]uint64
 }
 
-// changed returns the versions that are news and takes them for told.
-func (a *announced) changed(held map[string]uint64) map[string]uint64 {
+// update returns the versions that are news and takes them for told.
+func (a *announcedVersions) update(current map[string]uint64) map[string]uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	news := make(map[string]uint64)
-	for key, version := range held {
+	changed := make(map[string]uint64)
+	for key, version := range current {
 		if a.versions[key] != version {
-			news[key] = version
+			changed[key] = version
 		}
 	}
-	a.versions = held
-	return news
+	a.versions = current
+	return changed
 }
 
 // announceSettings tells all peers which versions have come into force here.
 // With hundreds of teams the whole list at every change would be most of what
 // a change costs; a peer that was away hears all of it when it is back.
 func (d *Daemon) announceSettings() {
-	news := d.announced.changed(d.source.Versions())
-	if len(news) > 0 {
-		d.link.Broadcast(versionsEnvelope(news))
+	changed := d.announcedVersions.update(d.source.Versions())
+	if len(changed) > 0 {
+		d.link.Broadcast(versionsEnvelope(changed))
 	}
 }
 
@@ -137,7 +137,7 @@
 	for _, v := range message.GetVersions() {
 		announced[v.GetKey()] = v.GetVersion()
 	}
-	missing := d.source.Missing(announced)
+	missing := d.source.MissingKeys(announced)
 	if len(missing) == 0 {
 		return
 	}
@@ -157,7 +157,7 @@
 }
 
 func (d *Daemon) onConfigObject(message *peerpb.ConfigObject) {
-	err := d.source.ObjectFrom(message.GetKey(), message.GetVersion(), message.GetValue())
+	err := d.source.ApplyFromPeer(message.GetKey(), message.GetVersion(), message.GetValue())
 	if err != nil {
 		d.log.Warn().Err(err).Str("key", message.GetKey()).Msg("settings refused")
 	}
@@ -165,7 +165,7 @@
 
 // followVMs reads the platform's list of machines until the context ends.
 func (d *Daemon) followVMs(ctx context.Context) {
-	ticker := time.NewTicker(vmInterval)
+	ticker := time.NewTicker(vmListInterval)
 	defer ticker.Stop()
 	for {
 		d.readVMs(ctx)
@@ -180,7 +180,7 @@
 func (d *Daemon) readVMs(ctx context.Context) {
 	vms, err := d.store.VMs(ctx)
 	if err != nil {
-		d.metrics.Count("vm_list_failures", 1)
+		d.metrics.AddCount("vm_list_failures", 1)
 		return
 	}
 	var routers []string
--- a/transport/daemon/listener.go
+++ b/transport/daemon/listener.go
@@ -18,8 +18,8 @@
 	conns  *conntrack.Tracker
 }
 
-// serve builds the server on the open socket, whose connections it tracks.
-func (l *listener) serve(handler http.Handler, limits caller.ServerOptions) {
+// buildServer builds the server on the open socket, whose connections it tracks.
+func (l *listener) buildServer(handler http.Handler, limits caller.ServerOptions) {
 	l.conns = conntrack.New(time.Now)
 	l.server = caller.NewServer(handler, limits)
 	l.server.BaseContext = l.conns.BaseContext
@@ -48,29 +48,29 @@
 // drain takes no more connections, answers what arrives on the open ones until
 // no request is under way, and closes them. Requests that have not ended in time
 // are cut off, and their handlers get some more to answer.
-func (l *listener) drain(finish, answers context.Context) error {
+func (l *listener) drain(finishCtx, answersCtx context.Context) error {
 	_ = l.Close()
-	if l.close(finish) == nil {
+	if l.closeConns(finishCtx) == nil {
 		return nil
 	}
 	l.conns.CancelRequests()
-	return l.close(answers)
+	return l.closeConns(answersCtx)
 }
 
-// close closes the connections once no request is under way. Shutdown alone
+// closeConns closes the connections once no request is under way. Shutdown alone
 // would close a connection whose next request it has read, without an answer; it
 // is left with the connections of HTTP/2, whose callers it tells what it has not
 // taken.
-func (l *listener) close(ctx context.Context) error {
+func (l *listener) closeConns(ctx context.Context) error {
 	if !l.conns.Drain(func() bool { return ctx.Err() != nil }) {
 		return context.Cause(ctx)
 	}
 	return l.server.Shutdown(ctx)
 }
 
-// parting asks those who get an answer from a draining router to close their
+// closeWhileDraining asks those who get an answer from a draining router to close their
 // connection: one on which request follows request would hold the stop up.
-func (d *Daemon) parting(handler http.Handler) http.Handler {
+func (d *Daemon) closeWhileDraining(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.draining.Load() {
 			w.Header().Set("Connection", "close")
--- a/transport/daemon/options_test.go
+++ b/transport/daemon/options_test.go
@@ -24,7 +24,7 @@
 // An operator starts a router with several mistakes. Mending them one start at
 // a time costs an outage each; all must be named at once, and none may show a
 // secret.
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestCheckReportsAllFaults(t *testing.T) {
 	o := validOptions()
 	o.Router = "Router One"
 	o.Listen = "nowhere"
@@ -55,9 +55,9 @@
 // A fleet has hundreds of teams, and one of them changes a weight. Every
 // router tells every peer; told with all versions each time, the change would
 // cost as much as all settings.
-func TestOnlyNewsIsAnnounced(t *testing.T) {
-	var a announced
-	require.Equal(t, map[string]uint64{"config/root": 1, "config/teams/a": 2}, a.changed(map[string]uint64{"config/root": 1, "config/teams/a": 2}))
-	require.Equal(t, map[string]uint64{"config/teams/a": 3}, a.changed(map[string]uint64{"config/root": 1, "config/teams/a": 3}))
-	require.Empty(t, a.changed(map[string]uint64{"config/root": 1, "config/teams/a": 3}))
+func TestOnlyChangedVersionsAreAnnounced(t *testing.T) {
+	var a announcedVersions
+	require.Equal(t, map[string]uint64{"config/root": 1, "config/teams/a": 2}, a.update(map[string]uint64{"config/root": 1, "config/teams/a": 2}))
+	require.Equal(t, map[string]uint64{"config/teams/a": 3}, a.update(map[string]uint64{"config/root": 1, "config/teams/a": 3}))
+	require.Empty(t, a.update(map[string]uint64{"config/root": 1, "config/teams/a": 3}))
 }
--- a/transport/daemon/orders.go
+++ b/transport/daemon/orders.go
@@ -21,10 +21,10 @@
 // orderManager runs a controller of orders for each engine that this router owns
 // and whose settings say what it shall hold.
 type orderManager struct {
-	options orderManagerOptions
-	ctx     context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	options            orderManagerOptions
+	ctx                context.Context
+	cancel             context.CancelFunc
+	runningControllers sync.WaitGroup
 
 	mu      sync.Mutex
 	owned   []state.Upstream
@@ -47,13 +47,13 @@
 
 // engineOrders is one engine's controller and what it was told.
 type engineOrders struct {
-	controller *orders.Controller
-	target     orderTarget
-	wanted     []state.Model
-	settings   uint64
-	leaving    bool
-	// misreports is set while the engine's load reports cannot be right.
-	misreports bool
+	controller      *orders.Controller
+	target          orderTarget
+	models          []state.Model
+	settingsVersion uint64
+	draining        bool
+	// invalidReports is set while the engine's load reports cannot be right.
+	invalidReports bool
 }
 
 // orderTarget is what a controller cannot change while it runs.
@@ -63,8 +63,8 @@
 	checksFencing bool
 }
 
-// wish is what one engine shall hold.
-type wish struct {
+// desiredModels is what one engine shall hold.
+type desiredModels struct {
 	target orderTarget
 	models []state.Model
 }
@@ -84,96 +84,96 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.owned = slices.Clone(owned)
-	o.refresh()
+	o.reconcile()
 }
 
 // onSettings compares the controllers with new settings.
 func (o *orderManager) onSettings() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.refresh()
+	o.reconcile()
 }
 
-// reported passes a load report on to the engine's controller. A report that
+// onReport passes a load report on to the engine's controller. A report that
 // cannot be right is dropped: it would bring orders against a sound engine. The
 // first of a row is logged, as an engine is polled once a second.
-func (o *orderManager) reported(report state.LoadReport) {
+func (o *orderManager) onReport(report state.LoadReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	e := o.engines[report.Upstream]
-	if e == nil || e.leaving {
+	if e == nil || e.draining {
 		return
 	}
 	err := upstream.CheckReport(report.Upstream, report)
-	if err != nil && !e.misreports {
+	if err != nil && !e.invalidReports {
 		o.options.Log.Warn().Err(err).Msg("order_report_refused")
 	}
-	e.misreports = err != nil
+	e.invalidReports = err != nil
 	if err == nil {
 		e.controller.Report(report)
 	}
 }
 
-// refresh brings the controllers in line with ownership and settings.
-func (o *orderManager) refresh() {
-	wishes, version := o.wishes()
+// reconcile brings the controllers in line with ownership and settings.
+func (o *orderManager) reconcile() {
+	desired, version := o.desired()
 	for name, e := range o.engines {
-		if w, ok := wishes[name]; !ok || w.target != e.target {
-			o.giveUp(e)
+		if w, ok := desired[name]; !ok || w.target != e.target {
+			o.drainEngine(e)
 		}
 	}
-	for _, w := range wishes {
-		o.pursue(w, version)
+	for _, w := range desired {
+		o.applyDesired(w, version)
 	}
 }
 
-// wishes returns what the owned engines shall hold, and the version of the
+// desired returns what the owned engines shall hold, and the version of the
 // settings that say so.
-func (o *orderManager) wishes() (map[state.Upstream]wish, uint64) {
-	wishes := make(map[state.Upstream]wish)
+func (o *orderManager) desired() (map[state.Upstream]desiredModels, uint64) {
+	desired := make(map[state.Upstream]desiredModels)
 	view, version := o.options.Settings()
 	if view == nil || o.closed {
-		return wishes, version
+		return desired, version
 	}
-	for _, u := range ownedOf(view.Settings(), o.owned) {
+	for _, u := range ownedUpstreams(view.Settings(), o.owned) {
 		if len(u.WantedModels) > 0 {
-			wishes[u.Name] = wishOf(u)
+			desired[u.Name] = desiredModelsOf(u)
 		}
 	}
-	return wishes, version
+	return desired, version
 }
 
-func wishOf(u config.Upstream) wish {
+func desiredModelsOf(u config.Upstream) desiredModels {
 	target := orderTarget{upstream: u.Name, url: u.URL, checksFencing: u.ChecksFencing}
-	return wish{target: target, models: u.WantedModels}
+	return desiredModels{target: target, models: u.WantedModels}
 }
 
-// pursue tells an engine's controller the wish if it is news, and starts one
+// applyDesired tells an engine's controller the wish if it is news, and starts one
 // if there is none. One that is leaving may still wait for the end of its last
 // order; a second beside it would give the engine two at a time. The next one
 // starts when it has ended.
-func (o *orderManager) pursue(w wish, version uint64) {
-	e := o.engines[w.target.upstream]
+func (o *orderManager) applyDesired(desired desiredModels, version uint64) {
+	e := o.engines[desired.target.upstream]
 	if e == nil {
-		e = o.start(w.target)
+		e = o.start(desired.target)
 	}
-	if e.leaving {
+	if e.draining {
 		return
 	}
-	e.tell(w.models, version)
+	e.updateController(desired.models, version)
 }
 
-// tell passes on what is news. Every change of the settings brings a version,
+// updateController passes on what is news. Every change of the settings brings a version,
 // few bring a wish.
-func (e *engineOrders) tell(models []state.Model, version uint64) {
+func (e *engineOrders) updateController(models []state.Model, version uint64) {
 	switch {
-	case !slices.Equal(e.wanted, models):
-		e.controller.Want(&fencing.DesiredState{Models: models}, version)
-	case e.settings != version:
-		e.controller.Confirm(version)
+	case !slices.Equal(e.models, models):
+		e.controller.SetWish(&fencing.DesiredState{Models: models}, version)
+	case e.settingsVersion != version:
+		e.controller.ConfirmSettings(version)
 	}
-	e.wanted = models
-	e.settings = version
+	e.models = models
+	e.settingsVersion = version
 }
 
 func (o *orderManager) start(target orderTarget) *engineOrders {
@@ -190,7 +190,7 @@
 		Log: o.options.Log,
 	})}
 	o.engines[target.upstream] = e
-	o.running.Go(func() { o.run(e) })
+	o.runningControllers.Go(func() { o.run(e) })
 	return e
 }
 
@@ -202,15 +202,15 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.engines, e.target.upstream)
-	o.refresh()
+	o.reconcile()
 }
 
-func (o *orderManager) giveUp(e *engineOrders) {
-	if e.leaving {
+func (o *orderManager) drainEngine(e *engineOrders) {
+	if e.draining {
 		return
 	}
-	e.leaving = true
-	e.controller.GiveUp()
+	e.draining = true
+	e.controller.Drain()
 }
 
 // drain gives up every engine and waits until orders under way have ended and
@@ -219,11 +219,11 @@
 func (o *orderManager) drain(ctx context.Context) error {
 	o.mu.Lock()
 	o.closed = true
-	o.refresh()
+	o.reconcile()
 	o.mu.Unlock()
 	ended := make(chan struct{})
 	go func() {
-		o.running.Wait()
+		o.runningControllers.Wait()
 		close(ended)
 	}()
 	select {
@@ -232,12 +232,12 @@
 	case <-ctx.Done():
 		o.cancel()
 		<-ended
-		return errOrdersCut
+		return errOrdersAborted
 	}
 }
 
-// errOrdersCut says that orders under way were broken off by a stop.
-var errOrdersCut = errors.New("daemon: orders to engines were broken off")
+// errOrdersAborted says that orders under way were broken off by a stop.
+var errOrdersAborted = errors.New("daemon: orders to engines were broken off")
 
 // close breaks everything off at once.
 func (o *orderManager) close() {
@@ -245,7 +245,7 @@
 	o.closed = true
 	o.mu.Unlock()
 	o.cancel()
-	o.running.Wait()
+	o.runningControllers.Wait()
 }
 
 func (d *Daemon) openOrders() {
@@ -267,10 +267,10 @@
 	return view, source.Versions()[config.RootKey]
 }
 
-// onPolled hands a load report to the orders and to the scheduler.
-func (d *Daemon) onPolled(event scheduler.Event) {
+// onLoadEvent hands a load report to the orders and to the scheduler.
+func (d *Daemon) onLoadEvent(event scheduler.Event) {
 	if reported, ok := event.(scheduler.Reported); ok {
-		d.orders.reported(reported.Report)
+		d.orders.onReport(reported.Report)
 	}
 	d.post(event)
 }
--- a/transport/daemon/orders_test.go
+++ b/transport/daemon/orders_test.go
@@ -23,21 +23,21 @@
 	poll "github.com/figstile/figstile/transport/upstream"
 )
 
-// orderBench is one router's orders before one engine whose loads last until
+// orderFixture is one router's orders before one engine whose loads last until
 // the test lets them end.
-type orderBench struct {
-	t        *testing.T
-	platform *platform.Platform
-	engine   *engine.Engine
-	url      string
-	load     chan error
-	view     atomic.Pointer[config.View]
-	version  atomic.Uint64
-	manager  *orderManager
+type orderFixture struct {
+	t           *testing.T
+	platform    *platform.Platform
+	engine      *engine.Engine
+	url         string
+	loadResults chan error
+	view        atomic.Pointer[config.View]
+	version     atomic.Uint64
+	manager     *orderManager
 }
 
-func newOrderBench(t *testing.T) *orderBench {
-	b := &orderBench{t: t, platform: platform.New(platform.Options{}), load: make(chan error)}
+func newOrderFixture(t *testing.T) *orderFixture {
+	b := &orderFixture{t: t, platform: platform.New(platform.Options{}), loadResults: make(chan error)}
 	b.engine = engine.New(engine.Options{
 		Options:   upstream.Options{Name: "engine-1", Sleep: b.sleep},
 		LoadDelay: time.Second,
@@ -48,7 +48,7 @@
 	b.url = url
 	server := httptest.NewServer(b.platform.Handler())
 	t.Cleanup(server.Close)
-	b.want()
+	b.setWantedModels()
 	timing := fencing.DefaultTiming()
 	timing.MaxReportAge, timing.PollInterval, timing.RetryDelay = 0, time.Millisecond, time.Millisecond
 	timing.MinBackoff, timing.MaxBackoff = time.Hour, time.Hour
@@ -66,16 +66,16 @@
 }
 
 // sleep is a load under way.
-func (b *orderBench) sleep(ctx context.Context, _ time.Duration) error {
+func (b *orderFixture) sleep(ctx context.Context, _ time.Duration) error {
 	select {
-	case err := <-b.load:
+	case err := <-b.loadResults:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (b *orderBench) want(models ...state.Model) {
+func (b *orderFixture) setWantedModels(models ...state.Model) {
 	b.view.Store(config.NewView(config.Root{Services: []config.Service{{
 		Name: "drafts", Kind: config.KindEngine,
 		Upstreams: []config.Upstream{{Name: "engine-1", URL: b.url, DataCentre: "sala-laredo", WantedModels: models}},
@@ -86,39 +86,39 @@
 	}
 }
 
-// poll hands the engine's load to the orders.
-func (b *orderBench) poll() {
+// reportLoad hands the engine's load to the orders.
+func (b *orderFixture) reportLoad() {
 	report, err := poll.FetchReport(b.t.Context(), http.DefaultClient, b.url, "engine-1")
 	require.NoError(b.t, err)
-	b.manager.reported(report)
+	b.manager.onReport(report)
 }
 
-// await polls until a condition holds.
-func (b *orderBench) await(what string, holds func() bool) {
+// awaitCondition polls until a condition holds.
+func (b *orderFixture) awaitCondition(what string, holds func() bool) {
 	b.t.Helper()
 	eventually(b.t, what, func() bool {
-		b.poll()
+		b.reportLoad()
 		return holds()
 	})
 }
 
-// drain gives up all engines and waits for that.
-func (b *orderBench) drain() {
+// drainAll gives up all engines and waits for that.
+func (b *orderFixture) drainAll() {
 	b.t.Helper()
 	ctx, cancel := context.WithTimeout(b.t.Context(), waitTimeout)
 	defer cancel()
 	require.NoError(b.t, b.manager.drain(ctx))
 }
 
-func (b *orderBench) received() int { return len(b.engine.Orders().Orders) }
+func (b *orderFixture) ordersReceived() int { return len(b.engine.Orders().Orders) }
 
-func (b *orderBench) leaseHolder() string {
+func (b *orderFixture) leaseHolder() string {
 	object, err := b.platform.Store().Get(b.t.Context(), orders.LeaseKey("engine-1"))
 	require.NoError(b.t, err)
 	return string(object.Value)
 }
 
-func (b *orderBench) engines() int {
+func (b *orderFixture) controllerCount() int {
 	b.manager.mu.Lock()
 	defer b.manager.mu.Unlock()
 	return len(b.manager.engines)
@@ -126,22 +126,22 @@
 
 // Hundreds of routers share the platform's rates. One whose engines hold what
 // is wanted, or want nothing, must not call it at all.
-func TestNoCallsWhileNothingIsToBeDone(t *testing.T) {
-	b := newOrderBench(t)
-	close(b.load)
-	b.poll()
-	require.Zero(t, b.engines(), "no wish, no controller")
-	b.want("m")
-	b.await("the model is loaded and the lease released", func() bool {
+func TestNoPlatformCallsWithoutWork(t *testing.T) {
+	b := newOrderFixture(t)
+	close(b.loadResults)
+	b.reportLoad()
+	require.Zero(t, b.controllerCount(), "no wish, no controller")
+	b.setWantedModels("m")
+	b.awaitCondition("the model is loaded and the lease released", func() bool {
 		return b.engine.Holds("m") && b.platform.Calls().Put == 2
 	})
 	calls := b.platform.Calls().Total()
 	for range 50 {
-		b.poll()
+		b.reportLoad()
 	}
-	b.want("m")
+	b.setWantedModels("m")
 	b.manager.setOwned(nil)
-	b.drain()
+	b.drainAll()
 	require.Equal(t, calls, b.platform.Calls().Total())
 }
 
@@ -150,22 +150,22 @@
 // may follow it, and then the lease is there for the new owner. When the
 // engine comes back meanwhile, there is still only one order at a time.
 func TestOwnershipMovesWhileAnOrderRuns(t *testing.T) {
-	b := newOrderBench(t)
+	b := newOrderFixture(t)
 	b.manager.options.Timing.PollInterval = time.Second // A release must wait for its turn.
-	b.want("m", "n")
-	b.await("the first load is under way", func() bool { return b.received() == 1 })
+	b.setWantedModels("m", "n")
+	b.awaitCondition("the first load is under way", func() bool { return b.ordersReceived() == 1 })
 	b.manager.setOwned(nil)
 	b.manager.setOwned([]state.Upstream{"engine-1"})
 	for range 50 {
-		b.poll()
+		b.reportLoad()
 	}
-	require.Equal(t, 1, b.received())
+	require.Equal(t, 1, b.ordersReceived())
 	require.Contains(t, b.leaseHolder(), "router-1")
-	b.load <- nil
-	b.await("the second load is under way", func() bool { return b.received() == 2 })
+	b.loadResults <- nil
+	b.awaitCondition("the second load is under way", func() bool { return b.ordersReceived() == 2 })
 	b.manager.setOwned(nil)
-	b.load <- nil
-	eventually(t, "the engine is given up", func() bool { return b.engines() == 0 })
+	b.loadResults <- nil
+	eventually(t, "the engine is given up", func() bool { return b.controllerCount() == 0 })
 	require.NotContains(t, b.leaseHolder(), "router-1")
 	require.Equal(t, []state.Model{"m", "n"}, b.engine.Models())
 }
@@ -174,24 +174,24 @@
 // while the platform is away. The stop must not wait for either.
 func TestStopEndsOrders(t *testing.T) {
 	t.Run("time runs out", func(t *testing.T) {
-		b := newOrderBench(t)
-		b.want("m")
-		b.await("the load is under way", func() bool { return b.received() == 1 })
-		over, cancel := context.WithCancel(t.Context())
+		b := newOrderFixture(t)
+		b.setWantedModels("m")
+		b.awaitCondition("the load is under way", func() bool { return b.ordersReceived() == 1 })
+		expired, cancel := context.WithCancel(t.Context())
 		cancel()
-		require.ErrorIs(t, b.manager.drain(over), errOrdersCut)
+		require.ErrorIs(t, b.manager.drain(expired), errOrdersAborted)
 		require.Empty(t, b.engine.Models())
 	})
 	t.Run("platform is away", func(t *testing.T) {
-		b := newOrderBench(t)
+		b := newOrderFixture(t)
 		b.manager.options.Timing.RenewAfter = 0
-		b.want("m")
-		b.await("the load is under way", func() bool { return b.received() == 1 })
+		b.setWantedModels("m")
+		b.awaitCondition("the load is under way", func() bool { return b.ordersReceived() == 1 })
 		b.platform.SetFaults(platform.Faults{Outage: platform.Refuse})
 		before := b.platform.Calls().Get
-		b.await("a renewal has failed and the lease is read", func() bool { return b.platform.Calls().Get > before })
-		close(b.load)
-		b.drain()
+		b.awaitCondition("a renewal has failed and the lease is read", func() bool { return b.platform.Calls().Get > before })
+		close(b.loadResults)
+		b.drainAll()
 		require.Equal(t, []state.Model{"m"}, b.engine.Models())
 	})
 }
@@ -200,29 +200,29 @@
 // Each change would start the load anew if it ended the back-off, and use up
 // the weight store's rate.
 func TestOtherChangesKeepTheBackOff(t *testing.T) {
-	b := newOrderBench(t)
-	b.want("m")
-	b.await("the load is under way", func() bool { return b.received() == 1 })
-	b.load <- errors.New("weight store is slow")
-	b.await("the lease is released", func() bool { return b.platform.Calls().Put == 2 })
+	b := newOrderFixture(t)
+	b.setWantedModels("m")
+	b.awaitCondition("the load is under way", func() bool { return b.ordersReceived() == 1 })
+	b.loadResults <- errors.New("weight store is slow")
+	b.awaitCondition("the lease is released", func() bool { return b.platform.Calls().Put == 2 })
 	calls := b.platform.Calls().Total()
 	for range 50 {
-		b.want("m")
-		b.poll()
+		b.setWantedModels("m")
+		b.reportLoad()
 	}
-	close(b.load)
-	b.drain()
+	close(b.loadResults)
+	b.drainAll()
 	require.Equal(t, calls, b.platform.Calls().Total())
 }
 
 // A report that cannot be right names no model that the engine holds. Orders
 // by it would load again what is there.
-func TestBrokenReportGivesNoOrder(t *testing.T) {
-	b := newOrderBench(t)
+func TestInvalidReportCausesNoOrder(t *testing.T) {
+	b := newOrderFixture(t)
 	b.engine.SetHeld("m", true)
-	b.want("m")
-	b.manager.reported(state.LoadReport{Upstream: "engine-1", Boot: "1", Running: -1})
-	b.drain()
-	require.Zero(t, b.received())
+	b.setWantedModels("m")
+	b.manager.onReport(state.LoadReport{Upstream: "engine-1", Boot: "1", Running: -1})
+	b.drainAll()
+	require.Zero(t, b.ordersReceived())
 	require.Zero(t, b.platform.Calls().Total())
 }
--- a/transport/daemon/partition_test.go
+++ b/transport/daemon/partition_test.go
@@ -33,38 +33,38 @@
 	require.Eventually(t, holds, waitTimeout, 10*time.Millisecond, what)
 }
 
-// region is two data centres with two routers each, whose links to each other
+// twoDataCentres is two data centres with two routers each, whose links to each other
 // and to the platform can be cut.
-type region struct {
-	t        *testing.T
-	platform *platform.Platform
-	engines  []*engine.Engine
-	routers  []*Daemon
-	ways     map[string]*httptest.Server
-	cutOff   atomic.Bool
-
-	mu       sync.Mutex
-	crossing []net.Conn
-	siteOf   map[string]string
+type twoDataCentres struct {
+	t               *testing.T
+	platform        *platform.Platform
+	engines         []*engine.Engine
+	routers         []*Daemon
+	platformProxies map[string]*httptest.Server
+	partitioned     atomic.Bool
+
+	mu           sync.Mutex
+	crossLinks   []net.Conn
+	dataCentreOf map[string]string
 }
 
-var errCut = errors.New("link is cut")
+var errLinkCut = errors.New("link is cut")
 
-func startRegion(t *testing.T) *region {
-	r := &region{t: t, platform: platform.New(platform.Options{}), siteOf: make(map[string]string), ways: make(map[string]*httptest.Server)}
+func startTwoDataCentres(t *testing.T) *twoDataCentres {
+	r := &twoDataCentres{t: t, platform: platform.New(platform.Options{}), dataCentreOf: make(map[string]string), platformProxies: make(map[string]*httptest.Server)}
 	root := config.Root{
 		Teams:          []config.TeamShare{{Name: "costa", Share: 1}},
 		OperatorTokens: []string{config.DigestOf("operator").String()},
 		Services:       []config.Service{{Name: "drafts", Kind: config.KindEngine, Repeatable: true}},
 	}
-	for _, site := range []string{"castro", "laredo"} {
-		e := engine.New(engine.Options{Options: upstream.Options{Name: state.Upstream("engine-" + site), Slots: 4}, DefaultTokens: 10})
+	for _, dataCentre := range []string{"castro", "laredo"} {
+		e := engine.New(engine.Options{Options: upstream.Options{Name: state.Upstream("engine-" + dataCentre), Slots: 4}, DefaultTokens: 10})
 		url, stop, err := e.Start("127.0.0.1:0")
 		require.NoError(t, err)
 		t.Cleanup(stop)
 		r.engines = append(r.engines, e)
 		root.Services[0].Upstreams = append(root.Services[0].Upstreams, config.Upstream{
-			Name: state.Upstream("engine-" + site), URL: url, DataCentre: state.DataCentre(site),
+			Name: state.Upstream("engine-" + dataCentre), URL: url, DataCentre: state.DataCentre(dataCentre),
 		})
 	}
 	r.put("config/teams/costa", config.Subtree{Team: "costa", Workspaces: []config.Workspace{
@@ -72,18 +72,18 @@
 		{Name: "two", Weight: 1, Tokens: []string{config.DigestOf("two").String()}},
 	}})
 	r.put(config.RootKey, root)
-	for _, site := range []string{"castro", "laredo"} {
-		way := httptest.NewServer(r.wayToPlatform(site))
-		t.Cleanup(way.Close)
-		r.ways[site] = way
-		r.startRouter("router-1-"+site, site, way.URL)
-		r.startRouter("router-2-"+site, site, way.URL)
+	for _, dataCentre := range []string{"castro", "laredo"} {
+		proxy := httptest.NewServer(r.platformProxy(dataCentre))
+		t.Cleanup(proxy.Close)
+		r.platformProxies[dataCentre] = proxy
+		r.startRouter("router-1-"+dataCentre, dataCentre, proxy.URL)
+		r.startRouter("router-2-"+dataCentre, dataCentre, proxy.URL)
 	}
-	r.await("all routers are ready", func(s Status) bool { return len(s.Peers) == 3 && len(s.Versions) == 2 })
+	r.awaitAll("all routers are ready", func(s Status) bool { return len(s.Peers) == 3 && len(s.Versions) == 2 })
 	return r
 }
 
-func (r *region) put(key string, value any) {
+func (r *twoDataCentres) put(key string, value any) {
 	encoded, err := json.Marshal(value)
 	require.NoError(r.t, err)
 	current, err := r.platform.Store().Get(r.t.Context(), key)
@@ -94,30 +94,30 @@
 	require.NoError(r.t, err)
 }
 
-// wayToPlatform leads to the platform unless it is cut; the platform stays
+// platformProxy leads to the platform unless it is cut; the platform stays
 // with castro.
-func (r *region) wayToPlatform(site string) http.Handler {
+func (r *twoDataCentres) platformProxy(dataCentre string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if r.cutOff.Load() && site == "laredo" {
+		if r.partitioned.Load() && dataCentre == "laredo" {
 			panic(http.ErrAbortHandler)
 		}
 		r.platform.Handler().ServeHTTP(w, req)
 	})
 }
 
-func (r *region) startRouter(name, site, platformURL string) {
+func (r *twoDataCentres) startRouter(name, dataCentre, platformURL string) {
 	options := validOptions()
-	options.Router, options.DataCentre, options.Platform = name, site, platformURL
+	options.Router, options.DataCentre, options.Platform = name, dataCentre, platformURL
 	options.MaxConnections, options.MaxHeaderBytes = 1000, 1<<16
 	options.MaxQueued, options.MaxQueuedBytes = 1000, 1<<24
-	options.DialPeer = func(ctx context.Context, address string) (net.Conn, error) { return r.dial(ctx, site, address) }
+	options.DialPeer = func(ctx context.Context, address string) (net.Conn, error) { return r.dial(ctx, dataCentre, address) }
 	if len(r.routers) > 0 {
 		options.Peers = []string{r.routers[0].Addresses().Peers}
 	}
 	d, err := New(options, zerolog.New(os.Stderr).Level(zerolog.ErrorLevel))
 	require.NoError(r.t, err)
 	r.mu.Lock()
-	r.siteOf[d.Addresses().Peers] = site
+	r.dataCentreOf[d.Addresses().Peers] = dataCentre
 	r.mu.Unlock()
 	r.routers = append(r.routers, d)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -132,35 +132,35 @@
 	})
 }
 
-func (r *region) dial(ctx context.Context, site, address string) (net.Conn, error) {
+func (r *twoDataCentres) dial(ctx context.Context, dataCentre, address string) (net.Conn, error) {
 	r.mu.Lock()
-	crosses := r.siteOf[address] != site
+	crosses := r.dataCentreOf[address] != dataCentre
 	r.mu.Unlock()
-	if crosses && r.cutOff.Load() {
-		return nil, errCut
+	if crosses && r.partitioned.Load() {
+		return nil, errLinkCut
 	}
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err == nil && crosses {
 		r.mu.Lock()
-		r.crossing = append(r.crossing, conn)
+		r.crossLinks = append(r.crossLinks, conn)
 		r.mu.Unlock()
 	}
 	return conn, err
 }
 
-func (r *region) cut() {
-	r.cutOff.Store(true)
-	r.ways["laredo"].CloseClientConnections()
+func (r *twoDataCentres) partition() {
+	r.partitioned.Store(true)
+	r.platformProxies["laredo"].CloseClientConnections()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, conn := range r.crossing {
+	for _, conn := range r.crossLinks {
 		conn.Close()
 	}
-	r.crossing = nil
+	r.crossLinks = nil
 }
 
-// await waits until every router's status is as wanted.
-func (r *region) await(what string, holds func(Status) bool) {
+// awaitAll waits until every router's status is as wanted.
+func (r *twoDataCentres) awaitAll(what string, holds func(Status) bool) {
 	r.t.Helper()
 	eventually(r.t, what, func() bool {
 		for _, d := range r.routers {
@@ -172,9 +172,9 @@
 	})
 }
 
-// drafts sends requests of both workspaces through a router and wants them
+// sendDrafts sends requests of both workspaces through a router and wants them
 // served.
-func (r *region) drafts(d *Daemon, count int) {
+func (r *twoDataCentres) sendDrafts(d *Daemon, count int) {
 	r.t.Helper()
 	var wg sync.WaitGroup
 	for i := range count {
@@ -214,36 +214,36 @@
 // nobody reverts, and all routers count the same service again, as if there
 // had been no partition.
 func TestPartitionOfDataCentres(t *testing.T) {
-	r := startRegion(t)
-	r.drafts(r.routers[0], 20)
+	r := startTwoDataCentres(t)
+	r.sendDrafts(r.routers[0], 20)
 
-	r.cut()
-	r.await("each side sees only itself", func(s Status) bool { return len(s.Peers) == 1 })
+	r.partition()
+	r.awaitAll("each side sees only itself", func(s Status) bool { return len(s.Peers) == 1 })
 	before := r.routers[3].Status().Versions[config.RootKey]
 	r.put(config.RootKey, changedRoot(t, r))
 	eventually(t, "the side with the platform has the change", func() bool {
 		return r.routers[0].Status().Versions[config.RootKey] > before
 	})
 	for _, d := range r.routers {
-		r.drafts(d, 20)
+		r.sendDrafts(d, 20)
 	}
 	require.Equal(t, before, r.routers[3].Status().Versions[config.RootKey])
 
-	r.cutOff.Store(false)
-	r.await("the sides see each other and the change", func(s Status) bool {
+	r.partitioned.Store(false)
+	r.awaitAll("the sides see each other and the change", func(s Status) bool {
 		return len(s.Peers) == 3 && s.Versions[config.RootKey] > before
 	})
 	want := state.Cost(100 * 10 * int64(state.CostUnit))
-	r.await("all count the same service", func(s Status) bool {
+	r.awaitAll("all count the same service", func(s Status) bool {
 		totals := fleetTotals(s)
 		first := fleetTotals(r.routers[0].Status())
 		return totals["one"] == first["one"] && totals["two"] == first["two"] && totals["one"]+totals["two"] >= want
 	})
-	r.drafts(r.routers[3], 20)
+	r.sendDrafts(r.routers[3], 20)
 }
 
 // changedRoot is the root in force with another share.
-func changedRoot(t *testing.T, r *region) config.Root {
+func changedRoot(t *testing.T, r *twoDataCentres) config.Root {
 	t.Helper()
 	object, err := r.platform.Store().Get(t.Context(), config.RootKey)
 	require.NoError(t, err)
--- a/transport/daemon/path_bench_test.go
+++ b/transport/daemon/path_bench_test.go
@@ -27,13 +27,13 @@
 	standin "github.com/figstile/figstile/standin/upstream"
 )
 
-// bench is one router before one engine, both in this process.
-type bench struct {
-	direct, routed string
-	client         *http.Client
+// routerBenchmark is one router before one engine, both in this process.
+type routerBenchmark struct {
+	directURL, routedURL string
+	client               *http.Client
 }
 
-func newBench(b *testing.B, tokenDelay time.Duration) *bench {
+func newRouterBenchmark(b *testing.B, tokenDelay time.Duration) *routerBenchmark {
 	b.Helper()
 	e := engine.New(engine.Options{Options: standin.Options{Name: "engine-1", Slots: 1024}, TokenDelay: tokenDelay})
 	engineURL, stop, err := e.Start("127.0.0.1:0")
@@ -72,39 +72,39 @@
 		cancel()
 		running.Wait()
 	})
-	bn := &bench{
-		direct: engineURL + "/v1/chat/completions",
-		routed: "http://" + d.Addresses().Callers + "/drafts/v1/chat/completions",
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}},
+	bn := &routerBenchmark{
+		directURL: engineURL + "/v1/chat/completions",
+		routedURL: "http://" + d.Addresses().Callers + "/drafts/v1/chat/completions",
+		client:    &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}},
 	}
-	require.Eventually(b, func() bool { return bn.stream(bn.routed, 1).status == http.StatusOK }, 10*time.Second, 10*time.Millisecond)
+	require.Eventually(b, func() bool { return bn.stream(bn.routedURL, 1).status == http.StatusOK }, 10*time.Second, 10*time.Millisecond)
 	return bn
 }
 
-// seen is what a caller sees of one stream.
-type seen struct {
-	status int
-	first  time.Duration
-	gaps   []time.Duration
-	tokens int
+// streamTimes is what a caller sees of one stream.
+type streamTimes struct {
+	status     int
+	firstToken time.Duration
+	gaps       []time.Duration
+	tokens     int
 }
 
-func (bn *bench) stream(url string, tokens int) seen {
+func (bn *routerBenchmark) stream(url string, tokens int) streamTimes {
 	body := `{"stream":true,"figstile_tokens":` + strconv.Itoa(tokens) + `,"messages":[{"role":"user","content":"Laredo in spring"}]}`
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
-		return seen{}
+		return streamTimes{}
 	}
 	req.Header.Set("Authorization", "Bearer caller")
 	req.Header.Set("Content-Type", "application/json")
-	begun := time.Now()
+	startedAt := time.Now()
 	resp, err := bn.client.Do(req)
 	if err != nil {
-		return seen{}
+		return streamTimes{}
 	}
 	defer resp.Body.Close()
-	s := seen{status: resp.StatusCode}
-	last := begun
+	s := streamTimes{status: resp.StatusCode}
+	lastAt := startedAt
 	lines := bufio.NewReader(resp.Body)
 	for {
 		line, err := lines.ReadSlice('\n')
@@ -112,11 +112,11 @@
 			now := time.Now()
 			s.tokens++
 			if s.tokens == 1 {
-				s.first = now.Sub(begun)
+				s.firstToken = now.Sub(startedAt)
 			} else {
-				s.gaps = append(s.gaps, now.Sub(last))
+				s.gaps = append(s.gaps, now.Sub(lastAt))
 			}
-			last = now
+			lastAt = now
 		}
 		if err != nil {
 			break
@@ -126,16 +126,16 @@
 	return s
 }
 
-// times collects what many streams saw.
-type times struct {
-	mu          sync.Mutex
-	first, gaps []time.Duration
+// streamSamples collects what many streams saw.
+type streamSamples struct {
+	mu                sync.Mutex
+	firstTokens, gaps []time.Duration
 }
 
-func (t *times) add(s seen) {
+func (t *streamSamples) add(s streamTimes) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.first = append(t.first, s.first)
+	t.firstTokens = append(t.firstTokens, s.firstToken)
 	t.gaps = append(t.gaps, s.gaps...)
 }
 
@@ -157,18 +157,18 @@
 	)
 	for _, streams := range []int{1, 64} {
 		b.Run("streams="+strconv.Itoa(streams), func(b *testing.B) {
-			bn := newBench(b, tokenDelay)
-			var direct, routed times
+			bn := newRouterBenchmark(b, tokenDelay)
+			var direct, routed streamSamples
 			round := 0
 			for b.Loop() {
-				bn.together(streams, func(i int) {
+				bn.runConcurrently(streams, func(i int) {
 					if i%2 == round%2 {
-						direct.add(bn.stream(bn.direct, tokens))
-						routed.add(bn.stream(bn.routed, tokens))
+						direct.add(bn.stream(bn.directURL, tokens))
+						routed.add(bn.stream(bn.routedURL, tokens))
 						return
 					}
-					routed.add(bn.stream(bn.routed, tokens))
-					direct.add(bn.stream(bn.direct, tokens))
+					routed.add(bn.stream(bn.routedURL, tokens))
+					direct.add(bn.stream(bn.directURL, tokens))
 				})
 				round++
 			}
@@ -176,8 +176,8 @@
 				name string
 				at   float64
 			}{{"p50", 0.5}, {"p99", 0.99}} {
-				b.ReportMetric(quantile(direct.first, q.at), "direct-first-"+q.name+"-µs")
-				b.ReportMetric(quantile(routed.first, q.at), "routed-first-"+q.name+"-µs")
+				b.ReportMetric(quantile(direct.firstTokens, q.at), "direct-first-"+q.name+"-µs")
+				b.ReportMetric(quantile(routed.firstTokens, q.at), "routed-first-"+q.name+"-µs")
 				b.ReportMetric(quantile(direct.gaps, q.at), "direct-gap-"+q.name+"-µs")
 				b.ReportMetric(quantile(routed.gaps, q.at), "routed-gap-"+q.name+"-µs")
 			}
@@ -185,8 +185,8 @@
 	}
 }
 
-// together runs f so many times at once.
-func (bn *bench) together(n int, f func(i int)) {
+// runConcurrently runs f so many times at once.
+func (bn *routerBenchmark) runConcurrently(n int, f func(i int)) {
 	var running sync.WaitGroup
 	for i := range n {
 		running.Go(func() { f(i) })
@@ -194,37 +194,37 @@
 	running.Wait()
 }
 
-// use is processor time and allocations of this process so far.
-type use struct {
+// resourceUse is processor time and allocations of this process so far.
+type resourceUse struct {
 	cpu     time.Duration
 	mallocs uint64
 }
 
-func used() use {
+func currentUse() resourceUse {
 	var r syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	return use{time.Duration(r.Utime.Nano() + r.Stime.Nano()), m.Mallocs}
+	return resourceUse{time.Duration(r.Utime.Nano() + r.Stime.Nano()), m.Mallocs}
 }
 
-// BenchmarkProcessor compares the processor time and allocations of streams
+// BenchmarkCPU compares the processor time and allocations of streams
 // of two lengths with those of the same streams straight from the engine. What
 // is left over is the router's.
-func BenchmarkProcessor(b *testing.B) {
+func BenchmarkCPU(b *testing.B) {
 	const (
 		short, long = 1, 201
 		streams     = 16
 	)
-	bn := newBench(b, 0)
+	bn := newRouterBenchmark(b, 0)
 	// sums are indexed by route and length.
-	var sums [2][2]use
+	var sums [2][2]resourceUse
 	for b.Loop() {
-		for route, url := range []string{bn.direct, bn.routed} {
+		for route, url := range []string{bn.directURL, bn.routedURL} {
 			for length, tokens := range []int{short, long} {
-				before := used()
-				bn.together(streams, func(int) { bn.stream(url, tokens) })
-				after := used()
+				before := currentUse()
+				bn.runConcurrently(streams, func(int) { bn.stream(url, tokens) })
+				after := currentUse()
 				sums[route][length].cpu += after.cpu - before.cpu
 				sums[route][length].mallocs += after.mallocs - before.mallocs
 			}
@@ -252,8 +252,8 @@
 		tokens  = 100
 		streams = 32
 	)
-	bn := newBench(b, 0)
+	bn := newRouterBenchmark(b, 0)
 	for b.Loop() {
-		bn.together(streams, func(int) { bn.stream(bn.routed, tokens) })
+		bn.runConcurrently(streams, func(int) { bn.stream(bn.routedURL, tokens) })
 	}
 }
--- a/transport/daemon/polls.go
+++ b/transport/daemon/polls.go
@@ -9,45 +9,45 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// polls keeps the load polls to the upstreams that this router owns, at the
+// pollTargets keeps the load polls to the upstreams that this router owns, at the
 // addresses of the settings in force. Ownership and settings change each by
 // themselves: an upstream that only moved to another address keeps its owner,
 // and polled at the old one it would get no work any more.
-type polls struct {
-	// set replaces the targets.
-	set func([]upstream.Target)
+type pollTargets struct {
+	// setTargets replaces the targets.
+	setTargets func([]upstream.Target)
 
 	mu       sync.Mutex
 	owned    []state.Upstream
 	settings config.Settings
 }
 
-// own takes the upstreams that the scheduler owns.
-func (p *polls) own(owned []state.Upstream) {
+// setOwned takes the upstreams that the scheduler owns.
+func (p *pollTargets) setOwned(owned []state.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.owned = slices.Clone(owned)
-	p.set(p.targets())
+	p.setTargets(p.targets())
 }
 
-// follow takes the settings in force.
-func (p *polls) follow(settings config.Settings) {
+// setSettings takes the settings in force.
+func (p *pollTargets) setSettings(settings config.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.settings = settings
-	p.set(p.targets())
+	p.setTargets(p.targets())
 }
 
-func (p *polls) targets() []upstream.Target {
+func (p *pollTargets) targets() []upstream.Target {
 	var targets []upstream.Target
-	for _, u := range ownedOf(p.settings, p.owned) {
+	for _, u := range ownedUpstreams(p.settings, p.owned) {
 		targets = append(targets, upstream.Target{Upstream: u.Name, BaseURL: u.URL})
 	}
 	return targets
 }
 
-// ownedOf returns the settings of the upstreams that a router owns.
-func ownedOf(settings config.Settings, owned []state.Upstream) []config.Upstream {
+// ownedUpstreams returns the settings of the upstreams that a router owns.
+func ownedUpstreams(settings config.Settings, owned []state.Upstream) []config.Upstream {
 	var found []config.Upstream
 	for _, service := range settings.Services {
 		for _, u := range service.Upstreams {
@@ -62,5 +62,5 @@
 // onOwned follows a change of ownership.
 func (d *Daemon) onOwned(owned []state.Upstream) {
 	d.orders.setOwned(owned)
-	d.polls.own(owned)
+	d.pollTargets.setOwned(owned)
 }
