--- a/transport/daemon/polls_test.go
+++ b/transport/daemon/polls_test.go
@@ -15,19 +15,19 @@
 // move too; at the old address no report comes, and the engine would idle.
 func TestPollsFollowAnUpstreamThatMoves(t *testing.T) {
 	var polled []upstream.Target
-	p := polls{set: func(targets []upstream.Target) { polled = targets }}
+	p := pollTargets{setTargets: func(targets []upstream.Target) { polled = targets }}
 	at := func(url string) config.Settings {
 		return config.Settings{Services: []config.Service{{
 			Name:      "drafts",
 			Upstreams: []config.Upstream{{Name: "engine-1", URL: url}, {Name: "engine-2", URL: "http://10.0.0.9"}},
 		}}}
 	}
-	p.follow(at("http://10.0.0.1"))
+	p.setSettings(at("http://10.0.0.1"))
 	require.Empty(t, polled)
-	p.own([]state.Upstream{"engine-1"})
+	p.setOwned([]state.Upstream{"engine-1"})
 	require.Equal(t, []upstream.Target{{Upstream: "engine-1", BaseURL: "http://10.0.0.1"}}, polled)
-	p.follow(at("http://10.0.0.2"))
+	p.setSettings(at("http://10.0.0.2"))
 	require.Equal(t, []upstream.Target{{Upstream: "engine-1", BaseURL: "http://10.0.0.2"}}, polled)
-	p.own(nil)
+	p.setOwned(nil)
 	require.Empty(t, polled)
 }
--- a/transport/daemon/stop_test.go
+++ b/transport/daemon/stop_test.go
@@ -25,19 +25,19 @@
 	"github.com/figstile/figstile/transport/problem"
 )
 
-// stopBench is one router that is told to stop.
-type stopBench struct {
+// stopFixture is one router that is told to stop.
+type stopFixture struct {
 	*Daemon
-	t       *testing.T
-	secured bool
-	// order tells the router to stop; done gets what Run returned.
-	order context.CancelFunc
-	done  chan error
+	t      *testing.T
+	useTLS bool
+	// requestStop tells the router to stop; done gets what Run returned.
+	requestStop context.CancelFunc
+	done        chan error
 }
 
-// startStopBench runs a router with one engine at a URL.
-func startStopBench(t *testing.T, engineURL string, change func(*Options)) *stopBench {
-	r := &region{t: t, platform: platform.New(platform.Options{})}
+// startStopFixture runs a router with one engine at a URL.
+func startStopFixture(t *testing.T, engineURL string, change func(*Options)) *stopFixture {
+	r := &twoDataCentres{t: t, platform: platform.New(platform.Options{})}
 	r.put("config/teams/costa", config.Subtree{Team: "costa", Workspaces: []config.Workspace{
 		{Name: "one", Weight: 1, Tokens: []string{config.DigestOf("one").String()}},
 	}})
@@ -48,28 +48,28 @@
 			{Name: "engine", URL: engineURL, DataCentre: "dc"},
 		}}},
 	})
-	way := httptest.NewServer(r.platform.Handler())
-	t.Cleanup(way.Close)
+	proxy := httptest.NewServer(r.platform.Handler())
+	t.Cleanup(proxy.Close)
 	options := validOptions()
-	options.Platform = way.URL
+	options.Platform = proxy.URL
 	options.MaxConnections, options.MaxHeaderBytes = 1000, 1<<16
 	options.MaxQueued, options.MaxQueuedBytes = 1000, 1<<24
 	change(&options)
 	d, err := New(options, zerolog.New(os.Stderr).Level(zerolog.ErrorLevel))
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	b := &stopBench{Daemon: d, t: t, secured: options.TLSCert != "", order: cancel, done: make(chan error, 1)}
+	b := &stopFixture{Daemon: d, t: t, useTLS: options.TLSCert != "", requestStop: cancel, done: make(chan error, 1)}
 	go func() { b.done <- d.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
-		way.CloseClientConnections()
+		proxy.CloseClientConnections()
 	})
 	eventually(t, "the router has its settings", func() bool { return len(d.Status().Versions) == 2 })
 	return b
 }
 
-// secure gives a router a certificate for callers and operators.
-func secure(t *testing.T) func(*Options) {
+// withCertificate gives a router a certificate for callers and operators.
+func withCertificate(t *testing.T) func(*Options) {
 	server := httptest.NewTLSServer(http.NotFoundHandler())
 	defer server.Close()
 	certificate := server.TLS.Certificates[0]
@@ -88,11 +88,11 @@
 	reader *bufio.Reader
 }
 
-func (b *stopBench) dial(address string) *stopCaller {
+func (b *stopFixture) dial(address string) *stopCaller {
 	conn, err := net.Dial("tcp", address)
 	require.NoError(b.t, err)
 	b.t.Cleanup(func() { _ = conn.Close() })
-	if b.secured {
+	if b.useTLS {
 		secured := tls.Client(conn, &tls.Config{InsecureSkipVerify: true})
 		require.NoError(b.t, secured.Handshake())
 		conn = secured
@@ -115,7 +115,7 @@
 	return answer
 }
 
-func takesConnections(address string) bool {
+func acceptsConnections(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
@@ -124,31 +124,31 @@
 	return true
 }
 
-// half is the first part of a request's head, which ends in the other.
-const half = "GET %s HTTP/1.1\r\nHost: h\r\nAuthorization: "
+// halfHead is the first part of a request's head, which ends in the other.
+const halfHead = "GET %s HTTP/1.1\r\nHost: h\r\nAuthorization: "
 
-// stopDoor is one of the listeners that a router closes at a stop.
-type stopDoor struct {
+// stopTarget is one of the listeners that a router closes at a stop.
+type stopTarget struct {
 	name    string
 	address func(Addresses) string
-	// held is the head of a request whose body the router waits for.
-	held string
+	// openRequestHead is the head of a request whose body the router waits for.
+	openRequestHead string
 	// path is that of a further request, status the answer to it.
 	path   string
 	status int
 	code   string
 }
 
-var stopDoors = []stopDoor{
+var stopTargets = []stopTarget{
 	{
 		name: "callers", address: func(a Addresses) string { return a.Callers },
-		held: "POST /drafts/v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer one\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n",
-		path: "/drafts/v1/models", status: http.StatusServiceUnavailable, code: "2005",
+		openRequestHead: "POST /drafts/v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer one\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n",
+		path:            "/drafts/v1/models", status: http.StatusServiceUnavailable, code: "2005",
 	},
 	{
 		name: "operators", address: func(a Addresses) string { return a.Admin },
-		held: "POST /admin/v1/teams HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer operator\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n",
-		path: "/healthz", status: http.StatusOK,
+		openRequestHead: "POST /admin/v1/teams HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer operator\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n",
+		path:            "/healthz", status: http.StatusOK,
 	},
 }
 
@@ -158,43 +158,43 @@
 // answer, and no log line named the request: http.Server.Shutdown closes a
 // connection whose next request it has read, and calls no handler. Operators'
 // connections ended the same way.
-func TestStopAnswersWhatWasRead(t *testing.T) {
+func TestStopAnswersRequestsAlreadyRead(t *testing.T) {
 	plain := func(*Options) {}
-	for _, door := range stopDoors {
-		t.Run(door.name, func(t *testing.T) { door.check(t, startStopBench(t, "http://127.0.0.1:1", plain)) })
-		t.Run(door.name+" over TLS", func(t *testing.T) { door.check(t, startStopBench(t, "http://127.0.0.1:1", secure(t))) })
+	for _, target := range stopTargets {
+		t.Run(target.name, func(t *testing.T) { target.check(t, startStopFixture(t, "http://127.0.0.1:1", plain)) })
+		t.Run(target.name+" over TLS", func(t *testing.T) { target.check(t, startStopFixture(t, "http://127.0.0.1:1", withCertificate(t))) })
 	}
 }
 
-func (d stopDoor) check(t *testing.T, b *stopBench) {
+func (d stopTarget) check(t *testing.T, b *stopFixture) {
 	address := d.address(b.Addresses())
 	late := b.dial(address)
-	late.send(fmt.Sprintf(half, d.path))
-	held := b.dial(address)
-	held.send(d.held)
-	line, err := held.reader.ReadString('\n')
+	late.send(fmt.Sprintf(halfHead, d.path))
+	openRequest := b.dial(address)
+	openRequest.send(d.openRequestHead)
+	line, err := openRequest.reader.ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, line, "100 Continue")
-	_, err = held.reader.ReadString('\n')
+	_, err = openRequest.reader.ReadString('\n')
 	require.NoError(t, err)
 
-	b.order()
-	eventually(t, "the listener is closed", func() bool { return !takesConnections(address) })
+	b.requestStop()
+	eventually(t, "the listener is closed", func() bool { return !acceptsConnections(address) })
 	late.send("Bearer one\r\n\r\n")
 	answer := late.receive()
 	require.Equal(t, d.status, answer.StatusCode)
 	require.Equal(t, d.code, answer.Header.Get(problem.HeaderResult))
 	require.True(t, answer.Close)
 
-	held.send("{}")
-	held.receive()
+	openRequest.send("{}")
+	openRequest.receive()
 	require.NoError(t, <-b.done)
 }
 
 // Callers keep connections of HTTP/2 open and probe them with pings. A router
 // that takes such a frame for a part of a request would not end its stop.
 func TestStopEndsWithHTTP2Open(t *testing.T) {
-	b := startStopBench(t, "http://127.0.0.1:1", secure(t))
+	b := startStopFixture(t, "http://127.0.0.1:1", withCertificate(t))
 	transport := &http.Transport{
 		TLSClientConfig:   &tls.Config{InsecureSkipVerify: true},
 		ForceAttemptHTTP2: true,
@@ -205,7 +205,7 @@
 	require.NoError(t, err)
 	require.Equal(t, 2, answer.ProtoMajor)
 	require.NoError(t, answer.Body.Close())
-	b.order()
+	b.requestStop()
 	require.NoError(t, <-b.done)
 }
 
@@ -214,20 +214,20 @@
 // connections were closed without an answer, so that no caller could tell
 // whether its request had run: the server was closed under its handlers, and
 // "drain timed out" was all that the log said.
-func TestStopAnswersWhatHasNotEnded(t *testing.T) {
+func TestStopAnswersUnfinishedRequests(t *testing.T) {
 	slow := engine.New(engine.Options{Options: upstream.Options{Name: "engine", Slots: 1}, TokenDelay: time.Hour})
 	url, stop, err := slow.Start("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(stop)
-	b := startStopBench(t, url, func(o *Options) { o.DrainTimeout = time.Second })
+	b := startStopFixture(t, url, func(o *Options) { o.DrainTimeout = time.Second })
 	// An engine is sent one request more than it has slots.
-	sent := []*stopCaller{b.request(), b.request()}
-	eventually(t, "the engine has its requests", func() bool { return len(slow.Ledger().Entries()) == len(sent) })
-	waiting := b.request()
+	running := []*stopCaller{b.sendDraft(), b.sendDraft()}
+	eventually(t, "the engine has its requests", func() bool { return len(slow.Ledger().Entries()) == len(running) })
+	waiting := b.sendDraft()
 	eventually(t, "a request waits", func() bool { return b.Status().Waiting == 1 })
 
-	b.order()
-	for _, c := range sent {
+	b.requestStop()
+	for _, c := range running {
 		answer := c.receive()
 		require.Equal(t, http.StatusBadGateway, answer.StatusCode)
 		require.Equal(t, "5002", answer.Header.Get(problem.HeaderResult))
@@ -239,8 +239,8 @@
 	require.NoError(t, <-b.done)
 }
 
-// request sends a request on a connection of its own.
-func (b *stopBench) request() *stopCaller {
+// sendDraft sends a request on a connection of its own.
+func (b *stopFixture) sendDraft() *stopCaller {
 	c := b.dial(b.Addresses().Callers)
 	c.send("POST /drafts/v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer one\r\nContent-Length: 2\r\n\r\n{}")
 	return c
--- a/transport/daemon/trace.go
+++ b/transport/daemon/trace.go
@@ -50,8 +50,8 @@
 	return trace.RecordSteps(d.scheduler, d.trace.recorder), nil
 }
 
-// noteVersions records which settings came into force.
-func (t *traceFile) noteVersions(self scheduler.Peer, versions map[string]uint64) {
+// recordVersions records which settings came into force.
+func (t *traceFile) recordVersions(self scheduler.Peer, versions map[string]uint64) {
 	if t.recorder == nil {
 		return
 	}
--- a/transport/edge/figures.go
+++ b/transport/edge/figures.go
@@ -30,13 +30,13 @@
 
 func (r *Router) updateMetrics() {
 	ages := r.dispatcher.viewAges()
-	r.metrics.ViewAge("configuration", ages.configuration)
-	r.metrics.ViewAge("loads", ages.loads)
-	r.metrics.ViewAge("spending", ages.spending)
-	r.metrics.Gauge("routers_live", float64(r.dispatcher.liveRouters()))
-	r.metrics.Gauge("ready", boolGauge(r.dispatcher.ready()))
-	r.metrics.Gauge("caller_connections", float64(r.pressure.callerConns.Load()))
-	r.metrics.Gauge("upstream_connections", float64(r.pressure.upstreamConns.Load()))
+	r.metrics.SetViewAge("configuration", ages.configuration)
+	r.metrics.SetViewAge("loads", ages.loads)
+	r.metrics.SetViewAge("spending", ages.spending)
+	r.metrics.SetGauge("routers_live", float64(r.dispatcher.liveRouters()))
+	r.metrics.SetGauge("ready", boolGauge(r.dispatcher.ready()))
+	r.metrics.SetGauge("caller_connections", float64(r.pressure.callerConns.Load()))
+	r.metrics.SetGauge("upstream_connections", float64(r.pressure.upstreamConns.Load()))
 }
 
 // logPressure tells what the router's processor went to in the last second, if it
@@ -45,7 +45,7 @@
 	totals := r.pressure.cpuEstimate.Totals()
 	delta := totals.Since(r.loggedTotals)
 	r.loggedTotals = totals
-	r.metrics.Count("connections_shed", delta.Shed)
+	r.metrics.AddCount("connections_shed", delta.Shed)
 	closedTotal := r.pressure.portClosed.sum(boottime.Now())
 	closedTime := closedTotal - r.loggedClosedTime
 	r.loggedClosedTime = closedTotal
--- a/transport/edge/observer.go
+++ b/transport/edge/observer.go
@@ -19,15 +19,15 @@
 
 // Decided implements ingress.Observer.
 func (o observer) Decided(r admission.Request, reason admission.Reason, repeat bool) {
-	o.metrics.Decided(r.Service, reason.String())
+	o.metrics.CountDecision(r.Service, reason.String())
 	if r.Cost > 0 && !repeat {
-		o.metrics.Judged(r.Workspace, reason.String(), r.Cost)
+		o.metrics.AddAdmissionCost(r.Workspace, reason.String(), r.Cost)
 	}
 }
 
 // Attempted implements ingress.Observer.
 func (o observer) Attempted(upstream state.Upstream, outcome placement.Outcome) {
-	o.metrics.Attempted(upstream, outcome.String())
+	o.metrics.CountAttempt(upstream, outcome.String())
 }
 
 // Finished implements ingress.Observer.
@@ -35,18 +35,18 @@
 	if rec.Attempts == 0 && rec.Result.Code != result.OK {
 		o.pressure.countRefusal()
 	}
-	series := o.metrics.For(rec.Workspace, rec.Class)
+	series := o.metrics.SeriesFor(rec.Workspace, rec.Class)
 	for range rec.Attempts {
-		series.Dispatched(rec.QueueWait)
+		series.RecordDispatch(rec.QueueWait)
 	}
 	if rec.FirstOutput > 0 {
-		series.FirstByte(rec.FirstOutput)
+		series.RecordFirstByte(rec.FirstOutput)
 	}
-	series.Finished(rec.Result, rec.TotalTime, 0)
+	series.RecordResult(rec.Result, rec.TotalTime, 0)
 }
 
 // ObserveEventGap implements ingress.Observer.
 func (o observer) ObserveEventGap(ws state.Workspace, class string, gap time.Duration) {
 	o.pressure.cpuEstimate.AddEvent()
-	o.metrics.For(ws, class).Between(gap)
+	o.metrics.SeriesFor(ws, class).RecordEventGap(gap)
 }
--- a/transport/edge/run_test.go
+++ b/transport/edge/run_test.go
@@ -55,7 +55,7 @@
 	router, err = New(Settings{
 		Router: "r1", DataCentre: "dc", MaxFiles: maxFiles, GracePeriod: grace,
 		Addresses: Addresses{Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", Peers: "127.0.0.1:0"},
-	}, platform, logging.New(logging.NewAsync(io.Discard), "info"))
+	}, platform, logging.New(logging.NewAsyncWriter(io.Discard), "info"))
 	require.NoError(tb, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
--- a/transport/host/host.go
+++ b/transport/host/host.go
@@ -28,8 +28,8 @@
 type Options struct {
 	Scheduler Stepper
 	Peers     PeerLink
-	// Poll replaces the set of upstreams whose load reports are fetched.
-	Poll func(upstreams []state.Upstream)
+	// SetPolledUpstreams replaces the set of upstreams whose load reports are fetched.
+	SetPolledUpstreams func(upstreams []state.Upstream)
 	// Now is the clock; nil means SteadyClock.
 	Now func() time.Time
 	// OnDrained is called once when a draining router has finished.
@@ -51,8 +51,8 @@
 
 type (
 	submission struct {
-		request    scheduler.Request
-		directives chan scheduler.Action
+		request scheduler.Request
+		actions chan scheduler.Action
 	}
 	inspection struct {
 		read func()
@@ -76,15 +76,15 @@
 	if options.Now == nil {
 		options.Now = SteadyClock()
 	}
-	h := &Host{options: options, system: actor.NewActorSystem(actor.WithLoggerFactory(quietLogger))}
-	props := actor.PropsFromProducer(func() actor.Actor { return newRunner(h) })
+	h := &Host{options: options, system: actor.NewActorSystem(actor.WithLoggerFactory(discardLogger))}
+	props := actor.PropsFromProducer(func() actor.Actor { return newSchedulerActor(h) })
 	h.pid = h.system.Root.Spawn(props)
 	return h
 }
 
-// quietLogger drops the actor library's own lines, which are not in the
+// discardLogger drops the actor library's own lines, which are not in the
 // project's log format. What matters of them, a panic, reaches OnPanic.
-func quietLogger(*actor.ActorSystem) *slog.Logger {
+func discardLogger(*actor.ActorSystem) *slog.Logger {
 	return slog.New(slog.DiscardHandler)
 }
 
@@ -113,25 +113,25 @@
 // Submit hands a request to the scheduler. The channel delivers one Dispatch
 // or Refuse at a time and is closed after the request's last one.
 func (h *Host) Submit(req scheduler.Request) <-chan scheduler.Action {
-	directives := make(chan scheduler.Action, directiveBuffer)
-	h.system.Root.Send(h.pid, submission{request: req, directives: directives})
-	return directives
+	actions := make(chan scheduler.Action, actionBuffer)
+	h.system.Root.Send(h.pid, submission{request: req, actions: actions})
+	return actions
 }
 
-// Left says that the caller went away. The channel of Submit then delivers at
+// Withdraw says that the caller went away. The channel of Submit then delivers at
 // most one Dispatch that was already decided, which must be answered with
 // Ended, and is closed.
-func (h *Host) Left(id state.RequestID) {
+func (h *Host) Withdraw(id state.RequestID) {
 	h.Post(scheduler.Left{ID: id})
 }
 
-// Progressed reports cost since the last report.
-func (h *Host) Progressed(id state.RequestID, cost state.Cost) {
+// ReportProgress reports cost since the last report.
+func (h *Host) ReportProgress(id state.RequestID, cost state.Cost) {
 	h.Post(scheduler.Progressed{ID: id, Cost: cost})
 }
 
-// Ended reports how a Dispatch ended.
-func (h *Host) Ended(id state.RequestID, cost state.Cost, outcome scheduler.Outcome) {
+// ReportEnd reports how a Dispatch ended.
+func (h *Host) ReportEnd(id state.RequestID, cost state.Cost, outcome scheduler.Outcome) {
 	h.Post(scheduler.Ended{ID: id, Cost: cost, Outcome: outcome})
 }
 
@@ -142,31 +142,31 @@
 	<-done
 }
 
-// directiveBuffer holds every directive that can be under way for one
+// actionBuffer holds every directive that can be under way for one
 // request: the scheduler gives the next one only after Ended.
-const directiveBuffer = 2
+const actionBuffer = 2
 
-// runner is the actor. Its fields are touched by its own goroutine only.
-type runner struct {
+// schedulerActor is the actor. Its fields are touched by its own goroutine only.
+type schedulerActor struct {
 	host    *Host
-	waiting map[state.RequestID]*pending
+	waiting map[state.RequestID]*waitingRequest
 }
 
-type pending struct {
-	directives chan scheduler.Action
+type waitingRequest struct {
+	actions    chan scheduler.Action
 	dispatched bool
 }
 
-func newRunner(h *Host) *runner {
-	return &runner{host: h, waiting: make(map[state.RequestID]*pending)}
+func newSchedulerActor(h *Host) *schedulerActor {
+	return &schedulerActor{host: h, waiting: make(map[state.RequestID]*waitingRequest)}
 }
 
 // Receive handles one message.
-func (r *runner) Receive(ctx actor.Context) {
+func (r *schedulerActor) Receive(ctx actor.Context) {
 	defer r.failStop()
 	switch msg := ctx.Message().(type) {
 	case submission:
-		r.waiting[msg.request.ID] = &pending{directives: msg.directives}
+		r.waiting[msg.request.ID] = &waitingRequest{actions: msg.actions}
 		r.step(scheduler.Arrived{Request: msg.request})
 	case inspection:
 		msg.read()
@@ -178,7 +178,7 @@
 
 // failStop ends the process on a panic. The actor library would restart the
 // actor with its state lost, and callers would wait for ever.
-func (r *runner) failStop() {
+func (r *schedulerActor) failStop() {
 	cause := recover()
 	if cause == nil {
 		return
@@ -189,29 +189,29 @@
 	r.host.options.OnPanic(fmt.Errorf("scheduler: %v", cause))
 }
 
-func (r *runner) step(ev scheduler.Event) {
+func (r *schedulerActor) step(ev scheduler.Event) {
 	now := r.host.options.Now()
 	actions := r.host.options.Scheduler.Step(now, ev)
-	r.settle(ev)
+	r.updateWaiting(ev)
 	for _, a := range actions {
 		r.perform(a)
 	}
 }
 
-// settle updates who still waits for directives after an event.
-func (r *runner) settle(ev scheduler.Event) {
+// updateWaiting updates who still waits for directives after an event.
+func (r *schedulerActor) updateWaiting(ev scheduler.Event) {
 	switch e := ev.(type) {
 	case scheduler.Left:
 		p, ok := r.waiting[e.ID]
 		if ok && !p.dispatched {
-			r.finish(e.ID, p)
+			r.finishRequest(e.ID, p)
 		}
 	case scheduler.Ended:
-		r.settleEnded(e)
+		r.updateEnded(e)
 	}
 }
 
-func (r *runner) settleEnded(e scheduler.Ended) {
+func (r *schedulerActor) updateEnded(e scheduler.Ended) {
 	p, ok := r.waiting[e.ID]
 	if !ok {
 		return
@@ -220,22 +220,22 @@
 	if e.Outcome == scheduler.OutcomeNotSent || e.Outcome == scheduler.OutcomeLost {
 		return
 	}
-	r.finish(e.ID, p)
+	r.finishRequest(e.ID, p)
 }
 
-func (r *runner) finish(id state.RequestID, p *pending) {
-	close(p.directives)
+func (r *schedulerActor) finishRequest(id state.RequestID, p *waitingRequest) {
+	close(p.actions)
 	delete(r.waiting, id)
 }
 
-func (r *runner) perform(a scheduler.Action) {
+func (r *schedulerActor) perform(a scheduler.Action) {
 	switch act := a.(type) {
 	case scheduler.Dispatch:
 		r.dispatch(act)
 	case scheduler.Refuse:
 		r.refuse(act)
 	case scheduler.Owned:
-		r.host.options.Poll(act.Upstreams)
+		r.host.options.SetPolledUpstreams(act.Upstreams)
 	case scheduler.Drained:
 		if r.host.options.OnDrained != nil {
 			r.host.options.OnDrained()
@@ -247,26 +247,26 @@
 
 // dispatch hands the directive to the caller's goroutine. A request that
 // nobody waits for any more is ended at once, so that its slot is freed.
-func (r *runner) dispatch(act scheduler.Dispatch) {
+func (r *schedulerActor) dispatch(act scheduler.Dispatch) {
 	p, ok := r.waiting[act.ID]
 	if !ok {
-		r.host.Ended(act.ID, 0, scheduler.OutcomeAbandoned)
+		r.host.ReportEnd(act.ID, 0, scheduler.OutcomeAbandoned)
 		return
 	}
 	p.dispatched = true
-	p.directives <- act
+	p.actions <- act
 }
 
-func (r *runner) refuse(act scheduler.Refuse) {
+func (r *schedulerActor) refuse(act scheduler.Refuse) {
 	p, ok := r.waiting[act.ID]
 	if !ok {
 		return
 	}
-	p.directives <- act
-	r.finish(act.ID, p)
+	p.actions <- act
+	r.finishRequest(act.ID, p)
 }
 
-func (r *runner) send(a scheduler.Action) {
+func (r *schedulerActor) send(a scheduler.Action) {
 	env, to, ok := wire.ToEnvelope(a)
 	if !ok {
 		return
--- a/transport/logging/async.go
+++ b/transport/logging/async.go
@@ -8,62 +8,62 @@
 )
 
 const (
-	// flushEvery is how long a line may wait for others: a batch costs one
+	// flushInterval is how long a line may wait for others: a batch costs one
 	// system call instead of one for each line.
-	flushEvery = 100 * time.Millisecond
-	// maxPending bounds what waits for a slow reader of the output.
-	maxPending = 256 << 10
-	// usualPending bounds it for lines of success: refusals and failures still
+	flushInterval = 100 * time.Millisecond
+	// maxPendingBytes bounds what waits for a slow reader of the output.
+	maxPendingBytes = 256 << 10
+	// maxRoutinePendingBytes bounds it for lines of success: refusals and failures still
 	// find room when those have filled their part.
-	usualPending = maxPending / 2
-	// atomicWrite is the size in bytes up to which a write to a pipe is not mixed
+	maxRoutinePendingBytes = maxPendingBytes / 2
+	// maxAtomicWriteBytes is the size in bytes up to which a write to a pipe is not mixed
 	// with those of others (PIPE_BUF on Linux).
-	atomicWrite = 4096
+	maxAtomicWriteBytes = 4096
 )
 
-// Async writes lines from a goroutine of its own. A line beyond the rate of
+// AsyncWriter writes lines from a goroutine of its own. A line beyond the rate of
 // its kind, or that finds the buffer full, is dropped and counted, so that
 // neither a flood of requests nor a reader that stops holds up a request. A
 // line of its own tells how many of which kind were dropped.
-type Async struct {
-	out      io.Writer
-	now      func() time.Time
-	mu       sync.Mutex
-	throttle *throttle
-	pending  []byte
-	spare    []byte
-	wake     chan struct{}
-	stop     chan struct{}
-	done     chan struct{}
+type AsyncWriter struct {
+	out         io.Writer
+	now         func() time.Time
+	mu          sync.Mutex
+	throttle    *throttle
+	pending     []byte
+	spareBuffer []byte
+	wake        chan struct{}
+	stop        chan struct{}
+	done        chan struct{}
 }
 
-// NewAsync returns a writer before out; Close writes what is left.
-func NewAsync(out io.Writer) *Async {
-	a := newAsync(out, time.Now)
+// NewAsyncWriter returns a writer before out; Close writes what is left.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	a := newAsyncWriter(out, time.Now)
 	go a.run()
 	return a
 }
 
-func newAsync(out io.Writer, now func() time.Time) *Async {
-	return &Async{
+func newAsyncWriter(out io.Writer, now func() time.Time) *AsyncWriter {
+	return &AsyncWriter{
 		out: out, now: now, throttle: newThrottle(),
 		wake: make(chan struct{}, 1), stop: make(chan struct{}), done: make(chan struct{}),
 	}
 }
 
 // Write takes one line. It never blocks on the output and never fails.
-func (a *Async) Write(line []byte) (int, error) {
+func (a *AsyncWriter) Write(line []byte) (int, error) {
 	a.mu.Lock()
-	first := len(a.pending) == 0
-	kind := a.throttle.kind(line)
+	wasEmpty := len(a.pending) == 0
+	kind := a.throttle.kindFor(line)
 	switch {
-	case len(a.pending)+len(line) > kind.room(), !kind.rate.AllowN(a.now(), 1):
+	case len(a.pending)+len(line) > kind.pendingLimit(), !kind.limiter.AllowN(a.now(), 1):
 		kind.dropped++
 	default:
 		a.pending = append(a.pending, line...)
 	}
 	a.mu.Unlock()
-	if first {
+	if wasEmpty {
 		select {
 		case a.wake <- struct{}{}:
 		default:
@@ -72,7 +72,7 @@
 	return len(line), nil
 }
 
-func (a *Async) run() {
+func (a *AsyncWriter) run() {
 	defer close(a.done)
 	for {
 		select {
@@ -83,31 +83,31 @@
 		}
 		select {
 		case <-a.stop:
-		case <-time.After(flushEvery):
+		case <-time.After(flushInterval):
 		}
 		a.flush()
 	}
 }
 
-func (a *Async) flush() {
+func (a *AsyncWriter) flush() {
 	a.mu.Lock()
 	lines := a.throttle.appendDropped(a.pending, a.now())
-	a.pending = a.spare[:0]
-	a.spare = nil
+	a.pending = a.spareBuffer[:0]
+	a.spareBuffer = nil
 	a.mu.Unlock()
-	a.output(lines)
+	a.writeBatches(lines)
 	a.mu.Lock()
-	a.spare = lines[:0]
+	a.spareBuffer = lines[:0]
 	a.mu.Unlock()
 }
 
-// output writes whole lines, in pieces that a pipe takes at once; a longer line
+// writeBatches writes whole lines, in pieces that a pipe takes at once; a longer line
 // is written by itself.
-func (a *Async) output(lines []byte) {
+func (a *AsyncWriter) writeBatches(lines []byte) {
 	for len(lines) > 0 {
 		end := len(lines)
-		if end > atomicWrite {
-			end = bytes.LastIndexByte(lines[:atomicWrite], '\n') + 1
+		if end > maxAtomicWriteBytes {
+			end = bytes.LastIndexByte(lines[:maxAtomicWriteBytes], '\n') + 1
 			if end == 0 {
 				end = bytes.IndexByte(lines, '\n') + 1
 			}
@@ -119,7 +119,7 @@
 }
 
 // Close writes what is left and stops.
-func (a *Async) Close() {
+func (a *AsyncWriter) Close() {
 	close(a.stop)
 	<-a.done
 }
--- a/transport/logging/async_test.go
+++ b/transport/logging/async_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// frozen is the time of day of these tests.
-func frozen() time.Time { return time.Unix(1000, 0) }
+// frozenTime is the time of day of these tests.
+func frozenTime() time.Time { return time.Unix(1000, 0) }
 
-func write(t *testing.T, a *Async, lines int, format string, args ...any) {
+func writeLines(t *testing.T, a *AsyncWriter, lines int, format string, args ...any) {
 	t.Helper()
 	for range lines {
 		n, err := a.Write(fmt.Appendf(nil, format+"\n", args...))
@@ -25,16 +25,16 @@
 // A burst of refusals fills the log. Without a rate for each kind it would push
 // out the line that names the lost dependency, which is what the engineer on
 // call is looking for; and nobody could tell that lines are missing.
-func TestFloodOfOneKindLeavesTheOthers(t *testing.T) {
+func TestFloodOfOneKindKeepsOtherKinds(t *testing.T) {
 	var out bytes.Buffer
-	a := newAsync(&out, frozen)
-	write(t, a, 2*troubleRate, "time=x level=warn event=request code=2010")
-	write(t, a, usualRate+7, "time=x level=info event=request code=0")
-	write(t, a, 1, `time=x level=warn event="store lost" error=refused`)
+	a := newAsyncWriter(&out, frozenTime)
+	writeLines(t, a, 2*failureLinesPerSecond, "time=x level=warn event=request code=2010")
+	writeLines(t, a, routineLinesPerSecond+7, "time=x level=info event=request code=0")
+	writeLines(t, a, 1, `time=x level=warn event="store lost" error=refused`)
 	a.flush()
 	log := out.String()
-	require.Equal(t, troubleRate, strings.Count(log, "code=2010"))
-	require.Equal(t, usualRate, strings.Count(log, "code=0"))
+	require.Equal(t, failureLinesPerSecond, strings.Count(log, "code=2010"))
+	require.Equal(t, routineLinesPerSecond, strings.Count(log, "code=0"))
 	require.Contains(t, log, `event="store lost"`)
 	require.Contains(t, log, `event="log lines dropped" lines=600 of="level=warn event=request"`)
 	require.Contains(t, log, `event="log lines dropped" lines=7 of="level=info event=request"`)
@@ -45,25 +45,25 @@
 
 func TestRateRecovers(t *testing.T) {
 	var out bytes.Buffer
-	now := frozen()
-	a := newAsync(&out, func() time.Time { return now })
-	write(t, a, 2*usualRate, "time=x level=info event=request")
+	now := frozenTime()
+	a := newAsyncWriter(&out, func() time.Time { return now })
+	writeLines(t, a, 2*routineLinesPerSecond, "time=x level=info event=request")
 	now = now.Add(time.Second)
-	write(t, a, usualRate, "time=x level=info event=request")
+	writeLines(t, a, routineLinesPerSecond, "time=x level=info event=request")
 	a.flush()
-	require.Equal(t, 2*usualRate, strings.Count(out.String(), "level=info"+" event=request\n"))
+	require.Equal(t, 2*routineLinesPerSecond, strings.Count(out.String(), "level=info"+" event=request\n"))
 }
 
 // The reader of the output has stopped. What waits is bounded, and lines of
 // failures are kept when those of successes no longer are.
 func TestFullBufferKeepsFailures(t *testing.T) {
 	var out bytes.Buffer
-	a := newAsync(&out, frozen)
-	long := strings.Repeat("x", maxPending/usualRate)
-	write(t, a, usualRate, "time=x level=info event=request detail=%s", long)
-	require.LessOrEqual(t, len(a.pending), usualPending)
-	write(t, a, 10, "time=x level=warn event=request detail=%s", long)
-	require.LessOrEqual(t, len(a.pending), maxPending)
+	a := newAsyncWriter(&out, frozenTime)
+	long := strings.Repeat("x", maxPendingBytes/routineLinesPerSecond)
+	writeLines(t, a, routineLinesPerSecond, "time=x level=info event=request detail=%s", long)
+	require.LessOrEqual(t, len(a.pending), maxRoutinePendingBytes)
+	writeLines(t, a, 10, "time=x level=warn event=request detail=%s", long)
+	require.LessOrEqual(t, len(a.pending), maxPendingBytes)
 	a.flush()
 	require.Equal(t, 10, strings.Count(out.String(), "level=warn event=request"))
 	require.Regexp(t, `lines=1[5-9]\d of="level=info event=request"`, out.String())
@@ -79,22 +79,22 @@
 		"rubbish":                                      otherKind,
 		"":                                             otherKind,
 	} {
-		require.Equal(t, want, string(kindOf([]byte(line))), line)
+		require.Equal(t, want, string(kindName([]byte(line))), line)
 	}
 }
 
 func TestKindsAreBounded(t *testing.T) {
 	var out bytes.Buffer
-	a := newAsync(&out, frozen)
+	a := newAsyncWriter(&out, frozenTime)
 	for i := range 10 * maxKinds {
-		write(t, a, 1, "time=x level=info event=invented-%d", i)
+		writeLines(t, a, 1, "time=x level=info event=invented-%d", i)
 	}
 	require.LessOrEqual(t, len(a.throttle.kinds), maxKinds+1)
 }
 
 // BenchmarkAsync takes a line as long as that of a request.
 func BenchmarkAsync(b *testing.B) {
-	a := newAsync(&bytes.Buffer{}, frozen)
+	a := newAsyncWriter(&bytes.Buffer{}, frozenTime)
 	line := []byte("time=x level=info event=request " + strings.Repeat("x", 350))
 	b.ReportAllocs()
 	for b.Loop() {
@@ -102,28 +102,28 @@
 	}
 }
 
-// pieces records each write by itself.
-type pieces [][]byte
+// writeRecorder records each write by itself.
+type writeRecorder [][]byte
 
-func (p *pieces) Write(b []byte) (int, error) {
+func (p *writeRecorder) Write(b []byte) (int, error) {
 	*p = append(*p, bytes.Clone(b))
 	return len(b), nil
 }
 
 // Guards against batches that a pipe takes in parts, so that a collector sees
 // lines cut, mixed with those of others or not at all.
-func TestBatchesFitAPipe(t *testing.T) {
-	var out pieces
-	a := newAsync(&out, frozen)
-	write(t, a, 100, "time=x level=info event=request detail=%s", strings.Repeat("x", 300))
-	write(t, a, 1, "time=x level=warn event=long detail=%s", strings.Repeat("y", 2*atomicWrite))
-	write(t, a, 1, "time=x level=info event=stopped")
+func TestBatchesFitAtomicPipeWrites(t *testing.T) {
+	var out writeRecorder
+	a := newAsyncWriter(&out, frozenTime)
+	writeLines(t, a, 100, "time=x level=info event=request detail=%s", strings.Repeat("x", 300))
+	writeLines(t, a, 1, "time=x level=warn event=long detail=%s", strings.Repeat("y", 2*maxAtomicWriteBytes))
+	writeLines(t, a, 1, "time=x level=info event=stopped")
 	a.flush()
 	lines := 0
 	for _, piece := range out {
 		require.True(t, bytes.HasSuffix(piece, []byte("\n")), "a line is cut")
 		n := bytes.Count(piece, []byte("\n"))
-		require.True(t, len(piece) <= atomicWrite || n == 1, "%d lines in %d bytes", n, len(piece))
+		require.True(t, len(piece) <= maxAtomicWriteBytes || n == 1, "%d lines in %d bytes", n, len(piece))
 		lines += n
 	}
 	require.Equal(t, 102, lines)
--- a/transport/logging/logging.go
+++ b/transport/logging/logging.go
@@ -40,22 +40,22 @@
 	return len(event), nil
 }
 
-// leading are the members that begin a line.
-var leading = []string{zerolog.TimestampFieldName, zerolog.LevelFieldName, zerolog.MessageFieldName}
+// leadingKeys are the members that begin a line.
+var leadingKeys = []string{zerolog.TimestampFieldName, zerolog.LevelFieldName, zerolog.MessageFieldName}
 
 // pair is one member of an event: its name without quotes, its value as JSON.
 type pair struct{ key, value []byte }
 
-// usualPairs is more than the members of most events.
-const usualPairs = 24
+// typicalPairs is more than the members of most events.
+const typicalPairs = 24
 
 // appendPairs renders the members of a JSON object: time, level and message,
 // which is called event, then the others by name.
 func appendPairs(line, object []byte) []byte {
-	var array [usualPairs]pair
+	var array [typicalPairs]pair
 	pairs := appendMembers(array[:0], object)
 	slices.SortStableFunc(pairs, func(a, b pair) int {
-		if order := rank(a.key) - rank(b.key); order != 0 {
+		if order := keyRank(a.key) - keyRank(b.key); order != 0 {
 			return order
 		}
 		return bytes.Compare(a.key, b.key)
@@ -70,13 +70,13 @@
 	return append(line, '\n')
 }
 
-func rank(key []byte) int {
-	for i, name := range leading {
+func keyRank(key []byte) int {
+	for i, name := range leadingKeys {
 		if string(key) == name {
 			return i
 		}
 	}
-	return len(leading)
+	return len(leadingKeys)
 }
 
 func appendMembers(pairs []pair, object []byte) []pair {
--- a/transport/logging/logging_test.go
+++ b/transport/logging/logging_test.go
@@ -17,7 +17,7 @@
 	require.True(t, strings.HasPrefix(line, "time="), line)
 }
 
-func TestValuesThatAreNoStrings(t *testing.T) {
+func TestNonStringValues(t *testing.T) {
 	var out strings.Builder
 	log := New(&out, "info")
 	log.Info().Bool("dialled", true).Str("event", "session_opened").Send()
--- a/transport/logging/throttle.go
+++ b/transport/logging/throttle.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	// usualRate and troubleRate bound the lines a second of one kind: those of
+	// routineLinesPerSecond and troubleRate bound the lines a second of one kind: those of
 	// success, and those of refusals and failures. A router of the largest
 	// fleet serves 230 requests a second, so that only what comes beyond that
 	// is left out; at 400 bytes a line the bound is 360 KB/s for requests.
-	usualRate   = 300
-	troubleRate = 600
+	routineLinesPerSecond = 300
+	failureLinesPerSecond = 600
 	// maxKinds bounds what is kept of kinds; events are named in the code and
 	// are fewer.
 	maxKinds = 128
@@ -25,31 +25,31 @@
 // otherKind takes the lines of kinds beyond maxKinds.
 const otherKind = "level=unknown event=other"
 
-// kind is what counts lines of one level and event.
-type kind struct {
-	rate    *rate.Limiter
-	trouble bool
-	dropped int
+// lineKind is what counts lines of one level and event.
+type lineKind struct {
+	limiter   *rate.Limiter
+	isFailure bool
+	dropped   int
 }
 
-// room is how many bytes may wait when a line of this kind is taken.
-func (k *kind) room() int {
-	if k.trouble {
-		return maxPending
+// pendingLimit is how many bytes may wait when a line of this kind is taken.
+func (k *lineKind) pendingLimit() int {
+	if k.isFailure {
+		return maxPendingBytes
 	}
-	return usualPending
+	return maxRoutinePendingBytes
 }
 
 // throttle bounds each kind of line by a rate of its own, so that a flood of
 // one, as of refusals, leaves the others readable. It is not safe for
 // concurrent use.
-type throttle struct{ kinds map[string]*kind }
+type throttle struct{ kinds map[string]*lineKind }
 
-func newThrottle() *throttle { return &throttle{kinds: make(map[string]*kind)} }
+func newThrottle() *throttle { return &throttle{kinds: make(map[string]*lineKind)} }
 
-// kind returns the counts of a line's kind.
-func (t *throttle) kind(line []byte) *kind {
-	name := kindOf(line)
+// kindFor returns the counts of a line's kind.
+func (t *throttle) kindFor(line []byte) *lineKind {
+	name := kindName(line)
 	if k := t.kinds[string(name)]; k != nil {
 		return k
 	}
@@ -64,16 +64,16 @@
 	return k
 }
 
-func newKind(name []byte) *kind {
-	perSecond, trouble := usualRate, !bytes.HasPrefix(name, []byte("level=info ")) && !bytes.HasPrefix(name, []byte("level=debug "))
-	if trouble {
-		perSecond = troubleRate
+func newKind(name []byte) *lineKind {
+	perSecond, isFailure := routineLinesPerSecond, !bytes.HasPrefix(name, []byte("level=info ")) && !bytes.HasPrefix(name, []byte("level=debug "))
+	if isFailure {
+		perSecond = failureLinesPerSecond
 	}
-	return &kind{rate: rate.NewLimiter(rate.Limit(perSecond), perSecond), trouble: trouble}
+	return &lineKind{limiter: rate.NewLimiter(rate.Limit(perSecond), perSecond), isFailure: isFailure}
 }
 
-// kindOf returns a line's level and event, the pairs after its time.
-func kindOf(line []byte) []byte {
+// kindName returns a line's level and event, the pairs after its time.
+func kindName(line []byte) []byte {
 	_, rest, found := bytes.Cut(line, []byte(" "))
 	if !found || !bytes.HasPrefix(rest, []byte("level=")) {
 		return []byte(otherKind)
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -24,8 +24,8 @@
 // router's memory.
 const MaxSeries = 512
 
-// other is the tag value of pairs beyond MaxSeries.
-const other = "other"
+// overflowTag is the tag value of pairs beyond MaxSeries.
+const overflowTag = "other"
 
 // Metrics is safe for concurrent use.
 type Metrics struct {
@@ -33,11 +33,11 @@
 	closer  io.Closer
 	handler http.Handler
 
-	mu        sync.Mutex
-	series    map[seriesKey]*Series
-	decisions counters
-	costs     counters
-	attempts  counters
+	mu             sync.Mutex
+	series         map[seriesKey]*Series
+	decisions      counters
+	admissionCosts counters
+	attempts       counters
 }
 
 type seriesKey struct {
@@ -47,20 +47,20 @@
 
 // Series holds the histograms of one workspace and class.
 type Series struct {
-	scope    tally.Scope
-	wait     tally.Histogram
-	first    tally.Histogram
-	between  tally.Histogram
-	total    tally.Histogram
-	cost     tally.Histogram
-	attempts tally.Counter
+	scope       tally.Scope
+	queueWait   tally.Histogram
+	firstByte   tally.Histogram
+	eventGap    tally.Histogram
+	requestTime tally.Histogram
+	cost        tally.Histogram
+	attempts    tally.Counter
 }
 
 // New returns metrics with a registry of their own, so that several routers
 // can live in one process. Close flushes and stops it.
 func New(router state.Router, dc state.DataCentre) *Metrics {
 	registry := prom.NewRegistry()
-	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: shortestFirst(registry)})
+	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: sortByLineCount(registry)})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix:                 "figstile",
 		Tags:                   map[string]string{"router": string(router), "data_centre": string(dc)},
@@ -75,9 +75,9 @@
 		handler: reporter.HTTPHandler(),
 		series:  make(map[seriesKey]*Series),
 
-		decisions: newCounters(scope, "decisions", "service", "decision"),
-		costs:     newCounters(scope, "admission_cost", "workspace", "decision"),
-		attempts:  newCounters(scope, "upstream_attempts", "upstream", "outcome"),
+		decisions:      newCounters(scope, "decisions", "service", "decision"),
+		admissionCosts: newCounters(scope, "admission_cost", "workspace", "decision"),
+		attempts:       newCounters(scope, "upstream_attempts", "upstream", "outcome"),
 	}
 }
 
@@ -99,45 +99,45 @@
 // Close reports what is left and stops reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// Gauge sets a gauge of the whole router.
-func (m *Metrics) Gauge(name string, value float64) {
+// SetGauge sets a gauge of the whole router.
+func (m *Metrics) SetGauge(name string, value float64) {
 	m.scope.Gauge(name).Update(value)
 }
 
-// Count adds to a counter of the whole router.
-func (m *Metrics) Count(name string, delta int64) {
+// AddCount adds to a counter of the whole router.
+func (m *Metrics) AddCount(name string, delta int64) {
 	m.scope.Counter(name).Inc(delta)
 }
 
-// Decided counts a decision on a request to a service.
-func (m *Metrics) Decided(service state.Service, decision string) {
-	m.count(&m.decisions, string(service), decision, 1)
+// CountDecision counts a decision on a request to a service.
+func (m *Metrics) CountDecision(service state.Service, decision string) {
+	m.addToCounter(&m.decisions, string(service), decision, 1)
 }
 
-// Judged adds the cost of a request, in the units of the stated throughput, to
+// AddAdmissionCost adds the cost of a request, in the units of the stated throughput, to
 // what was decided on requests of its workspace.
-func (m *Metrics) Judged(ws state.Workspace, decision string, cost float64) {
-	m.count(&m.costs, string(ws), decision, int64(cost))
+func (m *Metrics) AddAdmissionCost(ws state.Workspace, decision string, cost float64) {
+	m.addToCounter(&m.admissionCosts, string(ws), decision, int64(cost))
 }
 
-// Attempted counts how an attempt ended at an upstream.
-func (m *Metrics) Attempted(upstream state.Upstream, outcome string) {
-	m.count(&m.attempts, string(upstream), outcome, 1)
+// CountAttempt counts how an attempt ended at an upstream.
+func (m *Metrics) CountAttempt(upstream state.Upstream, outcome string) {
+	m.addToCounter(&m.attempts, string(upstream), outcome, 1)
 }
 
-func (m *Metrics) count(c *counters, subject, what string, delta int64) {
+func (m *Metrics) addToCounter(c *counters, subject, event string, delta int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	c.get(subject, what).Inc(delta)
+	c.get(subject, event).Inc(delta)
 }
 
-// ViewAge sets the age of what the router knows of something, in seconds.
-func (m *Metrics) ViewAge(view string, age time.Duration) {
+// SetViewAge sets the age of what the router knows of something, in seconds.
+func (m *Metrics) SetViewAge(view string, age time.Duration) {
 	m.scope.Tagged(map[string]string{"view": view}).Gauge("view_age_seconds").Update(age.Seconds())
 }
 
-// For returns the histograms of a workspace and class.
-func (m *Metrics) For(ws state.Workspace, class string) *Series {
+// SeriesFor returns the histograms of a workspace and class.
+func (m *Metrics) SeriesFor(ws state.Workspace, class string) *Series {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := seriesKey{workspace: ws, class: class}
@@ -145,7 +145,7 @@
 		return s
 	}
 	if len(m.series) >= MaxSeries {
-		key = seriesKey{workspace: other, class: other}
+		key = seriesKey{workspace: overflowTag, class: overflowTag}
 	}
 	if s, ok := m.series[key]; ok {
 		return s
@@ -158,38 +158,38 @@
 // The buckets: waits and answers from 1 ms to about 17 minutes, gaps between
 // tokens from 1 ms to 2 s, costs from 0.1 to about 100,000 units.
 var (
-	waitBuckets    = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 21)
-	betweenBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.5, 20)
-	costBuckets    = tally.MustMakeExponentialValueBuckets(0.1, 2, 21)
+	durationBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 21)
+	eventGapBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.5, 20)
+	costBuckets     = tally.MustMakeExponentialValueBuckets(0.1, 2, 21)
 )
 
 func newSeries(scope tally.Scope) *Series {
 	return &Series{
-		scope:    scope,
-		wait:     scope.Histogram("queue_wait_seconds", waitBuckets),
-		first:    scope.Histogram("first_token_seconds", waitBuckets),
-		between:  scope.Histogram("between_tokens_seconds", betweenBuckets),
-		total:    scope.Histogram("request_seconds", waitBuckets),
-		cost:     scope.Histogram("cost_units", costBuckets),
-		attempts: scope.Counter("attempts"),
+		scope:       scope,
+		queueWait:   scope.Histogram("queue_wait_seconds", durationBuckets),
+		firstByte:   scope.Histogram("first_token_seconds", durationBuckets),
+		eventGap:    scope.Histogram("between_tokens_seconds", eventGapBuckets),
+		requestTime: scope.Histogram("request_seconds", durationBuckets),
+		cost:        scope.Histogram("cost_units", costBuckets),
+		attempts:    scope.Counter("attempts"),
 	}
 }
 
-// Dispatched records the time a request waited for its turn.
-func (s *Series) Dispatched(wait time.Duration) {
+// RecordDispatch records the time a request waited for its turn.
+func (s *Series) RecordDispatch(wait time.Duration) {
 	s.attempts.Inc(1)
-	s.wait.RecordDuration(wait)
+	s.queueWait.RecordDuration(wait)
 }
 
-// FirstByte records the time from arrival to the first part of the answer.
-func (s *Series) FirstByte(d time.Duration) { s.first.RecordDuration(d) }
+// RecordFirstByte records the time from arrival to the first part of the answer.
+func (s *Series) RecordFirstByte(d time.Duration) { s.firstByte.RecordDuration(d) }
 
-// Between records the time between two parts of an answer.
-func (s *Series) Between(d time.Duration) { s.between.RecordDuration(d) }
+// RecordEventGap records the time between two parts of an answer.
+func (s *Series) RecordEventGap(d time.Duration) { s.eventGap.RecordDuration(d) }
 
-// Finished records a final answer.
-func (s *Series) Finished(r result.Result, total time.Duration, cost state.Cost) {
-	s.total.RecordDuration(total)
+// RecordResult records a final answer.
+func (s *Series) RecordResult(r result.Result, total time.Duration, cost state.Cost) {
+	s.requestTime.RecordDuration(total)
 	s.cost.RecordValue(float64(cost) / float64(state.CostUnit))
 	s.scope.Tagged(map[string]string{"result": result.Lookup(r.Code).Name, "ran": r.Ran.String()}).Counter("results").Inc(1)
 }
--- a/transport/metrics/metrics_test.go
+++ b/transport/metrics/metrics_test.go
@@ -14,15 +14,15 @@
 
 func TestHistogramsPerWorkspaceAndClass(t *testing.T) {
 	m := New("r1", "sala-laredo")
-	s := m.For("laredo", "guide")
-	s.Dispatched(3 * time.Millisecond)
-	s.Finished(result.New(result.OK, ""), time.Second, 12*state.CostUnit)
+	s := m.SeriesFor("laredo", "guide")
+	s.RecordDispatch(3 * time.Millisecond)
+	s.RecordResult(result.New(result.OK, ""), time.Second, 12*state.CostUnit)
 	require.NoError(t, m.Close())
 
-	page := httptest.NewRecorder()
-	m.Handler().ServeHTTP(page, httptest.NewRequest("GET", "/metrics", nil))
-	require.Contains(t, page.Body.String(), `figstile_queue_wait_seconds_bucket{class="guide",data_centre="sala-laredo",router="r1",workspace="laredo",le="0.004"} 1`)
-	require.Contains(t, page.Body.String(), `result="ok"`)
+	response := httptest.NewRecorder()
+	m.Handler().ServeHTTP(response, httptest.NewRequest("GET", "/metrics", nil))
+	require.Contains(t, response.Body.String(), `figstile_queue_wait_seconds_bucket{class="guide",data_centre="sala-laredo",router="r1",workspace="laredo",le="0.004"} 1`)
+	require.Contains(t, response.Body.String(), `result="ok"`)
 }
 
 // A caller invents a new class with every request. Without a bound the
@@ -30,54 +30,54 @@
 func TestInventedClassesShareOneSeries(t *testing.T) {
 	m := New("r1", "dc")
 	for i := range 10 * MaxSeries {
-		m.For("ws", fmt.Sprint(i))
+		m.SeriesFor("ws", fmt.Sprint(i))
 	}
 	require.LessOrEqual(t, len(m.series), MaxSeries+1)
-	require.Same(t, m.For("ws", "another"), m.For("ws", "yet another"))
+	require.Same(t, m.SeriesFor("ws", "another"), m.SeriesFor("ws", "yet another"))
 	require.NoError(t, m.Close())
 }
 
 func TestCountersByUpstreamAndDecision(t *testing.T) {
 	m := New("r1", "dc")
-	m.Decided("drafts", "overload")
-	m.Judged("small", "over-share", 1200)
-	m.Judged("small", "over-share", 300)
-	m.Attempted("e1", "broken")
-	m.Attempted("e1", "broken")
-	m.ViewAge("configuration", 1500*time.Millisecond)
+	m.CountDecision("drafts", "overload")
+	m.AddAdmissionCost("small", "over-share", 1200)
+	m.AddAdmissionCost("small", "over-share", 300)
+	m.CountAttempt("e1", "broken")
+	m.CountAttempt("e1", "broken")
+	m.SetViewAge("configuration", 1500*time.Millisecond)
 	require.NoError(t, m.Close())
 
-	page := httptest.NewRecorder()
-	m.Handler().ServeHTTP(page, httptest.NewRequest("GET", "/metrics", nil))
-	require.Contains(t, page.Body.String(), `figstile_decisions{data_centre="dc",decision="overload",router="r1",service="drafts"} 1`)
-	require.Contains(t, page.Body.String(), `figstile_admission_cost{data_centre="dc",decision="over-share",router="r1",workspace="small"} 1500`)
-	require.Contains(t, page.Body.String(), `figstile_upstream_attempts{data_centre="dc",outcome="broken",router="r1",upstream="e1"} 2`)
-	require.Contains(t, page.Body.String(), `figstile_view_age_seconds{data_centre="dc",router="r1",view="configuration"} 1.5`)
+	response := httptest.NewRecorder()
+	m.Handler().ServeHTTP(response, httptest.NewRequest("GET", "/metrics", nil))
+	require.Contains(t, response.Body.String(), `figstile_decisions{data_centre="dc",decision="overload",router="r1",service="drafts"} 1`)
+	require.Contains(t, response.Body.String(), `figstile_admission_cost{data_centre="dc",decision="over-share",router="r1",workspace="small"} 1500`)
+	require.Contains(t, response.Body.String(), `figstile_upstream_attempts{data_centre="dc",outcome="broken",router="r1",upstream="e1"} 2`)
+	require.Contains(t, response.Body.String(), `figstile_view_age_seconds{data_centre="dc",router="r1",view="configuration"} 1.5`)
 }
 
 // Upstreams are replaced all day long, each with a new id. A counter for each
 // would grow until the router is killed for its memory.
 func TestUpstreamsThatComeAndGoShareOneCounter(t *testing.T) {
 	m := New("r1", "dc")
-	for i := range 3 * maxCounters {
-		m.Attempted(state.Upstream(fmt.Sprint(i)), "answered")
+	for i := range 3 * maxSubjects {
+		m.CountAttempt(state.Upstream(fmt.Sprint(i)), "answered")
 	}
-	require.LessOrEqual(t, len(m.attempts.subjects), maxCounters+1)
+	require.LessOrEqual(t, len(m.attempts.subjects), maxSubjects+1)
 	require.NoError(t, m.Close())
 }
 
 // Guards against collectors that take the beginning of a page and miss the router's state.
-func TestShortSeriesComeFirst(t *testing.T) {
+func TestShortFamiliesComeFirst(t *testing.T) {
 	m := New("r1", "dc")
 	for i := range 50 {
-		m.For(state.Workspace(fmt.Sprint(i)), "guide").Between(time.Millisecond)
-		m.Judged(state.Workspace(fmt.Sprint(i)), "admitted", 10)
+		m.SeriesFor(state.Workspace(fmt.Sprint(i)), "guide").RecordEventGap(time.Millisecond)
+		m.AddAdmissionCost(state.Workspace(fmt.Sprint(i)), "admitted", 10)
 	}
-	m.Gauge("ready", 1)
+	m.SetGauge("ready", 1)
 	require.NoError(t, m.Close())
-	page := httptest.NewRecorder()
-	m.Handler().ServeHTTP(page, httptest.NewRequest("GET", "/metrics", nil))
-	body := page.Body.String()
+	response := httptest.NewRecorder()
+	m.Handler().ServeHTTP(response, httptest.NewRequest("GET", "/metrics", nil))
+	body := response.Body.String()
 	ready, cost := strings.Index(body, "figstile_ready{"), strings.Index(body, "figstile_admission_cost{")
 	require.Positive(t, ready)
 	require.Less(t, ready, cost)
--- a/transport/metrics/order.go
+++ b/transport/metrics/order.go
@@ -8,21 +8,21 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// shortestFirst orders what a gatherer returns by its number of series, counters
+// sortByLineCount orders what a gatherer returns by its number of series, counters
 // and gauges before histograms: collectors that take only the beginning of a page
 // miss buckets then, and not the router's state.
-func shortestFirst(inner prom.Gatherer) prom.Gatherer {
+func sortByLineCount(inner prom.Gatherer) prom.Gatherer {
 	return prom.GathererFunc(func() ([]*dto.MetricFamily, error) {
 		families, err := inner.Gather()
 		slices.SortStableFunc(families, func(a, b *dto.MetricFamily) int {
-			return cmp.Compare(lines(a), lines(b))
+			return cmp.Compare(lineCount(a), lineCount(b))
 		})
 		return families, err
 	})
 }
 
-// lines is the number of lines of a family's series.
-func lines(f *dto.MetricFamily) int {
+// lineCount is the number of lines of a family's series.
+func lineCount(f *dto.MetricFamily) int {
 	n := 0
 	for _, m := range f.GetMetric() {
 		n += 1 + len(m.GetHistogram().GetBucket())
--- a/transport/objectstore/client.go
+++ b/transport/objectstore/client.go
@@ -104,11 +104,11 @@
 		return Object{}, err
 	}
 	var object Object
-	if err := c.read(ctx, c.reading(objectPath(key)), &object); err != nil {
-		return Object{}, withKey(err, key)
+	if err := c.read(ctx, c.readSpec(objectPath(key)), &object); err != nil {
+		return Object{}, withTarget(err, key)
 	}
 	if object.Key != key || object.Version == 0 {
-		return Object{}, &CallError{Op: http.MethodGet, Target: key, Kind: ErrUnavailable, Cause: errCrossedAnswer}
+		return Object{}, &CallError{Op: http.MethodGet, Target: key, Kind: ErrUnavailable, Cause: errMismatchedAnswer}
 	}
 	return object, nil
 }
@@ -117,10 +117,10 @@
 func (c *Client) List(ctx context.Context, prefix string) ([]Object, Version, error) {
 	query := url.Values{ParamPrefix: {prefix}}
 	var list ListAnswer
-	if err := c.read(ctx, c.reading(PathObjects+"?"+query.Encode()), &list); err != nil {
+	if err := c.read(ctx, c.readSpec(PathObjects+"?"+query.Encode()), &list); err != nil {
 		return nil, 0, err
 	}
-	return checkedList(prefix, list)
+	return checkList(prefix, list)
 }
 
 // Watch implements Store.
@@ -131,19 +131,19 @@
 		ParamWait:   {c.opts.WatchWait.String()},
 	}
 	var list ListAnswer
-	spec := c.reading(PathWatch + "?" + query.Encode())
+	spec := c.readSpec(PathWatch + "?" + query.Encode())
 	spec.timeout += c.opts.WatchWait
-	spec.once = true
+	spec.noRetry = true
 	if err := c.read(ctx, spec, &list); err != nil {
 		return nil, 0, err
 	}
-	return checkedList(prefix, list)
+	return checkList(prefix, list)
 }
 
 // VMs implements Store.
 func (c *Client) VMs(ctx context.Context) ([]VM, error) {
 	var list VMsAnswer
-	if err := c.read(ctx, c.reading(PathVMs), &list); err != nil {
+	if err := c.read(ctx, c.readSpec(PathVMs), &list); err != nil {
 		return nil, err
 	}
 	return list.VMs, nil
@@ -160,16 +160,16 @@
 	}
 	answer, err := c.call(ctx, callSpec{
 		method: http.MethodPut, target: objectPath(key), body: body, timeout: c.opts.Timeout,
-		condition: conditionOf(expected),
+		condition: versionCondition(expected),
 	})
 	if err != nil {
-		return 0, withKey(err, key)
+		return 0, withTarget(err, key)
 	}
 	return decodePut(key, answer)
 }
 
-// reading describes a call without effects.
-func (c *Client) reading(target string) callSpec {
+// readSpec describes a call without effects.
+func (c *Client) readSpec(target string) callSpec {
 	return callSpec{method: http.MethodGet, target: target, timeout: c.opts.Timeout}
 }
 
@@ -178,7 +178,7 @@
 func (c *Client) read(ctx context.Context, spec callSpec, into any) error {
 	answer, err := c.call(ctx, spec)
 	if err != nil {
-		return asRead(err)
+		return asReadError(err)
 	}
 	return decodeRead(spec.target, answer, into)
 }
@@ -188,9 +188,9 @@
 	method, target string
 	body           []byte
 	timeout        time.Duration
-	condition      condition
-	// once keeps the transport from repeating the call.
-	once bool
+	condition      writeCondition
+	// noRetry keeps the transport from repeating the call.
+	noRetry bool
 }
 
 // bodyReader returns the request's body. A body of a type that the transport
@@ -199,20 +199,20 @@
 // repetitions would come as one burst, ahead of any back-off.
 func (s callSpec) bodyReader() io.Reader {
 	body := bytes.NewReader(s.body)
-	if s.once {
+	if s.noRetry {
 		return struct{ io.Reader }{body}
 	}
 	return body
 }
 
-// condition is the header that a write is conditional on.
-type condition struct{ name, value string }
+// writeCondition is the header that a write is conditional on.
+type writeCondition struct{ name, value string }
 
-func conditionOf(expected Version) condition {
+func versionCondition(expected Version) writeCondition {
 	if expected == 0 {
-		return condition{name: HeaderIfNoneMatch, value: MustNotExist}
+		return writeCondition{name: HeaderIfNoneMatch, value: MustNotExist}
 	}
-	return condition{name: HeaderIfMatch, value: strconv.Quote(strconv.FormatUint(uint64(expected), 10))}
+	return writeCondition{name: HeaderIfMatch, value: strconv.Quote(strconv.FormatUint(uint64(expected), 10))}
 }
 
 // httpAnswer is an answer that arrived whole.
@@ -230,15 +230,15 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, spec.timeout)
 	defer cancel()
-	var sent sentTrace
-	request, err := http.NewRequestWithContext(sent.attach(ctx), spec.method, c.opts.BaseURL+spec.target, spec.bodyReader())
+	var conns connTrace
+	request, err := http.NewRequestWithContext(conns.attach(ctx), spec.method, c.opts.BaseURL+spec.target, spec.bodyReader())
 	if err != nil {
 		return httpAnswer{}, &CallError{Op: spec.method, Target: spec.target, Kind: ErrInvalid, Cause: err}
 	}
 	c.setHeaders(request, spec)
-	answer, err := c.exchange(request)
+	answer, err := c.roundTrip(request)
 	if err != nil {
-		return httpAnswer{}, &CallError{Op: spec.method, Target: spec.target, Kind: sent.kind(), Cause: err}
+		return httpAnswer{}, &CallError{Op: spec.method, Target: spec.target, Kind: conns.errorKind(), Cause: err}
 	}
 	return answer, nil
 }
@@ -255,9 +255,9 @@
 	}
 }
 
-// exchange reads the answer to its end, so that a cut one is never taken for
+// roundTrip reads the answer to its end, so that a cut one is never taken for
 // a whole one.
-func (c *Client) exchange(request *http.Request) (httpAnswer, error) {
+func (c *Client) roundTrip(request *http.Request) (httpAnswer, error) {
 	response, err := c.http.Do(request)
 	if err != nil {
 		return httpAnswer{}, err
@@ -274,26 +274,26 @@
 }
 
 var (
-	errAnswerTooLarge = errors.New("answer too large")
-	errCrossedAnswer  = errors.New("answer belongs to another object")
+	errAnswerTooLarge   = errors.New("answer too large")
+	errMismatchedAnswer = errors.New("answer belongs to another object")
 )
 
-// sentTrace proves that a request was not sent. Telling by the kind of error
+// connTrace proves that a request was not sent. Telling by the kind of error
 // would be a guess: a write that reached the platform would then be reported
 // as without effect and be done twice. The transport announces that it looks
 // for a connection and that it has one; only the first without the second is
 // proof. A transport that announces neither gives none.
-type sentTrace struct{ wanted, got atomic.Bool }
+type connTrace struct{ connRequested, connObtained atomic.Bool }
 
-func (s *sentTrace) attach(ctx context.Context) context.Context {
+func (s *connTrace) attach(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { s.wanted.Store(true) },
-		GotConn: func(httptrace.GotConnInfo) { s.got.Store(true) },
+		GetConn: func(string) { s.connRequested.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { s.connObtained.Store(true) },
 	})
 }
 
-func (s *sentTrace) kind() error {
-	if s.wanted.Load() && !s.got.Load() {
+func (s *connTrace) errorKind() error {
+	if s.connRequested.Load() && !s.connObtained.Load() {
 		return ErrUnavailable
 	}
 	return ErrUnknownOutcome
--- a/transport/objectstore/client_test.go
+++ b/transport/objectstore/client_test.go
@@ -9,8 +9,8 @@
 	"github.com/figstile/figstile/transport/objectstore/objectstoretest"
 )
 
-// serve starts a stand-in platform and returns a client of it.
-func serve(t *testing.T, opts platform.Options) (*platform.Platform, *objectstore.Client) {
+// startPlatform starts a stand-in platform and returns a client of it.
+func startPlatform(t *testing.T, opts platform.Options) (*platform.Platform, *objectstore.Client) {
 	t.Helper()
 	p := platform.New(opts)
 	server := httptest.NewServer(p.Handler())
@@ -20,7 +20,7 @@
 
 func TestClientConforms(t *testing.T) {
 	objectstoretest.Run(t, func(t *testing.T) objectstore.Store {
-		_, client := serve(t, platform.Options{})
+		_, client := startPlatform(t, platform.Options{})
 		return client
 	})
 }
--- a/transport/objectstore/decode.go
+++ b/transport/objectstore/decode.go
@@ -97,13 +97,13 @@
 	return nil
 }
 
-// checkedList refuses a list that cannot be the answer to this prefix. Taken
+// checkList refuses a list that cannot be the answer to this prefix. Taken
 // for it, a list of other objects would be delivered as settings, and a version
 // beyond the list's own would make a watcher skip changes.
-func checkedList(prefix string, list ListAnswer) ([]Object, Version, error) {
+func checkList(prefix string, list ListAnswer) ([]Object, Version, error) {
 	for _, object := range list.Objects {
 		if !strings.HasPrefix(object.Key, prefix) || object.Version == 0 || object.Version > list.Version {
-			return nil, 0, &CallError{Op: http.MethodGet, Target: prefix, Kind: ErrUnavailable, Cause: errCrossedAnswer}
+			return nil, 0, &CallError{Op: http.MethodGet, Target: prefix, Kind: ErrUnavailable, Cause: errMismatchedAnswer}
 		}
 	}
 	return list.Objects, list.Version, nil
@@ -127,9 +127,9 @@
 	return call
 }
 
-// asRead turns the unknown outcome of a call without effects into
+// asReadError turns the unknown outcome of a call without effects into
 // ErrUnavailable.
-func asRead(err error) error {
+func asReadError(err error) error {
 	var call *CallError
 	if errors.As(err, &call) && call.Kind == ErrUnknownOutcome {
 		call.Kind = ErrUnavailable
@@ -137,8 +137,8 @@
 	return err
 }
 
-// withKey names the object instead of the path.
-func withKey(err error, key string) error {
+// withTarget names the object instead of the path.
+func withTarget(err error, key string) error {
 	var call *CallError
 	if errors.As(err, &call) {
 		call.Target = key
--- a/transport/objectstore/faults_test.go
+++ b/transport/objectstore/faults_test.go
@@ -23,7 +23,7 @@
 // the same, so it must not claim to know; reading the object settles it.
 func TestLostAnswerLeavesTheOutcomeUnknown(t *testing.T) {
 	for fault, applied := range map[platform.Faults]bool{{LoseAnswers: 1}: true, {LoseWrites: 1}: false} {
-		p, client := serve(t, platform.Options{Faults: fault})
+		p, client := startPlatform(t, platform.Options{Faults: fault})
 		_, err := client.Put(t.Context(), "a", []byte("change 1"), 0)
 		require.ErrorIs(t, err, objectstore.ErrUnknownOutcome)
 		require.NotErrorIs(t, err, objectstore.ErrUnavailable)
@@ -36,7 +36,7 @@
 // The platform accepts connections but never answers, and the caller gives
 // up. A write may have been applied; a read may not, so it is just unavailable.
 func TestHangingPlatform(t *testing.T) {
-	p, client := serve(t, platform.Options{})
+	p, client := startPlatform(t, platform.Options{})
 	p.SetFaults(platform.Faults{Outage: platform.Hang})
 	ctx, cancel := context.WithCancel(t.Context())
 	errs := make(chan error, 2)
@@ -73,8 +73,8 @@
 // another when the platform cuts both. The write's outcome is unknown, for it
 // had a connection. The watch must not be repeated by the transport, for every
 // router would do so at that moment.
-func TestCutOfKeptConnections(t *testing.T) {
-	p, client := serve(t, platform.Options{})
+func TestCutPooledConnections(t *testing.T) {
+	p, client := startPlatform(t, platform.Options{})
 	_, err := client.VMs(t.Context())
 	require.NoError(t, err)
 	ended := make(chan error, 1)
@@ -97,7 +97,7 @@
 // read, however long it waits.
 func TestRateLimits(t *testing.T) {
 	var now atomic.Int64
-	p, client := serve(t, platform.Options{
+	p, client := startPlatform(t, platform.Options{
 		Faults: platform.Faults{WritesPerSecond: 2, ReadsPerSecond: 2},
 		Now:    func() time.Time { return time.Unix(now.Load(), 0) },
 	})
@@ -128,7 +128,7 @@
 // Reads are answered from an old replica: the client passes on what it is
 // told, with the old version, so that callers can see that it is old.
 func TestStaleReadsShowTheirVersion(t *testing.T) {
-	p, client := serve(t, platform.Options{})
+	p, client := startPlatform(t, platform.Options{})
 	first, err := client.Put(t.Context(), "a", []byte("old"), 0)
 	require.NoError(t, err)
 	p.SetFaults(platform.Faults{StaleReads: true})
@@ -144,9 +144,9 @@
 }
 
 // A machine leaves but the list of machines still shows it for a while.
-func TestLaggingListOfMachines(t *testing.T) {
+func TestLaggingVMList(t *testing.T) {
 	var now atomic.Int64
-	p, client := serve(t, platform.Options{
+	p, client := startPlatform(t, platform.Options{
 		Faults: platform.Faults{VMLagMs: 5000},
 		Now:    func() time.Time { return time.Unix(now.Load(), 0) },
 	})
--- a/transport/objectstore/fuzz_test.go
+++ b/transport/objectstore/fuzz_test.go
@@ -49,7 +49,7 @@
 			require.NotErrorIs(t, err, ErrUnknownOutcome)
 			return
 		}
-		objects, version, err := checkedList("a/", list)
+		objects, version, err := checkList("a/", list)
 		if err != nil {
 			require.ErrorIs(t, err, ErrUnavailable)
 			return
--- a/transport/objectstore/objectstoretest/suite.go
+++ b/transport/objectstore/objectstoretest/suite.go
@@ -19,15 +19,15 @@
 		name  string
 		check func(*testing.T, objectstore.Store)
 	}{
-		{"create and read", checkCreate},
+		{"create and read", checkCreateAndRead},
 		{"keys survive the transport", checkKeys},
-		{"invalid calls", checkInvalid},
-		{"largest value", checkLargest},
+		{"invalid calls", checkInvalidCalls},
+		{"largest value", checkLargestValue},
 		{"conditions", checkConditions},
 		{"one winner", checkOneWinner},
 		{"versions rise over all keys", checkVersions},
 		{"list", checkList},
-		{"watch returns what is there", checkWatchPast},
+		{"watch returns what is there", checkWatchExisting},
 		{"watch waits", checkWatchWaits},
 		{"watch keeps to its prefix", checkWatchPrefix},
 		{"watch ends with its context", checkWatchContext},
@@ -53,7 +53,7 @@
 	require.Equal(t, current, conflict.Current)
 }
 
-func checkCreate(t *testing.T, store objectstore.Store) {
+func checkCreateAndRead(t *testing.T, store objectstore.Store) {
 	_, err := store.Get(t.Context(), "a/b")
 	require.ErrorIs(t, err, objectstore.ErrNotFound)
 	version := put(t, store, "a/b", "one", 0)
@@ -71,7 +71,7 @@
 	}
 }
 
-func checkInvalid(t *testing.T, store objectstore.Store) {
+func checkInvalidCalls(t *testing.T, store objectstore.Store) {
 	for _, key := range []string{"", "/a", "a/", "a//b", "a/../b", "."} {
 		_, err := store.Put(t.Context(), key, nil, 0)
 		require.ErrorIs(t, err, objectstore.ErrInvalid, "key %q", key)
@@ -82,7 +82,7 @@
 	require.ErrorIs(t, err, objectstore.ErrInvalid)
 }
 
-func checkLargest(t *testing.T, store objectstore.Store) {
+func checkLargestValue(t *testing.T, store objectstore.Store) {
 	value := bytes.Repeat([]byte{0xff}, objectstore.MaxValueBytes)
 	_, err := store.Put(t.Context(), "a", value, 0)
 	require.NoError(t, err)
@@ -152,7 +152,7 @@
 	require.Greater(t, version, before)
 }
 
-func checkWatchPast(t *testing.T, store objectstore.Store) {
+func checkWatchExisting(t *testing.T, store objectstore.Store) {
 	first := put(t, store, "a/1", "old", 0)
 	second := put(t, store, "a/2", "x", 0)
 	third := put(t, store, "a/1", "new", first)
--- a/transport/objectstore/watcher.go
+++ b/transport/objectstore/watcher.go
@@ -14,16 +14,16 @@
 
 // Defaults of WatcherOptions.
 const (
-	// DefaultPause limits a watcher on a busy prefix to five calls a second,
+	// DefaultWatchInterval limits a watcher on a busy prefix to five calls a second,
 	// whatever the rate of writes; a change still arrives within a second.
-	DefaultPause = 200 * time.Millisecond
-	// DefaultFirstRetry is about the time a platform restarts a server in.
-	DefaultFirstRetry = 250 * time.Millisecond
-	// DefaultLastRetry has every watcher back within twice its length of the
+	DefaultWatchInterval = 200 * time.Millisecond
+	// DefaultInitialBackoff is about the time a platform restarts a server in.
+	DefaultInitialBackoff = 250 * time.Millisecond
+	// DefaultMaxBackoff has every watcher back within twice its length of the
 	// outage's end, which is seconds. At 730 routers with three watchers each,
 	// retries spread evenly over it are 730 calls a second, two fifths of the
 	// platform's reads.
-	DefaultLastRetry = 3 * time.Second
+	DefaultMaxBackoff = 3 * time.Second
 )
 
 // WatcherOptions sets up a Watcher.
@@ -34,11 +34,11 @@
 	// version lower than one already delivered. The first call holds the
 	// whole list, which may be empty. Calls do not overlap.
 	Deliver func(objects []Object)
-	// Pause is the mean time between an answer and the next watch.
-	Pause time.Duration
-	// FirstRetry and LastRetry bound the back-off after failed calls.
-	FirstRetry time.Duration
-	LastRetry  time.Duration
+	// WatchInterval is the mean time between an answer and the next watch.
+	WatchInterval time.Duration
+	// InitialBackoff and LastRetry bound the back-off after failed calls.
+	InitialBackoff time.Duration
+	MaxBackoff     time.Duration
 	// Now is the clock of Health; time.Now if nil.
 	Now func() time.Time
 	// Sleep waits for a duration or the context's end; by real time if nil.
@@ -82,9 +82,9 @@
 
 // NewWatcher returns a watcher; Run starts it.
 func NewWatcher(opts WatcherOptions) *Watcher {
-	setDefault(&opts.Pause, DefaultPause)
-	setDefault(&opts.FirstRetry, DefaultFirstRetry)
-	setDefault(&opts.LastRetry, DefaultLastRetry)
+	setDefault(&opts.WatchInterval, DefaultWatchInterval)
+	setDefault(&opts.InitialBackoff, DefaultInitialBackoff)
+	setDefault(&opts.MaxBackoff, DefaultMaxBackoff)
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
@@ -94,14 +94,14 @@
 	if opts.Rand == nil {
 		opts.Rand = rand.Float64
 	}
-	retry := backoff.NewExponentialBackOff()
-	retry.InitialInterval = opts.FirstRetry
-	retry.MaxInterval = opts.LastRetry
-	retry.Multiplier = 2
+	exponential := backoff.NewExponentialBackOff()
+	exponential.InitialInterval = opts.InitialBackoff
+	exponential.MaxInterval = opts.MaxBackoff
+	exponential.Multiplier = 2
 	// The jitter is drawn in jitter, from a source that tests can set.
-	retry.RandomizationFactor = 0
-	retry.Reset()
-	return &Watcher{opts: opts, backoff: retry, delivered: make(map[string]Version)}
+	exponential.RandomizationFactor = 0
+	exponential.Reset()
+	return &Watcher{opts: opts, backoff: exponential, delivered: make(map[string]Version)}
 }
 
 func setDefault(d *time.Duration, value time.Duration) {
@@ -125,7 +125,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if w.opts.Sleep(ctx, w.settle(err)) != nil {
+		if w.opts.Sleep(ctx, w.recordResult(err)) != nil {
 			break
 		}
 	}
@@ -165,25 +165,25 @@
 // deliver passes on what is new. The position never falls, because all that
 // was written up to it has been delivered, whatever a stale read says.
 func (w *Watcher) deliver(objects []Object, version Version) {
-	fresh := make([]Object, 0, len(objects))
+	newer := make([]Object, 0, len(objects))
 	for _, object := range objects {
 		if object.Version <= w.delivered[object.Key] {
 			continue
 		}
 		w.delivered[object.Key] = object.Version
-		fresh = append(fresh, object)
+		newer = append(newer, object)
 	}
-	if len(fresh) > 0 {
-		w.opts.Deliver(fresh)
+	if len(newer) > 0 {
+		w.opts.Deliver(newer)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.health.Version = max(w.health.Version, version)
 }
 
-// settle records the outcome of a call and returns the time to wait before
+// recordResult records the outcome of a call and returns the time to wait before
 // the next one.
-func (w *Watcher) settle(err error) time.Duration {
+func (w *Watcher) recordResult(err error) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err == nil {
@@ -191,7 +191,7 @@
 		w.health.LastSuccess = w.opts.Now()
 		w.health.Failures = 0
 		w.health.LastError = nil
-		return w.jitter(w.opts.Pause)
+		return w.jitter(w.opts.WatchInterval)
 	}
 	w.health.Failures++
 	w.health.LastError = err
--- a/transport/objectstore/watcher_test.go
+++ b/transport/objectstore/watcher_test.go
@@ -12,25 +12,25 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// answer is what a scripted store says to one list or watch.
-type answer struct {
+// scriptedAnswer is what a scripted store says to one list or watch.
+type scriptedAnswer struct {
 	objects []objectstore.Object
 	version objectstore.Version
 	err     error
 }
 
-// script is a store that answers lists and watches in turn and ends the
+// scriptedStore is a store that answers lists and watches in turn and ends the
 // watcher's context after the last answer.
-type script struct {
+type scriptedStore struct {
 	objectstore.Store
-	answers []answer
+	answers []scriptedAnswer
 	done    context.CancelFunc
-	// after holds the versions that watches asked for.
-	after []objectstore.Version
-	lists int
+	// watchedAfter holds the versions that watches asked for.
+	watchedAfter []objectstore.Version
+	lists        int
 }
 
-func (s *script) next() ([]objectstore.Object, objectstore.Version, error) {
+func (s *scriptedStore) next() ([]objectstore.Object, objectstore.Version, error) {
 	if len(s.answers) == 0 {
 		s.done()
 		return nil, 0, context.Canceled
@@ -40,19 +40,19 @@
 	return a.objects, a.version, a.err
 }
 
-func (s *script) List(context.Context, string) ([]objectstore.Object, objectstore.Version, error) {
+func (s *scriptedStore) List(context.Context, string) ([]objectstore.Object, objectstore.Version, error) {
 	s.lists++
 	return s.next()
 }
 
-func (s *script) Watch(_ context.Context, _ string, after objectstore.Version) ([]objectstore.Object, objectstore.Version, error) {
-	s.after = append(s.after, after)
+func (s *scriptedStore) Watch(_ context.Context, _ string, after objectstore.Version) ([]objectstore.Object, objectstore.Version, error) {
+	s.watchedAfter = append(s.watchedAfter, after)
 	return s.next()
 }
 
-// follow runs a watcher through a script and returns what it delivered and
+// runWatcher runs a watcher through a script and returns what it delivered and
 // how long it slept after each answer.
-func follow(t *testing.T, s *script, draw func() float64) (w *objectstore.Watcher, delivered [][]objectstore.Object, slept []time.Duration) {
+func runWatcher(t *testing.T, s *scriptedStore, random func() float64) (w *objectstore.Watcher, delivered [][]objectstore.Object, slept []time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	s.done = cancel
@@ -64,13 +64,13 @@
 			slept = append(slept, d)
 			return nil
 		},
-		Rand: draw,
+		Rand: random,
 	})
 	require.ErrorIs(t, w.Run(ctx), context.Canceled)
 	return w, delivered, slept
 }
 
-func half() float64 { return 0.5 }
+func alwaysHalf() float64 { return 0.5 }
 
 func object(key string, version objectstore.Version) objectstore.Object {
 	return objectstore.Object{Key: key, Version: version}
@@ -80,8 +80,8 @@
 // and, after the history was cut, a list with the setting of version 7. The
 // reader must never see it, and must not watch from the past again. A fresh list
 // after the next cut brings just what changed meanwhile.
-func TestWatcherNeverGoesBack(t *testing.T) {
-	s := &script{answers: []answer{
+func TestWatcherNeverDeliversOlderVersions(t *testing.T) {
+	s := &scriptedStore{answers: []scriptedAnswer{
 		{objects: []objectstore.Object{object("a", 10)}, version: 10},
 		{objects: []objectstore.Object{object("a", 7)}, version: 7},
 		{err: objectstore.ErrTooOld},
@@ -90,38 +90,38 @@
 		{err: objectstore.ErrTooOld},
 		{objects: []objectstore.Object{object("a", 900), object("b", 11)}, version: 950},
 	}}
-	w, delivered, _ := follow(t, s, half)
+	w, delivered, _ := runWatcher(t, s, alwaysHalf)
 	require.Equal(t, [][]objectstore.Object{{object("a", 10)}, {object("b", 11)}, {object("a", 900)}}, delivered)
-	require.Equal(t, []objectstore.Version{10, 10, 10, 11, 950}, s.after)
+	require.Equal(t, []objectstore.Version{10, 10, 10, 11, 950}, s.watchedAfter)
 	require.Equal(t, 3, s.lists)
 	require.EqualValues(t, 950, w.Health().Version)
 }
 
 func TestWatcherReportsAnEmptyListOnce(t *testing.T) {
-	_, delivered, _ := follow(t, &script{answers: []answer{{version: 3}, {version: 3}}}, half)
+	_, delivered, _ := runWatcher(t, &scriptedStore{answers: []scriptedAnswer{{version: 3}, {version: 3}}}, alwaysHalf)
 	require.Equal(t, [][]objectstore.Object{nil}, delivered)
 }
 
 // The platform is away for seven calls. The watcher calls less and less often,
 // up to a bound, keeps count, and is back at its usual pace after one success.
 func TestWatcherBacksOffDuringAnOutage(t *testing.T) {
-	s := &script{answers: []answer{{version: 1}}}
+	s := &scriptedStore{answers: []scriptedAnswer{{version: 1}}}
 	for range 7 {
-		s.answers = append(s.answers, answer{err: objectstore.ErrUnavailable})
+		s.answers = append(s.answers, scriptedAnswer{err: objectstore.ErrUnavailable})
 	}
-	w, _, slept := follow(t, s, half)
-	require.Equal(t, objectstore.DefaultPause, slept[0])
-	require.Equal(t, objectstore.DefaultFirstRetry, slept[1])
-	require.Equal(t, 2*objectstore.DefaultFirstRetry, slept[2])
-	require.Equal(t, objectstore.DefaultLastRetry, slept[7])
+	w, _, slept := runWatcher(t, s, alwaysHalf)
+	require.Equal(t, objectstore.DefaultWatchInterval, slept[0])
+	require.Equal(t, objectstore.DefaultInitialBackoff, slept[1])
+	require.Equal(t, 2*objectstore.DefaultInitialBackoff, slept[2])
+	require.Equal(t, objectstore.DefaultMaxBackoff, slept[7])
 	health := w.Health()
 	require.Equal(t, 7, health.Failures)
 	require.ErrorIs(t, health.LastError, objectstore.ErrUnavailable)
 	require.Equal(t, time.Unix(100, 0), health.LastSuccess)
 
-	s = &script{answers: []answer{{err: objectstore.ErrUnavailable}, {version: 1}, {err: objectstore.ErrUnavailable}}}
-	w, _, slept = follow(t, s, half)
-	require.Equal(t, objectstore.DefaultFirstRetry, slept[2])
+	s = &scriptedStore{answers: []scriptedAnswer{{err: objectstore.ErrUnavailable}, {version: 1}, {err: objectstore.ErrUnavailable}}}
+	w, _, slept = runWatcher(t, s, alwaysHalf)
+	require.Equal(t, objectstore.DefaultInitialBackoff, slept[2])
 	require.Equal(t, 1, w.Health().Failures)
 }
 
@@ -133,8 +133,8 @@
 	source := rand.New(rand.NewPCG(1, 2))
 	var calls [slices]int
 	for range routers {
-		_, _, slept := follow(t, &script{answers: []answer{{err: objectstore.ErrUnavailable}}}, source.Float64)
-		calls[slept[0]*slices/(2*objectstore.DefaultFirstRetry)]++
+		_, _, slept := runWatcher(t, &scriptedStore{answers: []scriptedAnswer{{err: objectstore.ErrUnavailable}}}, source.Float64)
+		calls[slept[0]*slices/(2*objectstore.DefaultInitialBackoff)]++
 	}
 	for _, n := range calls {
 		require.Less(t, n, 2*routers/slices)
@@ -143,7 +143,7 @@
 
 // A prefix is written many times a second. The watcher must not make a call
 // for each write: what is written during its pause comes as one change.
-func TestWatcherGathersWritesOfABusyPrefix(t *testing.T) {
+func TestWatcherBatchesFrequentWrites(t *testing.T) {
 	const writes = 50
 	store := platform.NewStore(platform.StoreOptions{})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -173,14 +173,14 @@
 // The platform cuts a waiting watch and goes away. A setting is changed before
 // routers reach it again. The change must arrive without anybody's help.
 func TestWatcherResumesAfterAnOutage(t *testing.T) {
-	p, client := serve(t, platform.Options{})
+	p, client := startPlatform(t, platform.Options{})
 	seen := make(chan string, 2)
 	w := objectstore.NewWatcher(objectstore.WatcherOptions{
-		Store:      client,
-		Prefix:     "settings/",
-		FirstRetry: time.Millisecond,
-		LastRetry:  time.Millisecond,
-		Pause:      time.Millisecond,
+		Store:          client,
+		Prefix:         "settings/",
+		InitialBackoff: time.Millisecond,
+		MaxBackoff:     time.Millisecond,
+		WatchInterval:  time.Millisecond,
 		Deliver: func(objects []objectstore.Object) {
 			for _, o := range objects {
 				seen <- o.Key
--- a/transport/orders/controller.go
+++ b/transport/orders/controller.go
@@ -20,12 +20,12 @@
 	// DefaultTimeout is how long an engine may take to load a model: a large
 	// read from a rate-limited weight store.
 	DefaultTimeout = 10 * time.Minute
-	// DefaultTick is a third of the gap that the decider takes for a pause.
-	DefaultTick = time.Second
+	// DefaultTickInterval is a third of the gap that the decider takes for a pause.
+	DefaultTickInterval = time.Second
 	// connectTimeout is the share of the lease's margin meant for connecting.
 	connectTimeout = 2 * time.Second
-	// eventBacklog holds reports and ticks while one event is handled.
-	eventBacklog = 16
+	// inputBuffer holds reports and ticks while one event is handled.
+	inputBuffer = 16
 )
 
 // Options sets up a Controller.
@@ -40,8 +40,8 @@
 	HTTPClient *http.Client
 	// Timeout bounds one order.
 	Timeout time.Duration
-	// Tick is the pace of the decider's clock.
-	Tick time.Duration
+	// TickInterval is the pace of the decider's clock.
+	TickInterval time.Duration
 	// Clock reads both clocks of the process; SystemClock if nil.
 	Clock func() fencing.Instant
 	Log   zerolog.Logger
@@ -52,28 +52,28 @@
 	opts   Options
 	holder *fencing.Holder
 	inputs chan input
-	ended  chan struct{}
-
-	// settings is the version that the present wish is in force by.
-	settings atomic.Uint64
-	// storeAway is set while the store gives no answer.
-	storeAway atomic.Bool
-	// leaving is set once the engine is given up.
-	leaving atomic.Bool
-	// underWay counts the actions without an answer; only Run touches it.
-	underWay int
+	done   chan struct{}
+
+	// settingsVersion is the version that the present wish is in force by.
+	settingsVersion atomic.Uint64
+	// storeUnavailable is set while the store gives no answer.
+	storeUnavailable atomic.Bool
+	// draining is set once the engine is given up.
+	draining atomic.Bool
+	// pendingActions counts the actions without an answer; only Run touches it.
+	pendingActions int
 }
 
 // input is what Run takes: an event and what comes with it.
 type input struct {
 	event fencing.Event
-	// settings is the version that the wish is in force by; zero if the event
+	// settingsVersion is the version that the wish is in force by; zero if the event
 	// tells nothing of it.
-	settings uint64
-	// answers is set if the event is the answer to an action.
-	answers bool
-	// leaves is set if the engine is given up.
-	leaves bool
+	settingsVersion uint64
+	// completesAction is set if the event is the answer to an action.
+	completesAction bool
+	// startsDrain is set if the engine is given up.
+	startsDrain bool
 }
 
 // New returns a controller that wants nothing yet.
@@ -84,8 +84,8 @@
 	if opts.Timeout <= 0 {
 		opts.Timeout = DefaultTimeout
 	}
-	if opts.Tick <= 0 {
-		opts.Tick = DefaultTick
+	if opts.TickInterval <= 0 {
+		opts.TickInterval = DefaultTickInterval
 	}
 	if opts.Clock == nil {
 		opts.Clock = SystemClock()
@@ -94,8 +94,8 @@
 	return &Controller{
 		opts:   opts,
 		holder: fencing.NewHolder(opts.Holder, opts.Clock()),
-		inputs: make(chan input, eventBacklog),
-		ended:  make(chan struct{}),
+		inputs: make(chan input, inputBuffer),
+		done:   make(chan struct{}),
 	}
 }
 
@@ -118,22 +118,22 @@
 	}
 }
 
-// Want replaces what the engine is to hold; nil leaves it as it is. The
+// SetWish replaces what the engine is to hold; nil leaves it as it is. The
 // settings are the version that the wish was read from. Want waits for Run to
 // take it, and does nothing once Run has ended.
-func (c *Controller) Want(wish *fencing.DesiredState, settings uint64) {
-	c.post(input{event: fencing.DesiredChanged{Desired: wish}, settings: settings})
+func (c *Controller) SetWish(wish *fencing.DesiredState, settings uint64) {
+	c.post(input{event: fencing.DesiredChanged{Desired: wish}, settingsVersion: settings})
 }
 
-// Confirm says that the present wish stands in later settings too. It is not
+// ConfirmSettings says that the present wish stands in later settings too. It is not
 // wanted anew, which would end the back-off of orders that fail.
-func (c *Controller) Confirm(settings uint64) {
-	c.post(input{event: fencing.Tick{}, settings: settings})
+func (c *Controller) ConfirmSettings(settings uint64) {
+	c.post(input{event: fencing.Tick{}, settingsVersion: settings})
 }
 
-// GiveUp has Run end as soon as the order under way has ended and the lease is
+// Drain has Run end as soon as the order under way has ended and the lease is
 // released. No further order is given.
-func (c *Controller) GiveUp() { c.post(input{event: fencing.DesiredChanged{}, leaves: true}) }
+func (c *Controller) Drain() { c.post(input{event: fencing.DesiredChanged{}, startsDrain: true}) }
 
 // Report passes on a load report of the engine that was read just now. It is
 // dropped if Run is behind, for another one follows.
@@ -147,7 +147,7 @@
 func (c *Controller) post(in input) {
 	select {
 	case c.inputs <- in:
-	case <-c.ended:
+	case <-c.done:
 	}
 }
 
@@ -158,32 +158,32 @@
 func (c *Controller) Run(ctx context.Context) error {
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	defer close(c.ended)
-	ticker := time.NewTicker(c.opts.Tick)
+	defer close(c.done)
+	ticker := time.NewTicker(c.opts.TickInterval)
 	defer ticker.Stop()
-	for !c.atRest() {
-		in, err := c.next(ctx, ticker.C)
+	for !c.isDrained() {
+		in, err := c.nextInput(ctx, ticker.C)
 		if err != nil {
 			return err
 		}
-		for _, action := range c.take(in) {
-			calls.Go(func() { c.post(input{event: c.perform(ctx, action), answers: true}) })
+		for _, action := range c.handleInput(in) {
+			calls.Go(func() { c.post(input{event: c.perform(ctx, action), completesAction: true}) })
 		}
 	}
 	return nil
 }
 
-// atRest reports whether a given-up engine needs nothing more: no call is
+// isDrained reports whether a given-up engine needs nothing more: no call is
 // under way, and the lease is not held. A lease that cannot be released is left
 // to its end: waiting for a store that is away would hold up the router's stop.
-func (c *Controller) atRest() bool {
-	if !c.leaving.Load() || c.underWay > 0 {
+func (c *Controller) isDrained() bool {
+	if !c.draining.Load() || c.pendingActions > 0 {
 		return false
 	}
-	return c.holder.Number() == 0 || c.storeAway.Load()
+	return c.holder.Number() == 0 || c.storeUnavailable.Load()
 }
 
-func (c *Controller) next(ctx context.Context, ticks <-chan time.Time) (input, error) {
+func (c *Controller) nextInput(ctx context.Context, ticks <-chan time.Time) (input, error) {
 	select {
 	case in := <-c.inputs:
 		return in, nil
@@ -194,19 +194,19 @@
 	}
 }
 
-// take lets the decider see an input and counts what it asks for.
-func (c *Controller) take(in input) []fencing.Action {
-	if in.answers {
-		c.underWay--
+// handleInput lets the decider see an input and counts what it asks for.
+func (c *Controller) handleInput(in input) []fencing.Action {
+	if in.completesAction {
+		c.pendingActions--
 	}
-	if in.settings > 0 {
-		c.settings.Store(in.settings)
+	if in.settingsVersion > 0 {
+		c.settingsVersion.Store(in.settingsVersion)
 	}
-	if in.leaves {
-		c.leaving.Store(true)
+	if in.startsDrain {
+		c.draining.Store(true)
 	}
 	actions := c.holder.Step(c.opts.Clock(), in.event)
-	c.underWay += len(actions)
+	c.pendingActions += len(actions)
 	return actions
 }
 
--- a/transport/orders/controller_test.go
+++ b/transport/orders/controller_test.go
@@ -25,59 +25,59 @@
 // waitTimeout bounds waits on conditions; no outcome depends on it.
 const waitTimeout = 20 * time.Second
 
-// bench is an engine, a store and a clock that only the test moves.
-type bench struct {
-	t      *testing.T
-	engine *engine.Engine
-	url    string
-	store  objectstore.Store
-	now    fencing.Instant
-	checks bool
+// controllerFixture is an engine, a store and a clock that only the test moves.
+type controllerFixture struct {
+	t             *testing.T
+	engine        *engine.Engine
+	url           string
+	store         objectstore.Store
+	now           fencing.Instant
+	checksFencing bool
 }
 
-func newBench(t *testing.T, checks bool) *bench {
+func newControllerFixture(t *testing.T, checksFencing bool) *controllerFixture {
 	t.Helper()
-	e := engine.New(engine.Options{ChecksFencing: checks})
+	e := engine.New(engine.Options{ChecksFencing: checksFencing})
 	server := httptest.NewServer(e.Handler())
 	t.Cleanup(server.Close)
-	return &bench{
-		t: t, engine: e, url: server.URL, checks: checks,
+	return &controllerFixture{
+		t: t, engine: e, url: server.URL, checksFencing: checksFencing,
 		store: platform.NewStore(platform.StoreOptions{}),
 		now:   fencing.Instant{Wall: time.Unix(1_000_000, 0)},
 	}
 }
 
-func (b *bench) controller(name state.Router, client *http.Client) *Controller {
+func (b *controllerFixture) controller(name state.Router, client *http.Client) *Controller {
 	return New(Options{
 		Upstream: "engine", BaseURL: b.url, Store: b.store, HTTPClient: client,
-		Holder: fencing.Config{Self: name, Incarnation: 1, ChecksFencing: b.checks, Timing: fencing.DefaultTiming()},
+		Holder: fencing.Config{Self: name, Incarnation: 1, ChecksFencing: b.checksFencing, Timing: fencing.DefaultTiming()},
 		Clock:  func() fencing.Instant { return b.now },
 		Log:    zerolog.Nop(),
 	})
 }
 
-// step lets a controller take an event and all that follows from it at once.
-func (b *bench) step(c *Controller, event fencing.Event) {
+// runStep lets a controller take an event and all that follows from it at once.
+func (b *controllerFixture) runStep(c *Controller, event fencing.Event) {
 	for _, action := range c.holder.Step(b.now, event) {
-		b.step(c, c.perform(b.t.Context(), action))
+		b.runStep(c, c.perform(b.t.Context(), action))
 	}
 }
 
-// second lets a second pass, at whose end a controller reads the load.
-func (b *bench) second(c *Controller) {
+// advanceSecond lets a second pass, at whose end a controller reads the load.
+func (b *controllerFixture) advanceSecond(c *Controller) {
 	b.now.Monotonic += time.Second
 	b.now.Wall = b.now.Wall.Add(time.Second)
-	b.step(c, fencing.ReportReceived{Report: b.engine.Load()})
+	b.runStep(c, fencing.ReportReceived{Report: b.engine.Load()})
 }
 
-// pause is a transport that holds up the first order until the test has done
+// delayedTransport is a transport that holds up the first order until the test has done
 // something else.
-type pause struct{ meanwhile func() }
+type delayedTransport struct{ beforeFirst func() }
 
-func (p *pause) RoundTrip(r *http.Request) (*http.Response, error) {
-	if p.meanwhile != nil {
-		p.meanwhile()
-		p.meanwhile = nil
+func (p *delayedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if p.beforeFirst != nil {
+		p.beforeFirst()
+		p.beforeFirst = nil
 	}
 	return http.DefaultTransport.RoundTrip(r)
 }
@@ -91,19 +91,19 @@
 func TestPausedHolderResumes(t *testing.T) {
 	for name, checks := range map[string]bool{"engine checks numbers": true, "engine ignores numbers": false} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, checks)
+			b := newControllerFixture(t, checks)
 			second := b.controller("r2", nil)
-			transport := &pause{meanwhile: func() {
-				b.step(second, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"new"}}})
+			transport := &delayedTransport{beforeFirst: func() {
+				b.runStep(second, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"new"}}})
 				for range 20 {
-					b.second(second)
+					b.advanceSecond(second)
 				}
 			}}
 			first := b.controller("r1", &http.Client{Transport: transport})
-			b.step(first, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"old"}}})
-			b.second(first)
+			b.runStep(first, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"old"}}})
+			b.advanceSecond(first)
 
-			require.Nil(t, transport.meanwhile, "the order was not held up")
+			require.Nil(t, transport.beforeFirst, "the order was not held up")
 			require.Equal(t, []state.Model{"new"}, b.engine.Models())
 			require.Zero(t, first.holder.Number())
 			received := b.engine.Orders().Orders
@@ -119,7 +119,7 @@
 
 // The time for an order runs out while its bytes go out. It has been given, so
 // it must not be reported as one that was never sent.
-func TestOrderOnItsWayIsNotLate(t *testing.T) {
+func TestOrderBeingSentIsNotLate(t *testing.T) {
 	var now fencing.Instant
 	var late atomic.Bool
 	body := &guardedBody{
@@ -139,29 +139,29 @@
 // The store loses the answer to the write that takes the lease, and then is
 // away. No order may go out meanwhile; afterwards the wish is fulfilled.
 func TestNoOrderWithoutAnAnsweredLease(t *testing.T) {
-	b := newBench(t, false)
+	b := newControllerFixture(t, false)
 	p := platform.New(platform.Options{Faults: platform.Faults{LoseAnswers: 1}})
 	server := httptest.NewServer(p.Handler())
 	t.Cleanup(server.Close)
 	b.store = objectstore.NewClient(objectstore.ClientOptions{BaseURL: server.URL})
 	c := b.controller("r1", nil)
-	b.step(c, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"m"}, Role: "decode"}})
-	b.second(c)
+	b.runStep(c, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"m"}, Role: "decode"}})
+	b.advanceSecond(c)
 	p.SetFaults(platform.Faults{Outage: platform.Refuse})
 	for range 10 {
-		b.second(c)
+		b.advanceSecond(c)
 	}
 	require.Empty(t, b.engine.Orders().Orders)
 	p.SetFaults(platform.Faults{})
 	for range 10 {
-		b.second(c)
+		b.advanceSecond(c)
 	}
 	require.Equal(t, []state.Model{"m"}, b.engine.Models())
 	require.Equal(t, "decode", b.engine.Orders().Role)
 	require.Zero(t, c.holder.Number(), "the lease is released")
 }
 
-func TestRunFulfilsAWish(t *testing.T) {
+func TestRunLoadsWantedModels(t *testing.T) {
 	e := engine.New(engine.Options{Options: upstream.Options{Name: "engine", Models: []state.Model{"surplus"}}})
 	url, stop, err := e.Start("127.0.0.1:0")
 	require.NoError(t, err)
@@ -175,7 +175,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
-	c.Want(&fencing.DesiredState{Models: []state.Model{"m"}}, 1)
+	c.SetWish(&fencing.DesiredState{Models: []state.Model{"m"}}, 1)
 	require.Eventually(t, func() bool {
 		report, err := poll.FetchReport(ctx, http.DefaultClient, url, "engine")
 		require.NoError(t, err)
@@ -185,7 +185,7 @@
 	}, waitTimeout, time.Millisecond)
 	cancel()
 	require.ErrorIs(t, <-ended, context.Canceled)
-	c.Want(nil, 1)
+	c.SetWish(nil, 1)
 }
 
 // An operator has "old" replaced by "new" while router r1 is cut off. r2 does
@@ -193,16 +193,16 @@
 // engine without "old", which it still wants. It must not touch the engine
 // until the settings have reached it, and must obey them then.
 func TestHolderWithOldSettingsWaits(t *testing.T) {
-	b := newBench(t, true)
+	b := newControllerFixture(t, true)
 	old, second := b.controller("r1", nil), b.controller("r2", nil)
 	want := func(c *Controller, settings uint64, model state.Model) {
-		for _, action := range c.take(input{event: fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{model}}}, settings: settings}) {
-			b.step(c, c.perform(b.t.Context(), action))
+		for _, action := range c.handleInput(input{event: fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{model}}}, settingsVersion: settings}) {
+			b.runStep(c, c.perform(b.t.Context(), action))
 		}
 	}
 	seconds := func(c *Controller) {
 		for range 12 {
-			b.second(c)
+			b.advanceSecond(c)
 		}
 	}
 	want(second, 2, "new")
--- a/transport/orders/lease.go
+++ b/transport/orders/lease.go
@@ -29,10 +29,10 @@
 func (c *Controller) readLease(ctx context.Context) fencing.Event {
 	object, err := c.opts.Store.Get(ctx, LeaseKey(c.opts.Upstream))
 	if errors.Is(err, objectstore.ErrNotFound) {
-		c.noteStore(nil)
+		c.recordStoreResult(nil)
 		return fencing.LeaseRead{}
 	}
-	c.noteStore(err)
+	c.recordStoreResult(err)
 	if err != nil {
 		return fencing.LeaseFailed{}
 	}
@@ -41,7 +41,7 @@
 		c.opts.Log.Error().Err(err).Msg("lease-not-understood")
 		return fencing.LeaseFailed{}
 	}
-	if own := c.settings.Load(); own < lease.Settings && !c.leaving.Load() {
+	if own := c.settingsVersion.Load(); own < lease.Settings && !c.draining.Load() {
 		c.opts.Log.Info().Uint64("settings", own).Uint64("lease_settings", lease.Settings).Msg("settings-behind-lease")
 		return fencing.LeaseFailed{}
 	}
@@ -51,7 +51,7 @@
 // writeLease tells a conflict, which is final, from every other failure, after
 // which the write may have taken effect.
 func (c *Controller) writeLease(ctx context.Context, write fencing.WriteLease) fencing.Event {
-	value, err := json.Marshal(leaseObject{Lease: write.Lease, Settings: c.settings.Load()})
+	value, err := json.Marshal(leaseObject{Lease: write.Lease, Settings: c.settingsVersion.Load()})
 	if err != nil {
 		c.opts.Log.Error().Err(err).Msg("lease-not-encoded")
 		return fencing.LeaseFailed{}
@@ -59,11 +59,11 @@
 	version, err := c.opts.Store.Put(ctx, LeaseKey(c.opts.Upstream), value, objectstore.Version(write.Expected))
 	var conflict *objectstore.ConflictError
 	if errors.As(err, &conflict) {
-		c.noteStore(nil)
+		c.recordStoreResult(nil)
 		c.opts.Log.Info().Uint64("expected", write.Expected).Uint64("found", uint64(conflict.Current)).Msg("lease-lost")
 		return fencing.LeaseConflict{}
 	}
-	c.noteStore(err)
+	c.recordStoreResult(err)
 	if err != nil {
 		return fencing.LeaseFailed{}
 	}
@@ -71,15 +71,15 @@
 	return fencing.LeaseWritten{Version: uint64(version)}
 }
 
-// noteStore logs when the store stops answering and when it answers again, and
+// recordStoreResult logs when the store stops answering and when it answers again, and
 // not each try in between: an outage may last hours and is tried every two
 // seconds for each engine.
-func (c *Controller) noteStore(err error) {
-	away := err != nil
-	if c.storeAway.Swap(away) == away {
+func (c *Controller) recordStoreResult(err error) {
+	unavailable := err != nil
+	if c.storeUnavailable.Swap(unavailable) == unavailable {
 		return
 	}
-	if away {
+	if unavailable {
 		c.opts.Log.Warn().Err(err).Msg("lease-store-away")
 		return
 	}
--- a/transport/orders/send.go
+++ b/transport/orders/send.go
@@ -21,16 +21,16 @@
 	Fencing uint64            `json:"fencing"`
 }
 
-// refusedBody is the part of an engine's refusal that is read.
-type refusedBody struct {
+// rejectionBody is the part of an engine's refusal that is read.
+type rejectionBody struct {
 	Stale bool `json:"stale"`
 }
 
 // maxAnswerBytes bounds what is read of an engine's answer to an order.
 const maxAnswerBytes = 1 << 20
 
-// errLate stops an order whose time to be sent has passed.
-var errLate = errors.New("orders: too late in the lease")
+// errTooLate stops an order whose time to be sent has passed.
+var errTooLate = errors.New("orders: too late in the lease")
 
 // guardedBody is an order's body that looks at the clock when it is read. The
 // transport reads it once the connection stands, as the last thing before the
@@ -38,21 +38,21 @@
 // that, by a slow connection or a paused process, is thus never given.
 type guardedBody struct {
 	io.Reader
-	order fencing.SendOrder
-	clock func() fencing.Instant
-	late  *atomic.Bool
-	begun bool
+	order       fencing.SendOrder
+	clock       func() fencing.Instant
+	late        *atomic.Bool
+	readStarted bool
 }
 
 // Read fails with errLate if the order's time has passed at the first read. The
 // transport reads on after the last byte to find the end; by then the order is
 // on its way and must not be reported as never sent.
 func (b *guardedBody) Read(p []byte) (int, error) {
-	if !b.begun && b.order.Late(b.clock()) {
+	if !b.readStarted && b.order.Late(b.clock()) {
 		b.late.Store(true)
-		return 0, errLate
+		return 0, errTooLate
 	}
-	b.begun = true
+	b.readStarted = true
 	return b.Reader.Read(p)
 }
 
@@ -62,7 +62,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
 	var late atomic.Bool
-	event, err := c.exchange(ctx, order, &late)
+	event, err := c.roundTrip(ctx, order, &late)
 	if late.Load() {
 		event = fencing.OrderLate{}
 	}
@@ -70,8 +70,8 @@
 	return event
 }
 
-func (c *Controller) exchange(ctx context.Context, order fencing.SendOrder, late *atomic.Bool) (fencing.Event, error) {
-	request, err := c.request(ctx, order, late)
+func (c *Controller) roundTrip(ctx context.Context, order fencing.SendOrder, late *atomic.Bool) (fencing.Event, error) {
+	request, err := c.newRequest(ctx, order, late)
 	if err != nil {
 		return fencing.OrderFailed{}, err
 	}
@@ -87,7 +87,7 @@
 	return decodeAnswer(response.StatusCode, body), nil
 }
 
-func (c *Controller) request(ctx context.Context, order fencing.SendOrder, late *atomic.Bool) (*http.Request, error) {
+func (c *Controller) newRequest(ctx context.Context, order fencing.SendOrder, late *atomic.Bool) (*http.Request, error) {
 	text, err := json.Marshal(orderBody{
 		Action:  order.Order.Kind,
 		Model:   order.Order.Model,
@@ -113,8 +113,8 @@
 	if status == http.StatusOK {
 		return fencing.OrderDone{}
 	}
-	var refused refusedBody
-	if status == http.StatusConflict && json.Unmarshal(body, &refused) == nil && refused.Stale {
+	var rejection rejectionBody
+	if status == http.StatusConflict && json.Unmarshal(body, &rejection) == nil && rejection.Stale {
 		return fencing.OrderStale{}
 	}
 	return fencing.OrderFailed{}
--- a/transport/settings/errors.go
+++ b/transport/settings/errors.go
@@ -58,27 +58,27 @@
 	return result.New(result.PlatformUnavailable, e.Error()).WithRetryAfter(retryAfter)
 }
 
-// UnknownError says that a write was sent and that nobody could tell in time
+// UnknownOutcomeError says that a write was sent and that nobody could tell in time
 // whether it took effect. Repeating it with the same change id and expected
 // version is safe.
-type UnknownError struct {
+type UnknownOutcomeError struct {
 	Key      string
 	ChangeID string
 	Err      error
 }
 
 // Error names the change to look for.
-func (e *UnknownError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("change %s of %s may or may not have taken effect: %v", e.ChangeID, e.Key, e.Err)
 }
 
 // Unwrap returns the platform's last failure.
-func (e *UnknownError) Unwrap() error {
+func (e *UnknownOutcomeError) Unwrap() error {
 	return e.Err
 }
 
 // Result returns ConfigUnknown.
-func (e *UnknownError) Result() result.Result {
+func (e *UnknownOutcomeError) Result() result.Result {
 	return result.New(result.ConfigUnknown, e.Error()).WithRetryAfter(retryAfter)
 }
 
--- a/transport/settings/fake_test.go
+++ b/transport/settings/fake_test.go
@@ -21,14 +21,14 @@
 type fakeStore struct {
 	objectstore.Store
 
-	mu      sync.Mutex
-	version objectstore.Version
-	objects map[string]objectstore.Object
-	away    bool
+	mu          sync.Mutex
+	version     objectstore.Version
+	objects     map[string]objectstore.Object
+	unavailable bool
 	// putFaults are taken one for each Put.
 	putFaults []putFault
 	// stale, if set, answers every Get.
-	stale *objectstore.Object
+	staleObject *objectstore.Object
 	// beforePut runs once, before the next Put takes effect.
 	beforePut func()
 	puts      int
@@ -37,12 +37,12 @@
 type putFault int
 
 const (
-	lostAfter putFault = iota + 1
-	lostBefore
-	// unavailable refuses the write, conflicting makes it and reports the
+	answerLost putFault = iota + 1
+	writeLost
+	// writeUnavailable refuses the write, conflicting makes it and reports the
 	// conflict that a second copy of it meets.
-	unavailable
-	conflicting
+	writeUnavailable
+	duplicateConflict
 )
 
 func newFakeStore() *fakeStore {
@@ -54,10 +54,10 @@
 	defer f.mu.Unlock()
 	o, ok := f.objects[key]
 	switch {
-	case f.away || ctx.Err() != nil:
+	case f.unavailable || ctx.Err() != nil:
 		return o, objectstore.ErrUnavailable
-	case f.stale != nil:
-		return *f.stale, nil
+	case f.staleObject != nil:
+		return *f.staleObject, nil
 	case !ok:
 		return o, objectstore.ErrNotFound
 	}
@@ -67,7 +67,7 @@
 func (f *fakeStore) List(context.Context, string) ([]objectstore.Object, objectstore.Version, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.away {
+	if f.unavailable {
 		return nil, 0, objectstore.ErrUnavailable
 	}
 	var all []objectstore.Object
@@ -90,9 +90,9 @@
 		fault, f.putFaults = f.putFaults[0], f.putFaults[1:]
 	}
 	switch {
-	case f.away || fault == unavailable:
+	case f.unavailable || fault == writeUnavailable:
 		return 0, objectstore.ErrUnavailable
-	case fault == lostBefore:
+	case fault == writeLost:
 		return 0, objectstore.ErrUnknownOutcome
 	case f.objects[key].Version != expected:
 		return 0, &objectstore.ConflictError{Key: key, Current: f.objects[key].Version}
@@ -100,9 +100,9 @@
 	f.version++
 	f.objects[key] = objectstore.Object{Key: key, Version: f.version, Value: value}
 	switch fault {
-	case lostAfter:
+	case answerLost:
 		return 0, objectstore.ErrUnknownOutcome
-	case conflicting:
+	case duplicateConflict:
 		return 0, &objectstore.ConflictError{Key: key, Current: f.version}
 	}
 	return f.version, nil
--- a/transport/settings/follow.go
+++ b/transport/settings/follow.go
@@ -57,13 +57,13 @@
 func (f *Follower) deliver(objects []objectstore.Object) {
 	if !f.listed {
 		f.listed = true
-		f.options.Source.takeList(toTree(objects))
+		f.options.Source.applyList(toConfigObjects(objects))
 		return
 	}
-	_ = f.options.Source.take(originPlatform, toTree(objects)...)
+	_ = f.options.Source.applyAndPublish(originPlatform, toConfigObjects(objects)...)
 }
 
-func toTree(objects []objectstore.Object) []config.Object {
+func toConfigObjects(objects []objectstore.Object) []config.Object {
 	converted := make([]config.Object, len(objects))
 	for i, o := range objects {
 		converted[i] = config.Object{Key: o.Key, Version: uint64(o.Version), Value: o.Value}
--- a/transport/settings/source.go
+++ b/transport/settings/source.go
@@ -25,8 +25,8 @@
 	options SourceOptions
 	view    atomic.Pointer[config.View]
 
-	// publishing orders publications; it is taken before mu.
-	publishing sync.Mutex
+	// publishMu orders publications; it is taken before mu.
+	publishMu sync.Mutex
 
 	mu   sync.Mutex
 	tree *config.Tree
@@ -35,8 +35,8 @@
 	complete bool
 	// listed is set once the platform has been listed.
 	listed bool
-	// awaited is the last peer's announcement while the tree is incomplete.
-	awaited map[string]uint64
+	// announced is the last peer's announcement while the tree is incomplete.
+	announced map[string]uint64
 }
 
 // NewSource returns a Source that holds nothing yet.
@@ -68,56 +68,56 @@
 	return s.tree.Versions()
 }
 
-// Missing returns the keys of which a peer announced a greater version than
+// MissingKeys returns the keys of which a peer announced a greater version than
 // is held here, in order. The caller requests them from that peer.
-func (s *Source) Missing(peer map[string]uint64) []string {
-	missing := s.compare(peer)
+func (s *Source) MissingKeys(peer map[string]uint64) []string {
+	missing := s.missingKeys(peer)
 	s.publish()
 	return missing
 }
 
-func (s *Source) compare(peer map[string]uint64) []string {
+func (s *Source) missingKeys(peer map[string]uint64) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var missing []string
 	for key, version := range peer {
-		if !s.seen(key, version) {
+		if !s.isKnown(key, version) {
 			missing = append(missing, key)
 		}
 	}
 	if !s.complete && len(peer) > 0 {
-		s.awaited = maps.Clone(peer)
+		s.announced = maps.Clone(peer)
 	}
-	s.settle()
+	s.updateComplete()
 	slices.Sort(missing)
 	return missing
 }
 
-// seen tells whether this version of an object, or a later one, was already
+// isKnown tells whether this version of an object, or a later one, was already
 // taken, or this very one refused: it is not requested again. A peer's valid
 // version below a refused one is wanted, as the platform shows only the
 // refused one.
-func (s *Source) seen(key string, version uint64) bool {
-	if held, ok := s.tree.Object(key); ok && held.Version >= version {
+func (s *Source) isKnown(key string, version uint64) bool {
+	if cached, ok := s.tree.Object(key); ok && cached.Version >= version {
 		return true
 	}
 	return s.tree.InvalidVersion(key) == version
 }
 
-// settle finds out whether the tree is whole: it has a root, and all that the
+// updateComplete finds out whether the tree is whole: it has a root, and all that the
 // last peer announced. Without any announcement it is enough to follow the
 // platform from a list on, as the routers do that start before the fleet has
 // its first root.
-func (s *Source) settle() {
+func (s *Source) updateComplete() {
 	if s.complete || s.tree.View() == nil {
 		return
 	}
-	for key, version := range s.awaited {
-		if !s.seen(key, version) {
+	for key, version := range s.announced {
+		if !s.isKnown(key, version) {
 			return
 		}
 	}
-	s.complete = s.listed || s.awaited != nil
+	s.complete = s.listed || s.announced != nil
 }
 
 // Object returns the version held of an object, to answer a peer's request.
@@ -127,15 +127,15 @@
 	return s.tree.Object(key)
 }
 
-// ObjectFrom takes an object that a peer sent. An older version than the one
+// ApplyFromPeer takes an object that a peer sent. An older version than the one
 // held is ignored; an invalid one gives an *config.InvalidError.
-func (s *Source) ObjectFrom(key string, version uint64, value []byte) error {
-	return s.take(originPeer, config.Object{Key: key, Version: version, Value: value})
+func (s *Source) ApplyFromPeer(key string, version uint64, value []byte) error {
+	return s.applyAndPublish(originPeer, config.Object{Key: key, Version: version, Value: value})
 }
 
-// Invalid returns the newest version of each object that was seen but not
+// InvalidObjects returns the newest version of each object that was seen but not
 // taken, for status.
-func (s *Source) Invalid() map[string]*config.InvalidError {
+func (s *Source) InvalidObjects() map[string]*config.InvalidError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tree.Invalid()
@@ -157,18 +157,18 @@
 	originWrite    origin = "write"
 )
 
-// take applies objects and publishes the result once. It returns the last
+// applyAndPublish applies objects and publishes the result once. It returns the last
 // refusal.
-func (s *Source) take(from origin, objects ...config.Object) error {
+func (s *Source) applyAndPublish(from origin, objects ...config.Object) error {
 	err := s.apply(from, objects)
 	s.publish()
 	return err
 }
 
-// takeWritten takes an object that this router has just written. A root makes
+// applyWritten takes an object that this router has just written. A root makes
 // the tree whole: the writer has listed the rest, and the first root of a
 // fleet has none beside it.
-func (s *Source) takeWritten(o config.Object) {
+func (s *Source) applyWritten(o config.Object) {
 	_ = s.apply(originWrite, []config.Object{o})
 	s.mu.Lock()
 	s.complete = s.complete || o.Key == config.RootKey && s.tree.View() != nil
@@ -179,26 +179,26 @@
 func (s *Source) apply(from origin, objects []config.Object) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var refused error
+	var rejected error
 	for _, o := range objects {
 		changed, err := s.tree.Apply(o)
 		switch {
 		case err != nil:
-			refused = err
+			rejected = err
 			s.options.Log.Warn().Str("event", "config_refused").Str("key", o.Key).Uint64("version", o.Version).Str("from", string(from)).Err(err).Send()
 		case changed:
 			s.options.Log.Info().Str("event", "config_taken").Str("key", o.Key).Uint64("version", o.Version).Str("from", string(from)).Send()
 		}
 	}
-	s.settle()
-	return refused
+	s.updateComplete()
+	return rejected
 }
 
-// takeList takes everything the platform holds, which makes the tree whole.
+// applyList takes everything the platform holds, which makes the tree whole.
 // An object that the list lacks stays: the platform's copy may lag, and a
 // deleted team is a tombstone, never a missing object. A list without a root
 // comes from before the first one, or from a copy that old.
-func (s *Source) takeList(objects []config.Object) {
+func (s *Source) applyList(objects []config.Object) {
 	_ = s.apply(originPlatform, objects)
 	s.mu.Lock()
 	s.listed = true
@@ -211,9 +211,9 @@
 // OnChange may ask the Source what it holds; publishing keeps two views from
 // overtaking each other on the way.
 func (s *Source) publish() {
-	s.publishing.Lock()
-	defer s.publishing.Unlock()
-	view := s.newest()
+	s.publishMu.Lock()
+	defer s.publishMu.Unlock()
+	view := s.completeView()
 	if view == nil || view == s.view.Load() {
 		return
 	}
@@ -226,7 +226,7 @@
 	}
 }
 
-func (s *Source) newest() *config.View {
+func (s *Source) completeView() *config.View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.complete {
--- a/transport/settings/source_test.go
+++ b/transport/settings/source_test.go
@@ -14,13 +14,13 @@
 	"github.com/figstile/figstile/transport/settings"
 )
 
-// bring hands a peer everything it misses of what from announces.
-func bring(t *testing.T, from, to *settings.Source) {
+// syncMissing hands a peer everything it misses of what from announces.
+func syncMissing(t *testing.T, from, to *settings.Source) {
 	t.Helper()
-	for _, key := range to.Missing(from.Versions()) {
+	for _, key := range to.MissingKeys(from.Versions()) {
 		o, ok := from.Object(key)
 		require.True(t, ok)
-		require.NoError(t, to.ObjectFrom(o.Key, o.Version, o.Value))
+		require.NoError(t, to.ApplyFromPeer(o.Key, o.Version, o.Value))
 	}
 }
 
@@ -35,22 +35,22 @@
 
 	var seen []*config.View
 	cold := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop(), OnChange: func(v *config.View) { seen = append(seen, v) }})
-	missing := cold.Missing(f.source.Versions())
+	missing := cold.MissingKeys(f.source.Versions())
 	require.Equal(t, []string{config.RootKey, teamKey}, missing)
 	o, _ := f.source.Object(config.RootKey)
-	require.NoError(t, cold.ObjectFrom(o.Key, o.Version, o.Value))
+	require.NoError(t, cold.ApplyFromPeer(o.Key, o.Version, o.Value))
 	require.False(t, cold.Ready())
 	require.Empty(t, cold.Versions(), "a part is not announced")
 	pushed := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop()})
-	require.NoError(t, pushed.ObjectFrom(o.Key, o.Version, o.Value))
+	require.NoError(t, pushed.ApplyFromPeer(o.Key, o.Version, o.Value))
 	require.False(t, pushed.Ready(), "a root alone proves nothing")
 
-	bring(t, f.source, cold)
+	syncMissing(t, f.source, cold)
 	require.True(t, cold.Ready())
 	require.Equal(t, f.source.Versions(), cold.Versions())
 	require.Equal(t, []state.Workspace{"guides"}, workspaces(cold))
 	require.Equal(t, []*config.View{cold.View()}, seen)
-	require.Empty(t, cold.Missing(f.source.Versions()))
+	require.Empty(t, cold.MissingKeys(f.source.Versions()))
 }
 
 // A router that was cut off rejoins with an old copy of a team, and its
@@ -61,16 +61,16 @@
 	_, err := f.write(t, "old", 0, 1)
 	require.NoError(t, err)
 	rejoined := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop()})
-	bring(t, f.source, rejoined)
+	syncMissing(t, f.source, rejoined)
 	_, err = f.write(t, "new", 2, 5)
 	require.NoError(t, err)
 
-	require.Empty(t, f.source.Missing(rejoined.Versions()))
+	require.Empty(t, f.source.MissingKeys(rejoined.Versions()))
 	old, _ := rejoined.Object(teamKey)
-	require.NoError(t, f.source.ObjectFrom(old.Key, old.Version, old.Value))
+	require.NoError(t, f.source.ApplyFromPeer(old.Key, old.Version, old.Value))
 	require.Equal(t, uint64(3), f.source.Versions()[teamKey])
 
-	bring(t, f.source, rejoined)
+	syncMissing(t, f.source, rejoined)
 	require.Equal(t, uint64(3), rejoined.Versions()[teamKey])
 }
 
@@ -92,9 +92,9 @@
 	}
 }
 
-// follow runs a follower without pauses until the test ends. Each failed call
+// startFollower runs a follower without pauses until the test ends. Each failed call
 // is told on the channel it returns.
-func follow(t *testing.T, store objectstore.Store, onChange func(*config.View)) (source *settings.Source, pauses chan time.Duration) {
+func startFollower(t *testing.T, store objectstore.Store, onChange func(*config.View)) (source *settings.Source, pauses chan time.Duration) {
 	t.Helper()
 	source = settings.NewSource(settings.SourceOptions{Log: zerolog.Nop(), OnChange: onChange})
 	pauses = make(chan time.Duration)
@@ -120,8 +120,8 @@
 	return source, pauses
 }
 
-// await takes pauses until a view is in force.
-func await(pauses chan time.Duration, changes chan *config.View) {
+// awaitView takes pauses until a view is in force.
+func awaitView(pauses chan time.Duration, changes chan *config.View) {
 	for {
 		select {
 		case <-pauses:
@@ -138,25 +138,25 @@
 	f := newFleet(t)
 	_, err := f.write(t, "base", 0, 1)
 	require.NoError(t, err)
-	f.store.away = true
+	f.store.unavailable = true
 	store := &scriptedStore{fakeStore: f.store, watches: make(chan []objectstore.Object, 4)}
 	changes := make(chan *config.View, 8)
-	source, pauses := follow(t, store, func(v *config.View) { changes <- v })
+	source, pauses := startFollower(t, store, func(v *config.View) { changes <- v })
 	<-pauses
 	require.False(t, source.Ready())
 	f.store.mu.Lock()
-	f.store.away = false
+	f.store.unavailable = false
 	f.store.mu.Unlock()
-	await(pauses, changes)
+	awaitView(pauses, changes)
 
 	store.watches <- []objectstore.Object{{Key: teamKey}}
 	store.watches <- []objectstore.Object{{Key: teamKey, Version: 8}}
 	store.watches <- nil // too old: lists again
 	store.watches <- []objectstore.Object{{Key: teamKey, Version: 9, Value: subtree(t, "later", 2, 3)}}
-	await(pauses, changes)
+	awaitView(pauses, changes)
 	require.Equal(t, uint64(9), source.Versions()[teamKey])
 	require.Equal(t, []state.Workspace{"guides"}, workspaces(source))
-	require.Empty(t, source.Invalid())
+	require.Empty(t, source.InvalidObjects())
 }
 
 // Routers start before the fleet has its first root, which is then written
@@ -164,11 +164,11 @@
 func TestFirstRootReachesEveryRouter(t *testing.T) {
 	store := &scriptedStore{fakeStore: newFakeStore(), watches: make(chan []objectstore.Object, 1)}
 	changes := make(chan *config.View, 1)
-	source, pauses := follow(t, store, func(v *config.View) { changes <- v })
+	source, pauses := startFollower(t, store, func(v *config.View) { changes <- v })
 	<-pauses
 	require.False(t, source.Ready())
 	store.watches <- []objectstore.Object{{Key: config.RootKey, Version: 1, Value: root(t, "first", 0)}}
-	await(pauses, changes)
+	awaitView(pauses, changes)
 	require.True(t, source.Ready())
 }
 
@@ -180,8 +180,8 @@
 	_, err := f.write(t, "base", 0, 1)
 	require.NoError(t, err)
 	cold := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop()})
-	require.Error(t, cold.ObjectFrom(teamKey, 7, []byte("{")))
-	bring(t, f.source, cold)
+	require.Error(t, cold.ApplyFromPeer(teamKey, 7, []byte("{")))
+	syncMissing(t, f.source, cold)
 	require.Equal(t, []state.Workspace{"guides"}, workspaces(cold))
-	require.Equal(t, uint64(7), cold.Invalid()[teamKey].Version)
+	require.Equal(t, uint64(7), cold.InvalidObjects()[teamKey].Version)
 }
--- a/transport/settings/writer.go
+++ b/transport/settings/writer.go
@@ -19,11 +19,11 @@
 	// callTimeout bounds one call. The platform answers in milliseconds; a
 	// call that takes seconds is lost.
 	callTimeout = 3 * time.Second
-	// settleAttempts bounds the tries to find out what became of a lost
+	// resolveAttempts bounds the tries to find out what became of a lost
 	// write, so that an operator waits half a minute at the most.
-	settleAttempts = 5
-	// settlePause is the mean pause between them.
-	settlePause = 400 * time.Millisecond
+	resolveAttempts = 5
+	// resolveInterval is the mean pause between them.
+	resolveInterval = 400 * time.Millisecond
 )
 
 // WriterOptions are what a Writer needs.
@@ -83,7 +83,7 @@
 	if err != nil {
 		return &UnavailableError{Err: err}
 	}
-	w.options.Source.takeList(toTree(objects))
+	w.options.Source.applyList(toConfigObjects(objects))
 	return w.options.Source.CheckWith(key, value)
 }
 
@@ -92,7 +92,7 @@
 // change. Errors are *config.Error, *ConflictError, *UnavailableError or
 // *UnknownError; only the last leaves open whether anything changed.
 func (w *Writer) Write(ctx context.Context, key string, value []byte, expected uint64) (uint64, error) {
-	changes, err := historyOf(key, value)
+	changes, err := requireHistory(key, value)
 	if err != nil {
 		return 0, err
 	}
@@ -105,7 +105,7 @@
 	if err != nil {
 		return 0, err
 	}
-	w.options.Source.takeWritten(config.Object{Key: key, Version: version, Value: value})
+	w.options.Source.applyWritten(config.Object{Key: key, Version: version, Value: value})
 	return version, nil
 }
 
@@ -115,11 +115,11 @@
 		line = w.options.Log.Warn().Err(err)
 	}
 	line.Str("event", "config_write").Str("key", p.key).Str("change", p.changeID).
-		Uint64("expected", p.expected).Uint64("version", version).Bool("answer_lost", p.lost).Send()
+		Uint64("expected", p.expected).Uint64("version", version).Bool("answer_lost", p.answerLost).Send()
 }
 
-// historyOf returns the changes that a valid object carries.
-func historyOf(key string, value []byte) ([]config.Change, error) {
+// requireHistory returns the changes that a valid object carries.
+func requireHistory(key string, value []byte) ([]config.Change, error) {
 	changes, err := config.HistoryOf(key, value)
 	if err != nil {
 		return nil, err
@@ -137,8 +137,8 @@
 	value    []byte
 	expected uint64
 	changeID string
-	// lost is set once an answer was lost, so that the outcome is open.
-	lost bool
+	// answerLost is set once an answer was lost, so that the outcome is open.
+	answerLost bool
 	// lastErr is the platform's last failure.
 	lastErr error
 }
@@ -158,13 +158,13 @@
 	}
 	// The operator's connection may end now; the outcome is still wanted.
 	ctx = context.WithoutCancel(ctx)
-	for range settleAttempts {
-		p.writer.options.Sleep(ctx, settlePause/2+rand.N(settlePause))
-		if version, done, err := p.settle(ctx); done {
+	for range resolveAttempts {
+		p.writer.options.Sleep(ctx, resolveInterval/2+rand.N(resolveInterval))
+		if version, done, err := p.resolve(ctx); done {
 			return version, err
 		}
 	}
-	return 0, &UnknownError{Key: p.key, ChangeID: p.changeID, Err: p.lastErr}
+	return 0, &UnknownOutcomeError{Key: p.key, ChangeID: p.changeID, Err: p.lastErr}
 }
 
 // put sends the write once. It is not done if the outcome is open.
@@ -178,22 +178,22 @@
 		return uint64(put), true, nil
 	case errors.As(err, &conflict):
 		return p.afterConflict(ctx, uint64(conflict.Current))
-	case errors.Is(err, objectstore.ErrUnavailable) && !p.lost:
+	case errors.Is(err, objectstore.ErrUnavailable) && !p.answerLost:
 		return 0, true, &UnavailableError{Err: err}
 	}
 	p.lastErr = err
-	p.lost = true
+	p.answerLost = true
 	return 0, false, nil
 }
 
-// settle reads the object back, and writes again if it has not changed.
-func (p *pendingWrite) settle(ctx context.Context) (uint64, bool, error) {
+// resolve reads the object back, and writes again if it has not changed.
+func (p *pendingWrite) resolve(ctx context.Context) (uint64, bool, error) {
 	found, err := p.writer.get(ctx, p.key)
 	if err != nil && !errors.Is(err, objectstore.ErrNotFound) {
 		p.lastErr = err
 		return 0, false, nil
 	}
-	if version, ok := p.madeBy(found); ok {
+	if version, ok := p.versionWritten(found); ok {
 		return version, true, nil
 	}
 	if found.Version == p.expected {
@@ -211,22 +211,22 @@
 // answer. A copy older than the version that won says nothing about that.
 func (p *pendingWrite) afterConflict(ctx context.Context, current uint64) (uint64, bool, error) {
 	found, err := p.writer.get(ctx, p.key)
-	if version, ok := p.madeBy(found); err == nil && ok {
+	if version, ok := p.versionWritten(found); err == nil && ok {
 		return version, true, nil
 	}
 	if err == nil && found.Version >= current {
 		return 0, true, p.conflictWith(found)
 	}
-	if p.lost {
+	if p.answerLost {
 		p.lastErr = fmt.Errorf("version %d won and cannot be read yet", current)
 		return 0, false, nil
 	}
 	return 0, true, &ConflictError{Key: p.key, Expected: p.expected, Version: current}
 }
 
-// madeBy tells whether this write took effect in the object's past, and the
+// versionWritten tells whether this write took effect in the object's past, and the
 // version it produced then.
-func (p *pendingWrite) madeBy(found config.Object) (uint64, bool) {
+func (p *pendingWrite) versionWritten(found config.Object) (uint64, bool) {
 	changes, err := config.HistoryOf(p.key, found.Value)
 	if err != nil {
 		return 0, false
--- a/transport/settings/writer_test.go
+++ b/transport/settings/writer_test.go
@@ -17,7 +17,7 @@
 // lost. The operator hears that it worked, and it was written once.
 func TestLostAnswerOfAWriteThatTookEffect(t *testing.T) {
 	f := newFleet(t)
-	f.store.putFaults = []putFault{lostAfter}
+	f.store.putFaults = []putFault{answerLost}
 	version, err := f.write(t, "mine", 0, 2)
 	require.NoError(t, err)
 	require.Equal(t, uint64(2), version)
@@ -29,7 +29,7 @@
 // condition and takes effect once.
 func TestLostAnswerOfAWriteThatDidNot(t *testing.T) {
 	f := newFleet(t)
-	f.store.putFaults = []putFault{lostBefore, lostBefore, lostAfter}
+	f.store.putFaults = []putFault{writeLost, writeLost, answerLost}
 	version, err := f.write(t, "mine", 0, 2)
 	require.NoError(t, err)
 	require.Equal(t, uint64(2), version)
@@ -39,9 +39,9 @@
 // A transport between sends the write twice, and the answer that arrives is
 // that of the second copy: a conflict with the first. The operator must not
 // hear that somebody else won.
-func TestConflictWithItself(t *testing.T) {
+func TestConflictWithOwnDuplicate(t *testing.T) {
 	f := newFleet(t)
-	f.store.putFaults = []putFault{conflicting}
+	f.store.putFaults = []putFault{duplicateConflict}
 	version, err := f.write(t, "mine", 0, 2)
 	require.NoError(t, err)
 	require.Equal(t, uint64(2), version)
@@ -52,7 +52,7 @@
 func TestLostAnswerAfterTheCallerLeft(t *testing.T) {
 	f := newFleet(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	f.store.putFaults = []putFault{lostAfter}
+	f.store.putFaults = []putFault{answerLost}
 	f.store.beforePut = cancel
 	version, err := f.writer.Write(ctx, teamKey, subtree(t, "mine", 0, 2), 0)
 	require.NoError(t, err)
@@ -65,7 +65,7 @@
 func TestLostAnswerUnderALaterChange(t *testing.T) {
 	f := newFleet(t)
 	mine := config.Subtree{Team: "turismo"}.WithChange(config.Change{ID: "mine"})
-	f.store.putFaults = []putFault{lostBefore}
+	f.store.putFaults = []putFault{writeLost}
 	f.store.beforePut = func() {
 		later := mine.WithChange(config.Change{ID: "later", Base: 2})
 		f.store.version = 3
@@ -81,7 +81,7 @@
 // sees the winner's version and change, and nothing of hers was written.
 func TestTwoOperatorsRace(t *testing.T) {
 	f := newFleet(t)
-	for _, lost := range [][]putFault{nil, {lostBefore}} {
+	for _, lost := range [][]putFault{nil, {writeLost}} {
 		f.store.objects[teamKey] = objectstore.Object{Key: teamKey, Version: 7, Value: subtree(t, "base", 0, 1)}
 		f.store.version = 7
 		f.store.putFaults = append([]putFault{0}, lost...)
@@ -103,25 +103,25 @@
 // The platform goes away, before a write and in the middle of one. In the
 // first case the operator is told that nothing was changed; in the second
 // that nobody can tell, and the change id to look for.
-func TestPlatformAway(t *testing.T) {
+func TestPlatformUnavailable(t *testing.T) {
 	f := newFleet(t)
-	f.store.away = true
+	f.store.unavailable = true
 	_, err := f.write(t, "early", 0, 2)
-	var away *settings.UnavailableError
-	require.True(t, errors.As(err, &away), "%v", err)
-	require.Equal(t, result.RanNo, away.Result().Ran)
+	var unavailable *settings.UnavailableError
+	require.True(t, errors.As(err, &unavailable), "%v", err)
+	require.Equal(t, result.RanNo, unavailable.Result().Ran)
 	require.Equal(t, 1, f.store.puts)
 
-	f.store.away = false
-	f.store.putFaults = []putFault{lostBefore, lostBefore, lostBefore, lostBefore, lostBefore, lostBefore}
+	f.store.unavailable = false
+	f.store.putFaults = []putFault{writeLost, writeLost, writeLost, writeLost, writeLost, writeLost}
 	_, err = f.write(t, "late", 0, 2)
-	var unknown *settings.UnknownError
+	var unknown *settings.UnknownOutcomeError
 	require.True(t, errors.As(err, &unknown), "%v", err)
 	require.Equal(t, "late", unknown.ChangeID)
 	require.NotContains(t, f.source.Versions(), teamKey, "an unsettled write is not in force")
 
 	// A second copy that is surely refused says nothing of the first.
-	f.store.putFaults = []putFault{lostBefore, unavailable, unavailable, unavailable, unavailable, unavailable}
+	f.store.putFaults = []putFault{writeLost, writeUnavailable, writeUnavailable, writeUnavailable, writeUnavailable, writeUnavailable}
 	_, err = f.write(t, "again", 0, 2)
 	require.True(t, errors.As(err, &unknown), "%v", err)
 }
@@ -133,10 +133,10 @@
 	f := newFleet(t)
 	_, err := f.write(t, "base", 0, 1)
 	require.NoError(t, err)
-	f.store.putFaults = []putFault{lostAfter}
-	f.store.stale = &objectstore.Object{Key: teamKey, Version: 1, Value: subtree(t, "older", 0, 1)}
+	f.store.putFaults = []putFault{answerLost}
+	f.store.staleObject = &objectstore.Object{Key: teamKey, Version: 1, Value: subtree(t, "older", 0, 1)}
 	_, err = f.write(t, "mine", 2, 2)
-	var unknown *settings.UnknownError
+	var unknown *settings.UnknownOutcomeError
 	require.True(t, errors.As(err, &unknown), "%v", err)
 
 	// A conflict that was answered stands; the copy names no winner.
@@ -153,10 +153,10 @@
 	f := newFleet(t)
 	_, err := f.write(t, "mine", 0, 2)
 	require.NoError(t, err)
-	taken := config.Subtree{Team: "reservas", Workspaces: []config.Workspace{{Name: "guides", Weight: 1}}}
+	duplicate := config.Subtree{Team: "reservas", Workspaces: []config.Workspace{{Name: "guides", Weight: 1}}}
 	for _, value := range [][]byte{
-		encode(t, taken.WithChange(config.Change{ID: "theirs"})),
-		encode(t, taken),
+		encode(t, duplicate.WithChange(config.Change{ID: "theirs"})),
+		encode(t, duplicate),
 		[]byte(`{"team": "turismo"`),
 	} {
 		_, err = f.writer.Write(t.Context(), config.TeamKey("reservas"), value, 0)
