--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -9,86 +9,101 @@
 )
 
 const (
-	// promptTargetFraction is the part of its latency target within which a request's
-	// answer must be expected. The rest covers what the estimate cannot see:
-	// the placements of peers since they last told of theirs.
+	// promptTargetFraction is the fraction of the remaining latency target
+	// within which the answer to a request with a prompt must be expected. The
+	// rest covers load that the estimate does not include: requests that peers
+	// have placed since their last load report.
 	promptTargetFraction = 0.65
-	// plainTargetFraction is the same for requests without a prompt. A plain worker's
-	// slots hold one piece of work each and its queue is short, so that the
-	// estimate errs to the high side.
+	// plainTargetFraction is the same fraction for plain requests, which have
+	// no prompt. Each slot of a plain worker runs one request and its queue is
+	// short, so the estimate errs on the high side.
 	plainTargetFraction = 0.9
-	// overShareWaitFraction is the part of its target that a request of a workspace
-	// beyond its fair share may wait. It is small, so that such requests
-	// fill idle capacity but build no queue before the others.
+	// overShareWaitFraction is the fraction of its latency target that a
+	// request may wait if its workspace is beyond its fair share. It is small,
+	// so that such requests fill idle capacity but do not build a queue ahead
+	// of other workspaces.
 	overShareWaitFraction = 0.01
-	// throttleStartUse is the part of its fair share from which a workspace's requests
-	// may wait less and less, down to overShare at all of it. The share is
-	// worked out from a throughput that operators state; where the engines do
-	// less, the workspaces furthest from their shares go first.
+	// throttleStartUse is the fraction of its fair share from which a
+	// workspace's wait limit shrinks, down to overShareWaitFraction of the
+	// target once the share is used up. The share is derived from a throughput
+	// that operators state. If the engines deliver less, the workspaces that
+	// have had the smallest part of their shares are served first.
 	throttleStartUse = 0.5
-	// maxShareUse is how many times its fair share a workspace may get. Without a bound
-	// the engines' idle time goes to the workspace that asks most often. It is
-	// above one so that shares grow with what the fleet takes on.
+	// maxShareUse is the maximum usage of a workspace, as a multiple of its
+	// fair share. Without a bound, the engines' idle time goes to the workspace
+	// that sends most requests. It is above one so that shares can grow with
+	// the load that the fleet actually accepts.
 	maxShareUse = 1.25
-	// maxRepeatedPrefillFraction is the part of its target that a request's reading may grow by
-	// at another engine than the best while the fleet is short.
+	// maxRepeatedPrefillFraction limits the additional prefill time of a
+	// request that is sent to another engine than the best one, as a fraction
+	// of the latency target. The limit applies unless that engine is idle and
+	// the fleet is not short of capacity.
 	maxRepeatedPrefillFraction = 0.05
-	// maxDelayedStreams is the most running streams whose pauses the reading of an
-	// admitted prompt may make too long. One caller served for several that
-	// are late is no gain; a few are borne, or long prompts would be served
-	// by idle engines only.
+	// maxDelayedStreams is the maximum number of running streams whose event
+	// gaps may become too long through the prefill of an admitted prompt.
+	// Serving one caller at the cost of several late streams is no gain, but a
+	// limit of zero would restrict long prompts to idle engines.
 	maxDelayedStreams = 5
-	// latePromptWaitFraction is the part of its own reading time that a prompt may wait which
-	// is late wherever it goes. Places in a queue are worth more to those that
-	// can be on time, but without any the longest prompts would hardly be served.
+	// latePromptWaitFraction is the maximum wait of a prompt that will be late
+	// at any engine, as a fraction of its own processing time. Queue positions
+	// are better used for prompts that can be on time, but without any wait the
+	// longest prompts would hardly ever be served.
 	latePromptWaitFraction = 0.5
-	// minWaitFraction is the part of its target that a request may wait even if its
-	// own prompt takes the rest. Long prompts would otherwise never be
-	// admitted, however idle the engines.
+	// minWaitFraction is the fraction of its latency target that a request may
+	// always wait, even if its own prompt uses up the rest of the target.
+	// Without it long prompts would never be admitted, however idle the engines
+	// are.
 	minWaitFraction = 0.15
-	// retriedWaitFraction is the part of the remaining time that a request may wait
-	// which was refused before and is late already: to refuse it again costs
-	// its caller the answer, to serve it late does not.
+	// retriedWaitFraction is the fraction of its timeout that a request may
+	// wait if it was refused before and is already late. A second refusal would
+	// cost its caller the answer, a late answer does not.
 	retriedWaitFraction = 0.3
-	// minRetryAfter keeps a refused caller from coming back into the same
-	// backlog.
+	// minRetryAfter is the minimum retry delay. It keeps a refused caller from
+	// retrying into the same backlog.
 	minRetryAfter = 200 * time.Millisecond
-	// noUpstreamRetryAfter is when to come back while a service has no upstream:
-	// a restart takes seconds.
+	// noUpstreamRetryAfter is the retry delay while a service has no upstream.
+	// A restart takes seconds.
 	noUpstreamRetryAfter = time.Second
-	// maxRetryAfterFraction is the part of the remaining time that a caller is
-	// willing to wait before it comes back.
+	// maxRetryAfterFraction is the fraction of its remaining timeout that a
+	// caller is willing to wait before it retries.
 	maxRetryAfterFraction = 1.0 / 3
-	// maxDurationFactor is how many times the expected time of its answer a
-	// request gets that a stopping router takes. Half of the answers are longer
-	// than callers' hints; a caller who is sent to another router loses some
-	// ms, one whose stream is cut off the whole answer.
+	// maxDurationFactor is the maximum duration that a stopping router allows
+	// for an answer, as a multiple of the expected duration. Half of the
+	// answers are longer than the hints of their callers. A caller that is sent
+	// to another router loses some milliseconds, a caller whose stream is cut
+	// off loses the whole answer.
 	maxDurationFactor = 2
-	// OtherRouterRetryAfter sends a caller of a stopping or full router to another one
-	// at once: it comes on a new connection.
+	// OtherRouterRetryAfter is the retry delay for callers of a stopping or
+	// full router. It is short because the caller retries on a new connection,
+	// which leads to another router.
 	OtherRouterRetryAfter = 50 * time.Millisecond
-	// retryJitter spreads the returns of callers refused together.
+	// retryJitter is the maximum random extension of a retry delay, as a
+	// fraction of the delay. It spreads the retries of callers that were
+	// refused at the same time.
 	retryJitter = 0.5
 )
 
-// Reason says why a request was refused.
+// Reason is the reason for which a request was refused.
 type Reason uint8
 
-// Reasons.
+// The reasons for a decision.
 const (
-	// Admitted requests were not refused.
+	// Admitted means that the request was not refused.
 	Admitted Reason = iota
-	// NoUpstream: the service has no upstream that takes work.
+	// NoUpstream means that the service has no upstream that accepts work.
 	NoUpstream
-	// Overload: the request's answer could not begin in time.
+	// Overload means that the request could not be answered in time without
+	// delaying too many others.
 	Overload
-	// OverShare: the workspace has its fair share already and others wait.
+	// OverShare means that the workspace has used up its fair share while
+	// others wait.
 	OverShare
-	// Stopping: the router stops before the request's answer may have ended.
+	// Stopping means that the router may stop before the request's answer has
+	// ended.
 	Stopping
 )
 
-// String returns the reason's name in logs.
+// String returns the name of the reason used in logs.
 func (r Reason) String() string {
 	names := [...]string{"admitted", "no-upstream", "overload", "over-share", "stopping"}
 	if int(r) >= len(names) {
@@ -97,31 +112,33 @@
 	return names[r]
 }
 
-// Request is what admission needs to know.
+// Request holds the properties of a request that admission depends on.
 type Request struct {
 	placement.Work
-	// Fingerprint recognises the request if its caller sends it again.
+	// Fingerprint identifies the request if its caller sends it again.
 	Fingerprint state.Fingerprint
 	Workspace   state.Workspace
 	// Cost is the request's expected cost in cost units.
 	Cost float64
-	// Elapsed is the time since the caller's first attempt; zero unless it was
-	// refused since.
+	// Elapsed is the time since the caller's first attempt. It is zero unless
+	// the request was refused before.
 	Elapsed time.Duration
-	// Timeout is how long the caller will wait from now.
+	// Timeout is how long the caller will wait from now on.
 	Timeout time.Duration
-	// MaxOutputTokens is the most generated tokens that the caller takes, zero if it
-	// did not say.
+	// MaxOutputTokens is the maximum number of generated tokens that the caller
+	// accepts, zero if the caller did not specify one.
 	MaxOutputTokens int
-	// RouterRemaining is how long this router still runs, zero if it was not told to stop.
+	// RouterRemaining is how long this router will keep running, zero if it was
+	// not ordered to stop.
 	RouterRemaining time.Duration
-	// MayHaveRun requests may have run at an upstream already. To refuse one would
-	// say that it has not.
+	// MayHaveRun is set if the request may already have run at an upstream.
+	// Such a request is not refused while its service has an upstream, because
+	// a refusal states that it has not run.
 	MayHaveRun bool
 }
 
-// targetFraction is the part of what is left of the target within which the answer must
-// be expected.
+// targetFraction returns the fraction of the remaining latency target within
+// which the answer must be expected.
 func (r Request) targetFraction() float64 {
 	if len(r.Prompt) == 0 {
 		return plainTargetFraction
@@ -129,9 +146,10 @@
 	return promptTargetFraction
 }
 
-// mayOutlastRouter says whether a request's answer may end only after this router has.
-// Taken all the same, it would be cut off at the end of the grace period: its
-// caller would see a stream break off that another router could have served.
+// mayOutlastRouter reports whether a request's answer may end only after this
+// router has stopped. If such a request were admitted, its stream would be cut
+// off at the end of the grace period although another router could have served
+// it whole.
 func (r Request) mayOutlastRouter(e placement.Estimate) bool {
 	if r.RouterRemaining == 0 {
 		return false
@@ -140,14 +158,16 @@
 	return min(maxDuration, r.Timeout) > r.RouterRemaining
 }
 
-// endsAfterTimeout says whether a request's caller will have left before the answer can
-// have ended. Half of the expected stream counts, since many are shorter.
+// endsAfterTimeout reports whether a request's caller will have given up before
+// the answer can end. Only half of the expected stream time is counted, because
+// many streams are shorter than expected.
 func (r Request) endsAfterTimeout(e placement.Estimate) bool {
 	return r.Timeout > 0 && e.TimeToAnswer()+e.StreamTime/2 > r.Timeout
 }
 
-// durationFactor is how many times the expected time an answer is given: no more than
-// its caller lets it grow to.
+// durationFactor returns the duration allowed for an answer as a multiple of
+// its expected duration. It is limited by the number of tokens that the caller
+// accepts.
 func (r Request) durationFactor() float64 {
 	if r.MaxOutputTokens <= 0 || r.ExpectedOutputTokens <= 0 {
 		return maxDurationFactor
@@ -158,30 +178,33 @@
 // Verdict is the decision on a request.
 type Verdict struct {
 	Reason Reason
-	// Estimate is of the chosen upstream; it explains a refusal for overload.
+	// Estimate is the estimate of the chosen upstream. It explains a refusal
+	// for overload.
 	Estimate placement.Estimate
-	// WaitLimit is the wait that the request would have been admitted at.
+	// WaitLimit is the longest wait at which the request would have been
+	// admitted.
 	WaitLimit time.Duration
-	// Standing of the workspace to its fair share.
+	// Standing compares the usage of the workspace with its fair share.
 	Standing shares.Standing
-	// RetryAfter is when a refused caller should come back.
+	// RetryAfter is the delay after which a refused caller should retry.
 	RetryAfter time.Duration
 }
 
-// IsAdmitted says whether the request is to be sent.
+// IsAdmitted reports whether the request is to be sent.
 func (v Verdict) IsAdmitted() bool { return v.Reason == Admitted }
 
-// UpstreamSelector is what admission asks of the picture of upstreams.
+// UpstreamSelector estimates which upstreams serve a request best.
 type UpstreamSelector interface {
-	// Candidates returns the upstream that serves a request best, all callers
-	// considered, and the one that answers it first.
+	// Candidates returns the upstream that is best for all callers together and
+	// the upstream that answers this request first.
 	Candidates(now time.Time, w placement.Work) (best, soonest placement.Estimate, found bool)
 }
 
-// Admit decides on a request and the upstream that it goes to. Where the best
-// one has too long a queue, the request may go to the one that answers first,
-// though prompt parts are read there once more: engines would idle beside those
-// that hold the few subjects of most requests.
+// Admit decides on a request and selects its upstream. If the queue of the best
+// upstream is too long, the request may go to the upstream that answers first,
+// although shared parts of its prompt must be prefilled there again. Otherwise
+// engines would idle beside the few engines that have cached the prompt parts
+// of most requests.
 func Admit(now time.Time, upstreams UpstreamSelector, r Request, standing shares.Standing, jitter float64) Verdict {
 	best, soonest, found := upstreams.Candidates(now, r.Work)
 	verdict := Decide(r, best, found, standing, jitter)
@@ -194,11 +217,12 @@
 	return verdict
 }
 
-// mayRepeatPrefill says whether a request may go to the upstream that answers first
-// instead of the best one. What is read again is taken from others: it must be
-// little unless the fleet has engines to spare, and a workspace near its share or
-// beyond gets none: its repeated reading would delay the longest prompts and the
-// workspaces worst served.
+// mayRepeatPrefill reports whether a request may go to the upstream that
+// answers first instead of the best one. The repeated prefill takes engine time
+// from other requests, so it must be small unless the fleet has idle engines.
+// Workspaces near or beyond their fair share get none, because it would delay
+// the longest prompts and the workspaces that have had the smallest part of
+// their shares.
 func mayRepeatPrefill(r Request, standing shares.Standing, best, soonest placement.Estimate) bool {
 	smallOverhead := soonest.ProcessingTime-best.ProcessingTime <= fractionOf(r.TargetLatency, maxRepeatedPrefillFraction)
 	switch {
@@ -211,8 +235,9 @@
 	}
 }
 
-// Decide judges a request on the estimate of its best upstream; found is false
-// if it has none. Spread is drawn evenly from [0, 1).
+// Decide decides on a request, given the estimate of one upstream. The argument
+// found is false if there is no upstream, and jitter is a uniform random number
+// in [0, 1).
 func Decide(r Request, best placement.Estimate, found bool, standing shares.Standing, jitter float64) Verdict {
 	v := Verdict{Estimate: best, Standing: standing}
 	if !found {
@@ -247,13 +272,15 @@
 	return v
 }
 
-// exceedsShare says whether a workspace is so far beyond its share that not even idle
-// engines are for it. What this router sees itself counts as well: by the word of
-// peers alone all routers admit a flood at once, and then all refuse it.
+// exceedsShare reports whether a workspace is so far beyond its share that it
+// may not even use idle engines. The usage at this router counts as well: if
+// only the reports of peers counted, all routers would admit a flood at the
+// same time and then all refuse it.
 func exceedsShare(s shares.Standing) bool { return max(s.ShareUse, s.LocalShareUse) >= maxShareUse }
 
-// shareWaitLimit returns how long a request may wait for the sake of workspaces
-// that have had less of their shares.
+// shareWaitLimit returns how long a request may wait, given the share use of
+// its workspace. The limit shrinks with the use, in favour of workspaces that
+// have had a smaller part of their shares.
 func shareWaitLimit(target time.Duration, use float64) time.Duration {
 	excess := min(max((use-throttleStartUse)/(1-throttleStartUse), 0), 1)
 	return fractionOf(target, 1-(1-overShareWaitFraction)*excess)
@@ -275,9 +302,9 @@
 	return min(max(limit, fractionOf(r.TargetLatency, minWaitFraction)), fractionOf(r.Timeout, promptTargetFraction))
 }
 
-// retryAfter returns when a backlog will have drained, spread out so that
-// callers refused together don't come back together, and within the time that
-// the caller is willing to wait.
+// retryAfter returns the delay after which a backlog will have drained. Jitter
+// is added so that callers refused together do not retry together, and the
+// delay is limited to the time that the caller is willing to wait.
 func retryAfter(r Request, backlog time.Duration, jitter float64) time.Duration {
 	after := max(backlog, minRetryAfter)
 	after += time.Duration(jitter * retryJitter * float64(after))
--- a/coordination/admission/doc.go
+++ b/coordination/admission/doc.go
@@ -1,11 +1,11 @@
-// Package admission decides, as a request arrives, whether it is sent to an
-// upstream now or refused now with a time to come back. It holds no queue:
-// upstreams queue in order of arrival, so a request that waits here would only
-// come later there, and one that cannot be served in time takes capacity from
-// those that can.
+// Package admission decides, when a request arrives, whether it is sent to an
+// upstream immediately or refused with a time after which its caller should
+// retry. It holds no queue: upstreams serve requests in order of arrival, so a
+// request queued here would only join the upstream's queue later, and a request
+// that cannot be answered in time takes capacity from requests that can.
 //
-// The load it is made for is a fleet that is asked for more than it can do for
-// seconds, by bursts or by one workspace that sends many times its usual. The
-// harm it prevents: every request waits behind all others and all are late.
-// No I/O and no clock of its own.
+// It is designed for a fleet that is overloaded for seconds at a time, by
+// bursts or by one workspace that sends many times its usual load. Without
+// admission control every request would wait behind all others, and all of them
+// would be late. The package does no I/O and takes the time as an argument.
 package admission
--- a/coordination/admission/fleet_test.go
+++ b/coordination/admission/fleet_test.go
@@ -18,16 +18,18 @@
 
 const (
 	fleetService = "drafts"
-	// prefillRate is an engine's, in tokens a second.
+	// prefillRate is the prefill rate of an engine in tokens per second.
 	prefillRate = 50000.0
-	// exchangeInterval is how often routers tell each other of their load.
+	// exchangeInterval is the interval at which routers send each other their
+	// loads.
 	exchangeInterval = 100 * time.Millisecond
-	// generationTime is how long a request generates after its first token.
+	// generationTime is how long a request generates tokens after its first
+	// one.
 	generationTime = 2 * time.Second
-	// statedThroughputFraction is the part of the engines' reading rate that operators state as
-	// the fleet's throughput.
+	// statedThroughputFraction is the fleet's throughput as stated by
+	// operators, as a fraction of the engines' total prefill rate.
 	statedThroughputFraction = 0.7
-	// firstTokenOverhead stands for the way there and back and a step of the batch.
+	// firstTokenOverhead is the network round trip plus one batch step.
 	firstTokenOverhead = 25 * time.Millisecond
 )
 
@@ -42,7 +44,7 @@
 	target       time.Duration
 }
 
-// outcome is what its caller got.
+// outcome is the result that a caller received.
 type outcome struct {
 	arrival
 	verdict    Verdict
@@ -51,7 +53,7 @@
 
 func (o outcome) onTime() bool { return o.verdict.IsAdmitted() && o.firstToken <= o.target }
 
-// engine reads prompts in order of arrival.
+// engine prefills prompts in order of arrival.
 type engine struct {
 	id     state.Upstream
 	speed  float64
@@ -64,16 +66,17 @@
 	ledger *shares.Ledger
 }
 
-// simulation runs routers before engines on a clock of its own.
+// simulation runs routers in front of engines on simulated time.
 type simulation struct {
 	engines    map[state.Upstream]*engine
 	routers    []*router
 	throughput float64
-	// usageDelay is how old the routers' word of spending is when it arrives.
+	// usageDelay is the age of the routers' usage reports when they arrive.
 	usageDelay     time.Duration
 	events         []scheduledEvent
 	repeatedTokens int
-	// naive places at random and admits everything: the baseline.
+	// naive is the baseline: requests are placed at random and all are
+	// admitted.
 	naive bool
 	rng   *rand.Rand
 }
@@ -106,13 +109,13 @@
 	return s
 }
 
-// schedule schedules an event; ties keep their order.
+// schedule inserts an event by time. Events at the same time keep their order.
 func (s *simulation) schedule(at time.Duration, run func()) {
 	i := sort.Search(len(s.events), func(i int) bool { return s.events[i].at > at })
 	s.events = slices.Insert(s.events, i, scheduledEvent{at, run})
 }
 
-// run replays a load and returns what each caller got.
+// run replays a load and returns the result of each caller.
 func (s *simulation) run(load []arrival) []outcome {
 	results := make([]outcome, len(load))
 	end := load[len(load)-1].at
@@ -190,7 +193,8 @@
 	s.schedule(first+generationTime, func() { r.view.RecordEnd(epoch.Add(first+generationTime), ticket, placement.Answered) })
 }
 
-// poisson draws arrivals at a rate for a while.
+// poisson returns arrivals of a Poisson process at a rate per second, between
+// two times.
 func poisson(rng *rand.Rand, from, to time.Duration, perSecond float64, make func(at time.Duration) arrival) []arrival {
 	var load []arrival
 	for at := from; ; {
@@ -202,7 +206,7 @@
 	}
 }
 
-// lognormal draws a size with a mean.
+// lognormal draws a size from a lognormal distribution with a given mean.
 func lognormal(rng *rand.Rand, mean, spread float64, limit int) int {
 	mu := math.Log(mean) - spread*spread/2
 	return min(int(math.Exp(mu+spread*rng.NormFloat64()))+1, limit)
@@ -214,7 +218,8 @@
 	return all
 }
 
-// fractionWhere returns the part of the outcomes that a test asks for which hold.
+// fractionWhere returns the fraction of the selected outcomes for which holds
+// returns true.
 func fractionWhere(outcomes []outcome, selected, holds func(o outcome) bool) float64 {
 	total, matching := 0, 0
 	for _, o := range outcomes {
--- a/coordination/admission/floods_test.go
+++ b/coordination/admission/floods_test.go
@@ -10,12 +10,14 @@
 	"github.com/figstile/figstile/state"
 )
 
-// comparisonWindow is the time over which workspaces are compared.
+// comparisonWindow is the length of the window over which the service of
+// workspaces is compared.
 const comparisonWindow = 6 * time.Second
 
-// minServedRatio returns the least part that a workspace got, over any six seconds
-// between two times, of what it asked or another got, whichever is less.
-func minServedRatio(results []outcome, from, to time.Duration, of, than state.Workspace) float64 {
+// minServedRatio returns the lowest ratio, over all six-second windows between
+// two times, of the tokens served for one workspace to the tokens that it
+// requested or that another workspace was served, whichever is less.
+func minServedRatio(results []outcome, from, to time.Duration, subject, reference state.Workspace) float64 {
 	minRatio := 1.0
 	for ; from+comparisonWindow <= to; from += time.Second {
 		requested, served := make(map[state.Workspace]int), make(map[state.Workspace]int)
@@ -28,12 +30,13 @@
 				served[o.workspace] += o.ownTokens
 			}
 		}
-		minRatio = min(minRatio, float64(served[of])/float64(max(min(requested[of], served[than]), 1)))
+		minRatio = min(minRatio, float64(served[subject])/float64(max(min(requested[subject], served[reference]), 1)))
 	}
 	return minRatio
 }
 
-// usedPrefillFraction is the part of the engines' reading rate that was used over a time.
+// usedPrefillFraction returns the fraction of the engines' prefill capacity
+// that was used between two times.
 func usedPrefillFraction(results []outcome, from, to time.Duration) float64 {
 	served := 0
 	for _, o := range results {
@@ -44,12 +47,13 @@
 	return float64(served) / (prefillRate * replayEngines * (to - from).Seconds())
 }
 
-// mixedLoad are guides and twice as many notes.
+// mixedLoad returns long requests and twice as many short ones.
 func mixedLoad(rng *rand.Rand, from, to time.Duration, perSecond float64, workspace func() state.Workspace) []arrival {
 	return mergeLoads(longRequests(rng, from, to, perSecond, workspace), shortRequests(rng, from, to, 2*perSecond, workspace))
 }
 
-// withPrefixOffset gives a load subjects of its own.
+// withPrefixOffset shifts the prefix IDs of a load so that it shares no
+// prefixes with others.
 func withPrefixOffset(load []arrival, offset uint64) []arrival {
 	for i := range load {
 		load[i].prefixID += offset
@@ -57,8 +61,9 @@
 	return load
 }
 
-// floodLoad returns a load of one workspace that asks times as often as another, beside
-// ten that ask for more than half of what the fleet states.
+// floodLoad returns the load of one workspace that sends several times as many
+// requests as another, beside ten workspaces that together request more than
+// half of the fleet's stated throughput.
 func floodLoad(times float64, routers, smallerRouters int) []arrival {
 	const (
 		larger    = 1 << 20
@@ -80,8 +85,9 @@
 	return load
 }
 
-// requireComparableService replays floods and requires that the smaller gets half of what
-// the larger does, and that engines are used beyond the stated rate.
+// requireComparableService replays a flood. It requires that the smaller
+// workspace is served half as much as the larger one, and that the engines are
+// used beyond the stated throughput.
 func requireComparableService(t *testing.T, s *simulation, load []arrival) {
 	t.Helper()
 	const statedFraction = 0.3
@@ -89,12 +95,13 @@
 	results := s.run(load)
 	ratio := minServedRatio(results, 4*time.Second, replayTime, "smaller", "larger")
 	used := usedPrefillFraction(results, 4*time.Second, replayTime)
-	t.Logf("least part %.2f, %.2f of the reading rate used", ratio, used)
+	t.Logf("lowest served ratio %.2f, %.2f of the prefill rate used", ratio, used)
 	require.Greater(t, ratio, 0.5)
-	require.Greater(t, used, 0.5, "what is beyond the stated rate is used")
+	require.Greater(t, used, 0.5, "engines are used beyond the stated rate")
 }
 
-// Guards against engines' idle time going to the workspace that asks most often.
+// Guards against the engines' idle time going to the workspace that sends most
+// requests.
 func TestFloodsShareIdleEnginesEqually(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -103,8 +110,8 @@
 	}{
 		{"four times as many requests", 4, replayRouters},
 		{"eight times as many requests", 8, replayRouters},
-		{"four times as many, the smaller at one router", 4, 1},
-		{"eight times as many, the smaller at one router", 8, 1},
+		{"four times as many, the smaller workspace at one router", 4, 1},
+		{"eight times as many, the smaller workspace at one router", 8, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			requireComparableService(t, newSimulation(replayRouters, replayEngines, 11), floodLoad(c.times, replayRouters, c.smallerRouters))
@@ -112,8 +119,8 @@
 	}
 }
 
-// Guards against many routers that all admit a flood until they hear that the
-// others did, and then all refuse it.
+// Guards against many routers that all admit a flood until each receives the
+// usage of the others, and then all refuse it.
 func TestFloodsShareEnginesEquallyWithStaleUsage(t *testing.T) {
 	const routers = 24
 	for _, c := range []struct {
@@ -123,8 +130,8 @@
 	}{
 		{"three times as many requests", 3, routers},
 		{"six times as many requests", 6, routers},
-		{"three times as many, the smaller at two routers", 3, 2},
-		{"six times as many, the smaller at two routers", 6, 2},
+		{"three times as many, the smaller workspace at two routers", 3, 2},
+		{"six times as many, the smaller workspace at two routers", 6, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSimulation(routers, replayEngines, 11)
--- a/coordination/admission/hopeless_test.go
+++ b/coordination/admission/hopeless_test.go
@@ -11,7 +11,8 @@
 	"github.com/figstile/figstile/coordination/shares"
 )
 
-// A request that was read late reached an engine just before its caller left.
+// Guards against a request that the router has read late and sends to an engine
+// just before its caller leaves.
 func TestRequestThatCannotEndInTimeIsRefused(t *testing.T) {
 	idle := placement.Estimate{ProcessingTime: 200 * time.Millisecond, StreamTime: 2 * time.Second, UnderHalfFull: true}
 	request := Request{Work: placement.Work{Prompt: []prefix.Part{{ID: 1, Tokens: 600}}, TargetLatency: time.Second}}
@@ -24,5 +25,5 @@
 		require.Equal(t, c.admitted, verdict.IsAdmitted(), c.timeout)
 	}
 	request.MayHaveRun = true
-	require.True(t, Decide(request, idle, true, shares.Standing{}, 0).IsAdmitted(), "it may have run already")
+	require.True(t, Decide(request, idle, true, shares.Standing{}, 0).IsAdmitted(), "a request that may have run is not refused")
 }
--- a/coordination/admission/onset_test.go
+++ b/coordination/admission/onset_test.go
@@ -10,8 +10,9 @@
 	"github.com/figstile/figstile/state"
 )
 
-// floodOnset returns a load of two workspaces beyond their shares, beside ten others: one
-// asks steadily, the other begins to ask times as often in the middle.
+// floodOnset returns a load of two workspaces beyond their shares, beside ten
+// others. One of the two sends at a steady rate, the other starts at onsetAt to
+// send several times as many requests.
 func floodOnset(times float64, routers int) []arrival {
 	const (
 		larger    = 1 << 20
@@ -35,8 +36,8 @@
 	onsetEnd = 16 * time.Second
 )
 
-// Guards against workspaces that are served and locked out by turns after a flood
-// began that all routers admitted before they heard of each other.
+// Guards against a flood that all routers admit before they receive each
+// other's usage: its workspaces were then served and locked out in turns.
 func TestOnsetOfAFloodLocksNobodyOut(t *testing.T) {
 	const (
 		routers        = 24
@@ -49,9 +50,9 @@
 	}{
 		{"three times as many requests", 3, 250 * time.Millisecond},
 		{"six times as many requests", 6, 250 * time.Millisecond},
-		{"six times as many, older news", 6, 500 * time.Millisecond},
+		{"six times as many, older usage", 6, 500 * time.Millisecond},
 		{"twelve times as many requests", 12, 250 * time.Millisecond},
-		{"twelve times as many, older news", 12, 500 * time.Millisecond},
+		{"twelve times as many, older usage", 12, 500 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSimulation(routers, replayEngines, 11)
@@ -61,7 +62,7 @@
 			smaller := minServedRatio(results, onsetAt, onsetEnd, "smaller", "larger")
 			larger := minServedRatio(results, onsetAt+time.Second, onsetEnd, "larger", "smaller")
 			used := usedPrefillFraction(results, onsetAt, onsetEnd)
-			t.Logf("least parts %.2f and %.2f, %.2f of the reading rate used", smaller, larger, used)
+			t.Logf("lowest served ratios %.2f and %.2f, %.2f of the prefill rate used", smaller, larger, used)
 			require.Greater(t, smaller, 0.5)
 			require.Greater(t, larger, 0.5)
 			require.Greater(t, used, 0.5)
@@ -69,8 +70,9 @@
 	}
 }
 
-// movingFlood returns a load of a workspace that asks for times the usual, whose callers
-// meet one router at a time, beside ten others at all of them.
+// movingFlood returns the load of a workspace that sends several times the
+// usual rate and whose callers reach one router at a time, beside ten
+// workspaces that use all routers.
 func movingFlood(times float64, routers int) []arrival {
 	const (
 		mover     = 1 << 20
@@ -91,14 +93,14 @@
 	return load
 }
 
-// Guards against a flood that is refused at each router it comes to because it is
-// new there.
+// Guards against a flood that is refused at each router it moves to because the
+// router has not seen it before.
 func TestFloodMovingBetweenRoutersIsServed(t *testing.T) {
 	const (
 		routers        = 24
 		statedFraction = 0.3
-		// share is the part of what ten workspaces ask for as usual that is one's
-		// share, about.
+		// share is approximately the fair share of one workspace, as a fraction
+		// of the usual load of ten.
 		share = 0.1
 	)
 	for _, c := range []struct {
@@ -114,15 +116,15 @@
 			s.throughput = statedFraction * prefillRate * replayEngines
 			results := s.run(movingFlood(c.times, routers))
 			ratio := ratioToBestServed(results, "mover", 4*time.Second)
-			t.Logf("%.2f of what the best served other one got", ratio)
+			t.Logf("served %.2f of the tokens of the best served other workspace", ratio)
 			require.Greater(t, ratio, 0.5)
 		})
 	}
 }
 
-// ratioToBestServed returns what a workspace got after a time, over what the best
-// served other one did.
-func ratioToBestServed(results []outcome, of state.Workspace, from time.Duration) float64 {
+// ratioToBestServed returns the tokens that a workspace was served after a
+// given time, divided by those of the best served other workspace.
+func ratioToBestServed(results []outcome, subject state.Workspace, from time.Duration) float64 {
 	served := make(map[state.Workspace]int)
 	for _, o := range results {
 		if o.at >= from && o.verdict.IsAdmitted() {
@@ -131,9 +133,9 @@
 	}
 	best := 1
 	for ws, n := range served {
-		if ws != of {
+		if ws != subject {
 			best = max(best, n)
 		}
 	}
-	return float64(served[of]) / float64(best)
+	return float64(served[subject]) / float64(best)
 }
--- a/coordination/admission/plain_test.go
+++ b/coordination/admission/plain_test.go
@@ -24,11 +24,11 @@
 	plainTimeout  = 1500 * time.Millisecond
 )
 
-// plainRequest is one caller's request for a page.
+// plainRequest is the request of one caller, with its retries.
 type plainRequest struct {
 	firstSentAt time.Duration
 	attempts    int
-	// answeredAt is when the answer came; zero if none did.
+	// answeredAt is when the answer arrived, zero if none did.
 	answeredAt time.Duration
 }
 
@@ -36,21 +36,23 @@
 	return p.answeredAt > 0 && p.answeredAt-p.firstSentAt <= plainTarget
 }
 
-// plainFleet replays pages on many routers before a few plain workers. Routers
-// hear of each other's placements a while later.
+// plainFleet replays plain requests on many routers in front of a few plain
+// workers. Routers receive each other's loads with a delay.
 type plainFleet struct {
 	routers []*placement.View
-	// exchangeDelay is the age of what routers hear of each other.
+	// exchangeDelay is the age of the loads that routers receive from each
+	// other.
 	exchangeDelay time.Duration
 	workers       map[state.Upstream]*plainWorker
 	rng           *rand.Rand
 	events        []scheduledEvent
 	requests      []*plainRequest
-	// dispatched counts requests at workers, rejected those that were full.
+	// dispatched counts requests sent to workers, rejected those that arrived
+	// at a full worker.
 	dispatched, rejected int
 }
 
-// plainWorker serves some requests at a time and queues a few.
+// plainWorker serves several requests at a time and queues a few more.
 type plainWorker struct{ running, queued int }
 
 func newPlainFleet(routers, workers int, delay time.Duration, seed uint64) *plainFleet {
@@ -79,7 +81,7 @@
 	f.events = slices.Insert(f.events, i, scheduledEvent{at, run})
 }
 
-// run replays a number of pages a second for a while.
+// run replays requests at a rate per second for a duration.
 func (f *plainFleet) run(perSecond float64, duration time.Duration) {
 	for at := time.Duration(0); at < duration; {
 		at += time.Duration(f.rng.ExpFloat64() / perSecond * float64(time.Second))
@@ -112,7 +114,8 @@
 	}
 }
 
-// send sends a page to any router; each attempt of a caller reaches another.
+// send sends a request to a random router. The retries of a caller may reach
+// other routers.
 func (f *plainFleet) send(at time.Duration, p *plainRequest) {
 	p.attempts++
 	r := f.routers[f.rng.IntN(len(f.routers))]
@@ -157,8 +160,9 @@
 	}
 }
 
-// serve starts work if a slot is free; a worker's queue is in order of arrival,
-// so that it is enough to count who waits.
+// serve starts a request if a slot is free and polls for a slot otherwise. A
+// worker serves its queue in order of arrival, so counting the queued requests
+// is sufficient.
 func (f *plainFleet) serve(at time.Duration, w *plainWorker, finish func(time.Duration)) {
 	if w.running >= plainSlots {
 		f.schedule(at+time.Millisecond, func() { f.serve(at+time.Millisecond, w, finish) })
@@ -186,10 +190,10 @@
 	return onTime / n, served / n
 }
 
-// A kiosk service gets four fifths of what its workers can do, all of it, and a
-// fifth more, from callers of many routers that hear of each other a fifth of a
-// second late. Routers that all follow the same old news send to one worker
-// until it rejects them, while the others idle.
+// A service gets 80, 100 and 120 percent of its workers' capacity from callers
+// of many routers, whose loads are up to 200 ms old when peers receive them.
+// Routers that all follow the same old loads send every request to one worker
+// until it rejects them, while the other workers idle.
 func TestPlainWorkersStayUtilisedWithStaleLoads(t *testing.T) {
 	for _, load := range []struct {
 		routers, workers         int
--- a/coordination/admission/replay_test.go
+++ b/coordination/admission/replay_test.go
@@ -22,8 +22,8 @@
 func wasAdmitted(o outcome) bool { return o.verdict.IsAdmitted() }
 func wasOnTime(o outcome) bool   { return o.onTime() }
 
-// longRequests are long drafts on a hundred subjects: 5,000 tokens shared, 3,000 of
-// their own on average, some of them fifty thousand.
+// longRequests returns long requests on a hundred shared prefixes: 5,000 shared
+// tokens and 3,000 own tokens on average, up to 50,000.
 func longRequests(rng *rand.Rand, from, to time.Duration, perSecond float64, workspace func() state.Workspace) []arrival {
 	return poisson(rng, from, to, perSecond, func(at time.Duration) arrival {
 		return arrival{
@@ -33,7 +33,8 @@
 	})
 }
 
-// shortRequests are short: 200 tokens shared, 600 of their own.
+// shortRequests returns short requests: 200 shared tokens, 600 own tokens on
+// average.
 func shortRequests(rng *rand.Rand, from, to time.Duration, perSecond float64, workspace func() state.Workspace) []arrival {
 	return poisson(rng, from, to, perSecond, func(at time.Duration) arrival {
 		return arrival{
@@ -43,7 +44,8 @@
 	})
 }
 
-// uniformWorkspace draws one of ten workspaces.
+// uniformWorkspace returns a function that draws one of ten workspaces
+// uniformly.
 func uniformWorkspace(rng *rand.Rand) func() state.Workspace {
 	return func() state.Workspace { return state.Workspace("w" + string(rune('0'+rng.IntN(10)))) }
 }
@@ -52,7 +54,8 @@
 	return func() state.Workspace { return name }
 }
 
-// Guards against late answers and idle engines while twice what they can read arrives.
+// Guards against late answers and idle engines while prompts arrive at twice
+// the engines' prefill rate.
 func TestSaturationKeepsAnswersOnTime(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	load := longRequests(rng, 0, replayTime, 400, uniformWorkspace(rng))
@@ -60,16 +63,16 @@
 	results := s.run(load)
 	late := 1 - fractionWhere(results, wasAdmitted, wasOnTime)
 	use := usedPrefillFraction(results, 0, replayTime)
-	t.Logf("late %.3f of the admitted, %.2f of the reading rate used", late, use)
+	t.Logf("late %.3f of the admitted, %.2f of the prefill rate used", late, use)
 	require.Less(t, late, 0.08)
 	require.Greater(t, use, 0.75)
 
 	naive := newSimulation(replayRouters, replayEngines, 1)
 	naive.naive = true
-	require.Less(t, fractionWhere(naive.run(load), anyOutcome, wasOnTime), 0.15, "the same load placed at random and never refused")
+	require.Less(t, fractionWhere(naive.run(load), anyOutcome, wasOnTime), 0.15, "the baseline places the same load at random and refuses nothing")
 }
 
-// Guards against a backlog that outlasts the burst which caused it.
+// Guards against a backlog that outlasts the burst that caused it.
 func TestBurstLeavesNoBacklog(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 1))
 	load := mergeLoads(
@@ -82,7 +85,8 @@
 	require.Greater(t, fractionWhere(results, after, wasOnTime), 0.97)
 }
 
-// Guards against a workspace that sends as much as the fleet can do and starves nine others.
+// Guards against a workspace that sends as much as the fleet can serve and
+// starves nine others.
 func TestFloodDoesNotStarveTheOthers(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 1))
 	load := mergeLoads(
@@ -94,20 +98,22 @@
 	others := func(o outcome) bool { return o.workspace != "flood" && o.at > 5*time.Second }
 	t.Logf("on time: flood %.3f, others %.3f", fractionWhere(results, flood, wasOnTime), fractionWhere(results, others, wasOnTime))
 	require.Greater(t, fractionWhere(results, others, wasOnTime), 0.93)
-	require.Greater(t, fractionWhere(results, flood, wasOnTime), 0.15, "what the others leave goes to it")
+	require.Greater(t, fractionWhere(results, flood, wasOnTime), 0.15, "the flood gets the capacity that the others leave")
 }
 
-// Guards against short notes that wait behind guides which keep an engine for a second.
+// Guards against short requests that wait behind long ones, each of which
+// occupies an engine for up to a second.
 func TestShortRequestsAreNotDelayedByLongOnes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(4, 1))
 	load := mergeLoads(longRequests(rng, 0, replayTime, 90, uniformWorkspace(rng)), shortRequests(rng, 0, replayTime, 150, uniformWorkspace(rng)))
 	results := newSimulation(replayRouters, replayEngines, 4).run(load)
 	isShort := func(o outcome) bool { return o.target == 500*time.Millisecond }
-	t.Logf("notes on time %.3f, guides %.3f", fractionWhere(results, isShort, wasOnTime), fractionWhere(results, func(o outcome) bool { return !isShort(o) }, wasOnTime))
+	t.Logf("short requests on time %.3f, long ones %.3f", fractionWhere(results, isShort, wasOnTime), fractionWhere(results, func(o outcome) bool { return !isShort(o) }, wasOnTime))
 	require.Greater(t, fractionWhere(results, isShort, wasOnTime), 0.97)
 }
 
-// Guards against an engine that reads four times slower and gets as much as the others.
+// Guards against an engine that prefills four times slower and receives as many
+// requests as the others.
 func TestSlowEngineGetsLess(t *testing.T) {
 	rng := rand.New(rand.NewPCG(5, 1))
 	load := longRequests(rng, 0, replayTime, 110, uniformWorkspace(rng))
@@ -125,7 +131,8 @@
 	require.Greater(t, fractionWhere(results, anyOutcome, wasOnTime), 0.9)
 }
 
-// Guards against engines that idle beside those which hold the few subjects of most requests.
+// Guards against engines that idle beside those that have cached the few
+// prefixes of most requests.
 func TestHotPrefixIsSpread(t *testing.T) {
 	rng := rand.New(rand.NewPCG(6, 1))
 	hot := longRequests(rng, 0, replayTime, 60, uniformWorkspace(rng))
@@ -140,12 +147,13 @@
 		shared += o.sharedTokens
 	}
 	repeated := float64(s.repeatedTokens) / float64(shared)
-	t.Logf("on time %.3f, shared tokens read %.3f of those sent", fractionWhere(results, anyOutcome, wasOnTime), repeated)
+	t.Logf("on time %.3f, shared tokens prefilled again %.3f of those sent", fractionWhere(results, anyOutcome, wasOnTime), repeated)
 	require.Greater(t, fractionWhere(results, anyOutcome, wasOnTime), 0.95)
 	require.Less(t, repeated, 0.2)
 }
 
-// Guards against parts that are read again everywhere after the routers restart.
+// Guards against shared prompt parts that are prefilled again at all engines
+// after the routers restart.
 func TestRestartedRoutersFindCachedPrefixes(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 1))
 	before := newSimulation(replayRouters, replayEngines, 7)
@@ -157,7 +165,7 @@
 	load := longRequests(rng, 0, 5*time.Second, 80, uniformWorkspace(rng))
 	restarted.run(load)
 	repeated := float64(restarted.repeatedTokens) / float64(5000*len(load))
-	t.Logf("shared tokens read again %.3f", repeated)
+	t.Logf("shared tokens prefilled again %.3f", repeated)
 	require.Less(t, repeated, 0.15)
 }
 
@@ -167,21 +175,22 @@
 	require.Equal(t, NoUpstream, Decide(request, estimateOf(0, 0), false, withinShare, 0).Reason)
 	require.True(t, Decide(request, estimateOf(500, 100), true, withinShare, 0).IsAdmitted())
 	require.Equal(t, Overload, Decide(request, estimateOf(600, 100), true, withinShare, 0).Reason)
-	require.True(t, Decide(request, estimateOf(100, 3000), true, withinShare, 0).IsAdmitted(), "a prompt that takes long by itself is admitted to an idle engine")
+	require.True(t, Decide(request, estimateOf(100, 3000), true, withinShare, 0).IsAdmitted(), "a prompt with a long prefill is admitted to an idle engine")
 	require.Equal(t, OverShare, Decide(request, estimateOf(100, 100), true, shareExhausted, 0).Reason)
-	require.True(t, Decide(request, estimateOf(10, 100), true, shareExhausted, 0).IsAdmitted(), "nobody is refused what is idle")
+	require.True(t, Decide(request, estimateOf(10, 100), true, shareExhausted, 0).IsAdmitted(), "idle capacity is open to a workspace beyond its share")
 	late := request
 	late.Elapsed = 2 * time.Second
-	require.True(t, Decide(late, estimateOf(2000, 100), true, withinShare, 0).IsAdmitted(), "who comes back is served late rather than not")
-	begun := request
-	begun.MayHaveRun = true
-	require.True(t, Decide(begun, estimateOf(60000, 100), true, shareExhausted, 0).IsAdmitted(), "a refusal would say that it has not run")
+	require.True(t, Decide(late, estimateOf(2000, 100), true, withinShare, 0).IsAdmitted(), "a retried request is served late rather than refused again")
+	mayHaveRun := request
+	mayHaveRun.MayHaveRun = true
+	require.True(t, Decide(mayHaveRun, estimateOf(60000, 100), true, shareExhausted, 0).IsAdmitted(), "a refusal would state that it has not run")
 	plain := Request{Work: placement.Work{TargetLatency: time.Second}, Timeout: 9 * time.Second}
 	require.True(t, Decide(plain, estimateOf(800, 100), true, withinShare, 0).IsAdmitted())
 	require.Equal(t, Overload, Decide(plain, estimateOf(850, 100), true, withinShare, 0).Reason)
 }
 
-// Guards against a prompt whose reading makes the streams of thirty callers late.
+// Guards against a prompt whose prefill makes the streams of thirty callers
+// late.
 func TestPromptThatDelaysManyStreamsIsRefused(t *testing.T) {
 	request := Request{Work: placement.Work{TargetLatency: time.Second, Prompt: []prefix.Part{{ID: 1, Tokens: 50000}}}, Timeout: 9 * time.Second}
 	e := estimateOf(0, 1400)
@@ -191,7 +200,8 @@
 	require.True(t, Decide(request, e, true, withinShare, 0).IsAdmitted())
 }
 
-// Guards against prompts that are late anyway and take places from those that can be on time.
+// Guards against prompts that will be late in any case and take queue positions
+// from those that can be on time.
 func TestLatePromptHasShortWaitLimit(t *testing.T) {
 	request := Request{Work: placement.Work{TargetLatency: time.Second, Prompt: []prefix.Part{{ID: 1, Tokens: 50000}}}, Timeout: 9 * time.Second}
 	require.True(t, Decide(request, estimateOf(690, 1400), true, withinShare, 0).IsAdmitted())
@@ -199,9 +209,9 @@
 }
 
 func TestRetryAfterStaysWithinTimeout(t *testing.T) {
-	for _, spread := range []float64{0, 0.5, 0.999} {
+	for _, jitter := range []float64{0, 0.5, 0.999} {
 		for _, timeout := range []time.Duration{300 * time.Millisecond, 3 * time.Second, 15 * time.Second} {
-			v := Decide(Request{Work: placement.Work{TargetLatency: 200 * time.Millisecond}, Timeout: timeout}, estimateOf(20000, 50), true, withinShare, spread)
+			v := Decide(Request{Work: placement.Work{TargetLatency: 200 * time.Millisecond}, Timeout: timeout}, estimateOf(20000, 50), true, withinShare, jitter)
 			require.False(t, v.IsAdmitted())
 			require.Positive(t, v.RetryAfter)
 			require.LessOrEqual(t, v.RetryAfter, timeout/3)
--- a/coordination/admission/returns.go
+++ b/coordination/admission/returns.go
@@ -7,33 +7,39 @@
 )
 
 const (
-	// refusalMemory is how long a refused request is remembered at least. Its
-	// caller comes back within a third of its timeout, which is 15 s at most.
+	// refusalMemory is the minimum time for which a refused request is
+	// remembered. Its caller retries within a third of its timeout, and
+	// timeouts are at most 15 s.
 	refusalMemory = 5 * time.Second
-	// maxRememberedRefusals bounds the requests remembered in that time, some 64 bytes
-	// each, and those told to peers at once. What is left out is judged as new.
+	// maxRememberedRefusals bounds the number of requests remembered in that
+	// time, at about 64 bytes each, and maxAnnouncedRefusals the number sent to
+	// peers at once. Requests beyond these bounds are treated as new when they
+	// are retried.
 	maxRememberedRefusals = 20000
 	maxAnnouncedRefusals  = 256
 )
 
-// RetryTracker recognises callers that come back after a refusal, to this router or
-// a neighbour. A caller says how long it will wait, not how long it has waited,
-// and callers of a route differ too much to tell the one from the other. It is
-// not safe for concurrent use.
+// RetryTracker recognises requests that were refused before, by this router or
+// by another router of its data centre. A caller sends how long it will wait
+// but not how long it has waited, and the timeouts of a route's callers differ
+// too much to derive the elapsed time from them. A RetryTracker is not safe for
+// concurrent use.
 type RetryTracker struct {
-	// recent and older hold when requests first arrived, by what they were
-	// refused in this and the last period of memory.
+	// recent and older hold the time of the first arrival by refusal key, for
+	// requests refused in the current and in the previous period of
+	// refusalMemory.
 	recent, older map[uint32]time.Time
 	recentSince   time.Time
 	unannounced   []uint32
 }
 
-// refusalKey is what a request is remembered and told by. Of ten thousand, two are
-// mistaken for another once in a hundred times.
+// refusalKey returns the key under which a refused request is stored and
+// announced to peers. Among ten thousand requests, two share a key with a
+// probability of about one percent.
 func refusalKey(f state.Fingerprint) uint32 { return uint32(f ^ f>>32) }
 
-// RecordRefusal notes that a request was refused now and had waited since its caller's
-// first attempt.
+// RecordRefusal records that a request is refused now, and how long ago its
+// caller's first attempt was.
 func (r *RetryTracker) RecordRefusal(now time.Time, f state.Fingerprint, elapsed time.Duration) {
 	r.remember(now, refusalKey(f), now.Add(-elapsed))
 	if len(r.unannounced) < maxAnnouncedRefusals {
@@ -41,7 +47,8 @@
 	}
 }
 
-// ReceiveRefusals takes the requests that a neighbour refused since it last told of any.
+// ReceiveRefusals records the refusals that a neighbouring router announced:
+// those since its last announcement.
 func (r *RetryTracker) ReceiveRefusals(now time.Time, keys []uint32) {
 	for _, k := range keys {
 		if _, known := r.firstArrival(k); !known {
@@ -50,16 +57,16 @@
 	}
 }
 
-// TakeUnannounced returns what was refused since the last call, to be told to
-// neighbours.
+// TakeUnannounced returns the keys of requests refused since the last call, to
+// be announced to neighbouring routers.
 func (r *RetryTracker) TakeUnannounced() []uint32 {
 	refused := r.unannounced
 	r.unannounced = nil
 	return refused
 }
 
-// Elapsed returns how long ago the caller of a request first sent it; zero
-// unless it was refused before.
+// Elapsed returns the time since the caller's first attempt of a request. It is
+// zero unless the request was refused before.
 func (r *RetryTracker) Elapsed(now time.Time, f state.Fingerprint) time.Duration {
 	first, known := r.firstArrival(refusalKey(f))
 	if !known {
--- a/coordination/admission/returns_test.go
+++ b/coordination/admission/returns_test.go
@@ -9,7 +9,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Guards against first requests that count as late because callers' deadlines differ.
+// Guards against first requests that count as late because callers' timeouts
+// differ.
 func TestElapsedCountsOnlyRefusedRequests(t *testing.T) {
 	var here, neighbour RetryTracker
 	now := epoch
@@ -18,12 +19,12 @@
 	neighbour.ReceiveRefusals(now.Add(100*time.Millisecond), here.TakeUnannounced())
 	now = now.Add(400 * time.Millisecond)
 	require.Equal(t, 400*time.Millisecond, here.Elapsed(now, 1))
-	require.Equal(t, 300*time.Millisecond, neighbour.Elapsed(now, 1), "callers come back to any router of the data centre")
+	require.Equal(t, 300*time.Millisecond, neighbour.Elapsed(now, 1), "callers may retry at any router of the data centre")
 	require.Zero(t, neighbour.Elapsed(now, 2))
 
 	neighbour.RecordRefusal(now, 1, neighbour.Elapsed(now, 1))
 	now = now.Add(time.Second)
-	require.Equal(t, 1300*time.Millisecond, neighbour.Elapsed(now, 1), "counted from the first attempt")
+	require.Equal(t, 1300*time.Millisecond, neighbour.Elapsed(now, 1), "elapsed time counts from the first attempt")
 	neighbour.ReceiveRefusals(now, []uint32{refusalKey(1)})
 	require.Equal(t, 1300*time.Millisecond, neighbour.Elapsed(now, 1))
 }
@@ -37,7 +38,8 @@
 	require.Zero(t, r.Elapsed(epoch.Add(2*refusalMemory+3*time.Second), 1))
 }
 
-// A flood of refusals must not take the router's memory, nor its peers' links.
+// Guards against a flood of refusals that uses up the router's memory or the
+// bandwidth of its peer links.
 func TestRememberedRefusalsAreBounded(t *testing.T) {
 	var r RetryTracker
 	for i := range 3 * maxRememberedRefusals {
--- a/coordination/admission/stop_test.go
+++ b/coordination/admission/stop_test.go
@@ -10,10 +10,10 @@
 	"github.com/figstile/figstile/coordination/shares"
 )
 
-// A router that stops has five seconds left, and an engine that would answer at
-// once. A stream that is expected to take three seconds may well take six: it
-// goes to another router. One that may have run already goes on here, as no
-// other router could begin it.
+// A stopping router has five seconds left and an engine that would answer at
+// once. A stream with an expected duration of three seconds may take six, so it
+// is sent to another router. A request that may have run already is served
+// here, because no other router could start it.
 func TestStoppingRouterRefusesRequestsThatMayOutlastIt(t *testing.T) {
 	estimate := placement.Estimate{ProcessingTime: 100 * time.Millisecond, StreamTime: 3 * time.Second, UnderHalfFull: true}
 	request := Request{Work: placement.Work{TargetLatency: time.Second}, Timeout: 15 * time.Second, RouterRemaining: 5 * time.Second}
@@ -27,23 +27,23 @@
 	short.StreamTime = 2 * time.Second
 	require.True(t, decide(request, short).IsAdmitted())
 
-	begun := request
-	begun.MayHaveRun = true
-	require.True(t, decide(begun, estimate).IsAdmitted())
+	mayHaveRun := request
+	mayHaveRun.MayHaveRun = true
+	require.True(t, decide(mayHaveRun, estimate).IsAdmitted())
 
-	limited := request
-	limited.ExpectedOutputTokens, limited.MaxOutputTokens = 300, 400
-	require.True(t, decide(limited, estimate).IsAdmitted(), "its caller takes no more than four seconds of it")
+	tokenLimited := request
+	tokenLimited.ExpectedOutputTokens, tokenLimited.MaxOutputTokens = 300, 400
+	require.True(t, decide(tokenLimited, estimate).IsAdmitted(), "the caller's token limit ends the stream after four seconds")
 
 	impatient := request
 	impatient.Timeout = 4 * time.Second
-	require.True(t, decide(impatient, estimate).IsAdmitted(), "its caller is gone before the router")
+	require.True(t, decide(impatient, estimate).IsAdmitted(), "the caller's timeout ends before the router does")
 
 	waiting := estimate
 	waiting.UnderHalfFull, waiting.WaitTime = false, 6*time.Second
-	require.Equal(t, Overload, decide(request, waiting).Reason, "it would be refused anywhere")
+	require.Equal(t, Overload, decide(request, waiting).Reason, "any router would refuse it")
 
 	running := request
 	running.RouterRemaining = 0
-	require.True(t, decide(running, estimate).IsAdmitted(), "the router was not told to stop")
+	require.True(t, decide(running, estimate).IsAdmitted(), "the router was not ordered to stop")
 }
