--- a/coordination/placement/doc.go
+++ b/coordination/placement/doc.go
@@ -1,13 +1,15 @@
 // Package placement chooses the upstream that will answer a request soonest,
-// and estimates how soon that is. Its picture of each upstream comes from what
-// this router has there, what peers last told of theirs, and what earlier
-// answers taught about the upstream's speed. No I/O and no clock of its own.
+// and estimates how soon that is. Its view of each upstream combines this
+// router's own requests there, the loads that peers last reported, and the
+// upstream's speed learned from earlier answers. The package does no I/O and
+// takes the time as an argument.
 //
-// An engine reads prompts one after the other and generates for all running
-// requests together, so the time to a first token is the unread prompt tokens
-// ahead, plus those of the request itself, over the reading rate. Prompts
-// share parts; a part that an engine still holds need not be read again. Reading
-// one again therefore counts several times its time, and a part that no engine
-// is known to hold goes to the first in a rendezvous hash, on which all routers
-// agree without a message.
+// An engine prefills prompts one after the other and generates tokens for all
+// running requests together. The time to a first token is therefore the number
+// of pending prefill tokens, plus those of the request itself, divided by the
+// prefill rate. Prompts share parts, and a part that an engine has cached need
+// not be prefilled again. Repeating the prefill of a shared part is therefore
+// weighted at several times its duration. A part that no engine is known to
+// have cached is sent to the first engine in a rendezvous hash, on which all
+// routers agree without exchanging a message.
 package placement
--- a/coordination/placement/host.go
+++ b/coordination/placement/host.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// peerLoadExpiry is the age at which a peer's loads no longer count: a live
-	// one says something twice a second.
+	// peerLoadExpiry is the age at which a peer's loads are dropped. A live
+	// peer sends a message twice a second.
 	peerLoadExpiry = 3 * time.Second
-	// defaultSlots is assumed of an upstream that does not tell its slots.
+	// defaultSlots is the number of slots assumed for an upstream that does not
+	// report one.
 	defaultSlots = 16
-	// promptCacheFraction is the part of an engine's memory that is believed to hold
-	// prompt parts; the rest is taken by running requests.
+	// promptCacheFraction is the fraction of an engine's cache memory that is
+	// assumed to hold prompt parts. Running requests use the rest.
 	promptCacheFraction = 0.6
 )
 
-// host is the picture of one upstream.
+// host holds the state of one upstream.
 type host struct {
 	directory.Upstream
 	hash  uint64
@@ -29,33 +30,41 @@
 	running        int
 	pendingPrefill int
 	peerLoads      map[state.Router]Load
-	// peerTotal is the sum of peers, kept because it is needed for each request.
+	// peerTotal is the sum of peerLoads. It is maintained on each change
+	// because every placement needs it.
 	peerTotal Load
-	// reported is what peers were last told of running and unread, published what
-	// the peers of links were told of the sum on this side.
+	// reported is the load of this router that its peers last received.
+	// reportedSums holds, for each peer that is connected by a link, the sum
+	// that the peer last received of all loads on this side of the link.
 	reported     Load
 	reportedSums map[state.Router]Load
 
-	// relativeSpeed is this engine's reading rate over the service's usual one.
+	// relativeSpeed is this engine's prefill rate as a multiple of the
+	// service's mean rate.
 	relativeSpeed float64
-	// slotTime is the mean time that a request holds a slot; 0 before the first.
+	// slotTime is the mean time that a request holds a slot, in nanoseconds; 0
+	// before the first request has ended.
 	slotTime    float64
 	failureRate float64
-	// interferenceCount counts the prompts placed here whose reading made pauses too
-	// long, fading; interferedAt is when it was last brought up to date.
+	// interferenceCount is the exponentially decaying number of prompts placed
+	// here whose prefill made event gaps too long. interferenceUpdatedAt is
+	// when the decay was last applied.
 	interferenceCount     float64
 	interferenceUpdatedAt time.Time
-	// avoidUntil passes over an upstream that has just rejected a request.
+	// avoidUntil is the time until which the upstream is avoided because it has
+	// just rejected a request.
 	avoidUntil time.Time
-	// unreachable is set from a failed or silent connection until the
-	// upstream is heard again.
+	// unreachable is set when a connection fails or the upstream goes silent,
+	// and cleared when the upstream sends something again.
 	unreachable bool
-	// active are the requests sent and not ended, oldest first.
+	// active holds the requests that were sent and have not ended, oldest
+	// first.
 	active []*Ticket
-	// lastReceivedAt is when the upstream last sent anything.
+	// lastReceivedAt is when the upstream last sent anything to this router.
 	lastReceivedAt time.Time
-	// sequence numbers this router's requests; latest is that of the last one
-	// sent that has output, latestAt when its output began.
+	// sequence is the number of the last request that this router sent to the
+	// upstream. newestStarted is the number of the newest request that has
+	// produced output, and newestStartedAt is when its output began.
 	sequence        uint64
 	newestStarted   uint64
 	newestStartedAt time.Time
@@ -72,24 +81,24 @@
 	}
 }
 
-// totalLoad is what all routers have at the upstream.
+// totalLoad returns the load of all routers at the upstream.
 func (h *host) totalLoad() (running, pendingPrefill int) {
 	return h.running + h.peerTotal.Running, h.pendingPrefill + h.peerTotal.PendingPrefill
 }
 
-// setPeerLoad takes a source's load and keeps the sums.
-func (h *host) setPeerLoad(source state.Router, load Load) {
-	before := h.peerLoads[source]
+// setPeerLoad stores the load of a peer and updates peerTotal.
+func (h *host) setPeerLoad(peer state.Router, load Load) {
+	before := h.peerLoads[peer]
 	h.peerTotal = h.peerTotal.plus(load).minus(before)
 	if load == (Load{}) {
-		delete(h.peerLoads, source)
+		delete(h.peerLoads, peer)
 		return
 	}
-	h.peerLoads[source] = load
+	h.peerLoads[peer] = load
 }
 
-// loadExcluding is what all routers have at the upstream but those on a peer's side of
-// a link.
+// loadExcluding returns the load of all routers at the upstream, except those
+// on a peer's side of a link.
 func (h *host) loadExcluding(peer state.Router) Load {
 	return h.ownLoad().plus(h.peerTotal).minus(h.peerLoads[peer])
 }
--- a/coordination/placement/interference.go
+++ b/coordination/placement/interference.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// eventGapMargin is the part of a stream's longest pause up to which an engine's
-// reading may lengthen it. The rest is for the way to the caller and for what
-// peers have placed unseen.
+// eventGapMargin is the fraction of a stream's maximum event gap that prefill
+// may use up. The rest covers the transfer to the caller and the requests that
+// peers have placed since their last report.
 const eventGapMargin = 0.9
 
-// estimateInterference adds what reading a prompt costs the streams that run at
-// an engine, and what later prompts may cost the stream of this one. A stream
-// whose pauses are too long is late, which is as bad for its caller as to wait
-// for the whole target.
+// estimateInterference adds to the score the cost of a prompt's prefill for the
+// streams that run at an engine, and the cost that later prompts may cause for
+// the new stream. A stream with too long event gaps counts as late, which costs
+// its caller as much as a wait for the whole latency target.
 func (v *View) estimateInterference(now time.Time, e *Estimate, h *host, w Work, promptTokens int) {
 	if w.MaxEventGap <= 0 {
 		return
@@ -27,11 +27,13 @@
 	e.score += time.Duration(float64(w.TargetLatency) * lateStreams)
 }
 
-// interferenceDecayTime is the time over which prompts that interfere are counted: a
-// few lives of a stream, so that the engine that reads them stays the same one.
+// interferenceDecayTime is the time constant with which the count of
+// interfering prompts decays. It is several times the duration of a stream, so
+// that such prompts keep going to the same engine.
 const interferenceDecayTime = 4 * time.Second
 
-// decayInterference brings the count of such prompts up to date.
+// decayInterference applies the decay since the last update to the count of
+// interfering prompts.
 func (h *host) decayInterference(now time.Time) {
 	if since := now.Sub(h.interferenceUpdatedAt); since > 0 {
 		h.interferenceCount *= math.Exp(-since.Seconds() / interferenceDecayTime.Seconds())
@@ -39,14 +41,15 @@
 	h.interferenceUpdatedAt = now
 }
 
-// recordInterference counts a prompt whose reading makes the pauses of this engine's
-// streams too long.
+// recordInterference counts a prompt whose prefill makes the event gaps of this
+// engine's streams too long.
 func (h *host) recordInterference(now time.Time) {
 	h.decayInterference(now)
 	h.interferenceCount++
 }
 
-// interferenceRisk is the chance that a stream is disturbed here in its life.
+// interferenceRisk returns the probability that a stream of the given duration
+// is delayed by the prefill of another prompt at this engine.
 func (h *host) interferenceRisk(now time.Time, duration time.Duration) float64 {
 	if h.interferenceCount == 0 {
 		return 0
--- a/coordination/placement/news.go
+++ b/coordination/placement/news.go
@@ -7,28 +7,29 @@
 	"github.com/figstile/figstile/state"
 )
 
-// PlacedPrompt tells of a prompt that was sent to an engine.
+// PlacedPrompt reports a prompt that was sent to an engine.
 type PlacedPrompt struct {
 	Upstream state.Upstream
 	Prompt   []prefix.Part
-	// Interferes says that reading the prompt makes the pauses of the engine's
-	// running streams too long.
+	// Interferes is set if the prefill of the prompt makes the event gaps of
+	// the engine's running streams too long.
 	Interferes bool
 }
 
-// TakePlacedPrompts returns the prompts placed since the last call, to be told to
-// peers.
+// TakePlacedPrompts returns the prompts placed since the last call, to be sent
+// to peers.
 func (v *View) TakePlacedPrompts() []PlacedPrompt {
 	placed := v.placedPrompts
 	v.placedPrompts = nil
 	return placed
 }
 
-// ReceivePlacedPrompt takes a peer's word that an engine reads a prompt. All routers
-// then know which engines hold a part, and send its requests there: while each
-// knew only its own placements, a quarter of the shared tokens were read again.
-// They also agree on which engines read the prompts that interfere, and keep
-// long streams away from those.
+// ReceivePlacedPrompt records a peer's report that a prompt was sent to an
+// engine. With it all routers know which engines have cached a part and send
+// the requests that share it there. When each router knew only its own
+// placements, a quarter of the shared tokens were prefilled again. The routers
+// also agree on which engines prefill interfering prompts, and keep long
+// streams away from those.
 func (v *View) ReceivePlacedPrompt(now time.Time, placed PlacedPrompt) {
 	if h := v.hosts[placed.Upstream]; h != nil {
 		if placed.Interferes {
@@ -38,8 +39,8 @@
 	}
 }
 
-// OwnLoads returns what this router has at each upstream, to be told to a peer that
-// knows nothing.
+// OwnLoads returns this router's load at each upstream, to be sent to a peer
+// that has received none of it yet.
 func (v *View) OwnLoads() map[state.Upstream]Load {
 	loads := make(map[state.Upstream]Load)
 	for id, h := range v.hosts {
@@ -50,9 +51,10 @@
 	return loads
 }
 
-// TakeChangedLoads returns what has changed since the last call, to be told to the
-// peers that know the rest. Most upstreams don't change within a tenth of a
-// second; the whole would be ten times as long.
+// TakeChangedLoads returns the loads that have changed since the last call, to
+// be sent to peers that have received the others. Most upstreams do not change
+// within a tenth of a second, so a message with all loads would be ten times as
+// long.
 func (v *View) TakeChangedLoads() map[state.Upstream]Load {
 	loads := make(map[state.Upstream]Load)
 	for id, h := range v.hosts {
@@ -64,8 +66,10 @@
 	return loads
 }
 
-// TakeLinkSums returns the sums of this side of a link, to be told to its peer: all
-// that are not zero, or what has changed since the last call.
+// TakeLinkSums returns, for a link in the tree of routers, the sums of the loads
+// of all routers on this side of it. They are sent to the peer at its other end.
+// It returns all sums that are not zero, or only those that have changed since
+// the last call.
 func (v *View) TakeLinkSums(peer state.Router, all bool) map[state.Upstream]Load {
 	loads := make(map[state.Upstream]Load)
 	for id, h := range v.hosts {
@@ -78,8 +82,10 @@
 	return loads
 }
 
-// ReceiveLoads takes a peer's loads: its own, or the sums of its side of a link. What a
-// full message lacks is zero, what another lacks is unchanged.
+// ReceiveLoads stores the loads that a peer sent: either its own, or the sums
+// of its side of a link. An upstream that is missing from a full message has no
+// load. The load of an upstream that is missing from any other message is
+// unchanged.
 func (v *View) ReceiveLoads(now time.Time, from state.Router, loads map[state.Upstream]Load, full bool) {
 	v.lastReceivedAt[from] = now
 	for id, load := range loads {
@@ -97,7 +103,7 @@
 	}
 }
 
-// RemovePeer forgets a peer's loads, and what it was told.
+// RemovePeer removes a peer's loads and the record of the loads sent to it.
 func (v *View) RemovePeer(from state.Router) {
 	delete(v.lastReceivedAt, from)
 	for _, h := range v.hosts {
@@ -106,18 +112,18 @@
 	}
 }
 
-// ExpirePeerLoads forgets the loads of sources that have not been heard for long:
-// what they had has ended by now.
+// ExpirePeerLoads removes the loads of peers that have sent nothing for
+// longer than peerLoadExpiry. Their requests have ended by then.
 func (v *View) ExpirePeerLoads(now time.Time) {
-	for source, receivedAt := range v.lastReceivedAt {
+	for peer, receivedAt := range v.lastReceivedAt {
 		if now.Sub(receivedAt) > peerLoadExpiry {
-			v.RemovePeer(source)
+			v.RemovePeer(peer)
 		}
 	}
 }
 
-// OldestLoadsAge is how long ago the source that has been silent for longest told its
-// loads; zero if none has.
+// OldestLoadsAge returns the time since the peer that has been silent for
+// longest sent its loads, zero if there are no peers.
 func (v *View) OldestLoadsAge(now time.Time) time.Duration {
 	oldest := now
 	for _, receivedAt := range v.lastReceivedAt {
@@ -128,7 +134,7 @@
 	return now.Sub(oldest)
 }
 
-// RunningAt returns how many requests all routers have at an upstream.
+// RunningAt returns how many requests of all routers run at an upstream.
 func (v *View) RunningAt(id state.Upstream) int {
 	h := v.hosts[id]
 	if h == nil {
--- a/coordination/placement/observe.go
+++ b/coordination/placement/observe.go
@@ -10,58 +10,61 @@
 	"github.com/figstile/figstile/state/directory"
 )
 
-// Ticket follows one request at one upstream.
+// Ticket tracks one request at one upstream.
 type Ticket struct {
 	upstream state.Upstream
 	born     int64
 	service  state.Service
 	placedAt time.Time
-	// uncachedTokens is the number of prompt tokens that the upstream lacks, total
-	// that of all.
+	// uncachedTokens is the number of prompt tokens that the upstream had not
+	// cached at placement, promptTokens the number of all prompt tokens.
 	uncachedTokens int
 	promptTokens   int
-	// prefillWork is the reading of the former, in tokens at the rate of short
-	// prompts.
+	// prefillWork is the prefill of the uncached tokens, expressed as the
+	// number of short-prompt tokens that take the same time.
 	prefillWork int
 	// expectedOutputTokens is the expected number of generated tokens.
 	expectedOutputTokens int
-	// foundIdle says that the upstream had nothing to read at placing.
+	// foundIdle is set if the upstream had no pending prefill when the request
+	// was placed.
 	foundIdle           bool
 	awaitingFirstOutput bool
 	ended               bool
-	// firstOutputAt is when the answer's first event came.
+	// firstOutputAt is when the first event of the answer arrived.
 	firstOutputAt time.Time
 	host          *host
 	onEngine      bool
-	// sequence numbers the requests of this router at one upstream.
+	// sequence numbers the requests of this router at one upstream, in the
+	// order in which they were sent.
 	sequence uint64
-	// lastOutputAt is when the upstream last sent something of the answer, parts how
-	// often it did.
+	// lastOutputAt is when the upstream last sent a part of the answer, outputs
+	// the number of parts it has sent.
 	lastOutputAt time.Time
 	outputs      int
-	// repeatable requests can be given up here and sent elsewhere.
+	// repeatable is set if the request can be given up here and sent to another
+	// upstream.
 	repeatable bool
 	givenUp    bool
-	// resumed is set if the caller has the beginning of the answer from an
-	// earlier upstream, excluded are the upstreams that this request may not
-	// go to.
+	// resumed is set if the caller has received the beginning of the answer
+	// from an earlier upstream. excluded lists the upstreams that this request
+	// must not be sent to.
 	resumed  bool
 	excluded []state.Upstream
 }
 
-// Upstream returns where the request runs.
+// Upstream returns the upstream that the request was sent to.
 func (t *Ticket) Upstream() state.Upstream { return t.upstream }
 
-// Outputs returns in how many parts the answer came so far.
+// Outputs returns the number of parts of the answer that have arrived.
 func (t *Ticket) Outputs() int { return t.outputs }
 
-// OnEngine says whether it runs at an engine.
+// OnEngine reports whether the request runs at an engine.
 func (t *Ticket) OnEngine() bool { return t.onEngine }
 
-// Answering says whether an engine's answer has begun.
+// Answering reports whether an engine's answer has begun.
 func (t *Ticket) Answering() bool { return t.onEngine && !t.awaitingFirstOutput }
 
-// Place notes that a request is sent to an estimate's upstream.
+// Place records that a request is sent to the upstream of an estimate.
 func (v *View) Place(now time.Time, w Work, e Estimate) *Ticket {
 	t := &Ticket{
 		upstream: e.Upstream, born: e.Born, service: w.Service, placedAt: now, lastOutputAt: now,
@@ -88,8 +91,8 @@
 	return t
 }
 
-// RecordFirstOutput notes the first event of an engine's answer, which ends the
-// reading of its prompt and teaches the engine's rate.
+// RecordFirstOutput records the first event of an engine's answer. It ends the
+// prefill of the prompt, so the prefill rate is learned from it.
 func (v *View) RecordFirstOutput(now time.Time, t *Ticket) {
 	v.RecordOutput(now, t)
 	if !t.awaitingFirstOutput {
@@ -104,7 +107,7 @@
 	v.learnPrefillRate(now, t)
 }
 
-// RecordOutput notes that an upstream sent a part of an answer.
+// RecordOutput records that an upstream sent a part of an answer.
 func (v *View) RecordOutput(now time.Time, t *Ticket) {
 	if t.Answering() && !t.ended {
 		v.learnEventGap(now, t)
@@ -118,20 +121,21 @@
 	t.host.unreachable = false
 }
 
-// learnPrefillRate learns how fast an engine reads from a prompt that found it idle.
-// With others ahead of it, how much of those was read already is not known:
-// learned from all, the rate came out a fifth above what engines do.
+// learnPrefillRate learns an engine's prefill rate from a prompt that found the
+// engine idle. If other prompts were ahead of it, it is not known how much of
+// their prefill was already done: learning from all prompts overestimated the
+// rate by a fifth.
 func (v *View) learnPrefillRate(now time.Time, t *Ticket) {
-	took := now.Sub(t.placedAt) - firstTokenOverhead
-	if !t.foundIdle || t.uncachedTokens < minLearningTokens || took <= 0 {
+	elapsed := now.Sub(t.placedAt) - firstTokenOverhead
+	if !t.foundIdle || t.uncachedTokens < minLearningTokens || elapsed <= 0 {
 		return
 	}
 	m, h := v.prefillModels[t.service], t.host
 	if t.uncachedTokens >= longPromptTokens {
-		m.learnCurvature(t.uncachedTokens, t.promptTokens, h.relativeSpeed, took)
+		m.learnCurvature(t.uncachedTokens, t.promptTokens, h.relativeSpeed, elapsed)
 		return
 	}
-	ratio := m.learnRate(m.prefillWork(t.uncachedTokens, t.promptTokens), took)
+	ratio := m.learnRate(m.prefillWork(t.uncachedTokens, t.promptTokens), elapsed)
 	h.relativeSpeed = min(max(adjustEstimate(h.relativeSpeed, ratio), minSpeed), maxSpeed)
 }
 
@@ -150,33 +154,34 @@
 	}
 }
 
-// minSpeed bounds how slow an engine may look next to the others, so that it
-// is still tried and can show that it has recovered, maxSpeed how fast.
+// minSpeed and maxSpeed bound the relative speed of an engine. The lower bound
+// ensures that a slow engine still receives some requests, which can show that
+// it has recovered.
 const (
 	minSpeed = 0.1
 	maxSpeed = 4
 )
 
-// Outcome says how a request ended at an upstream.
+// Outcome is how a request ended at an upstream.
 type Outcome uint8
 
-// Outcomes.
+// The outcomes of a request.
 const (
-	// Answered: a whole answer of the upstream's own.
+	// Answered means that the upstream sent a complete answer of its own.
 	Answered Outcome = iota
-	// Rejected: the upstream did not run the request.
+	// Rejected means that the upstream did not run the request.
 	Rejected
-	// Failed: an error of the upstream's, or a broken answer.
+	// Failed means that the upstream sent an error or a malformed answer.
 	Failed
-	// Broken: the connection ended before the answer did.
+	// Broken means that the connection ended before the answer did.
 	Broken
-	// Unconnected: no connection could be made.
+	// Unconnected means that no connection could be established.
 	Unconnected
-	// Withdrawn: the caller left or its time was up.
+	// Withdrawn means that the caller left or its time was up.
 	Withdrawn
 )
 
-// String returns the outcome's name in figures.
+// String returns the name of the outcome used in metrics.
 func (o Outcome) String() string {
 	names := [...]string{"answered", "rejected", "failed", "broken", "unconnected", "withdrawn"}
 	if int(o) >= len(names) {
@@ -185,8 +190,8 @@
 	return names[o]
 }
 
-// RecordEnd notes the end of a request at its upstream. It may be called once more
-// without effect.
+// RecordEnd records the end of a request at its upstream. Further calls for the
+// same request have no effect.
 func (v *View) RecordEnd(now time.Time, t *Ticket, outcome Outcome) {
 	if t.ended || t.host == nil {
 		return
@@ -214,8 +219,9 @@
 	}
 }
 
-// rejectionAvoidTime is how long an upstream that rejected a request is passed over
-// while others are free: some requests' time at a plain worker.
+// rejectionAvoidTime is how long an upstream that has rejected a request is
+// avoided while others are available. A plain worker completes several requests
+// in that time.
 const rejectionAvoidTime = 100 * time.Millisecond
 
 func (h *host) recordSuccess() { h.failureRate -= failureWeight * h.failureRate }
@@ -237,22 +243,25 @@
 	h.active = slices.DeleteFunc(h.active, func(o *Ticket) bool { return o == t })
 }
 
-// meanWeight averages some fifty requests' times.
+// meanWeight is the weight of a new observation in an exponentially weighted
+// mean, which spans about fifty requests.
 const meanWeight = 0.02
 
-func (v *View) learnWorkTime(took time.Duration, t *Ticket) {
+func (v *View) learnWorkTime(elapsed time.Duration, t *Ticket) {
 	mean := float64(v.meanWorkTime(t.service))
-	v.workTimes[t.service] = mean + meanWeight*(float64(took)-mean)
+	v.workTimes[t.service] = mean + meanWeight*(float64(elapsed)-mean)
 	if t.host.slotTime == 0 {
-		t.host.slotTime = float64(took)
+		t.host.slotTime = float64(elapsed)
 	}
-	t.host.slotTime += meanWeight * (float64(took) - t.host.slotTime)
+	t.host.slotTime += meanWeight * (float64(elapsed) - t.host.slotTime)
 }
 
-// initialTokenTime is how long a stream takes for a token until some have ended.
+// initialTokenTime is the assumed time per generated token until the first
+// streams have ended.
 const initialTokenTime = 8 * time.Millisecond
 
-// learnTokenTime learns how long streams take for a token.
+// learnTokenTime learns the time per generated token from a stream that has
+// ended.
 func (v *View) learnTokenTime(now time.Time, t *Ticket) {
 	if t.firstOutputAt.IsZero() || t.expectedOutputTokens <= 0 {
 		return
@@ -269,17 +278,18 @@
 	return float64(initialTokenTime)
 }
 
-// streamTime is the expected time from a request's first event to its last.
+// streamTime returns the expected time from a request's first event to its
+// last.
 func (v *View) streamTime(w Work) time.Duration {
 	return time.Duration(v.tokenTime(w.Service) * float64(w.ExpectedOutputTokens))
 }
 
-// Run names the run of the upstream that the request was sent to.
+// Run identifies the run of the upstream that the request was sent to.
 func (t *Ticket) Run() quarantine.Run {
 	return RunOf(directory.Upstream{ID: t.upstream, Born: t.born})
 }
 
-// RunOf names an upstream's run.
+// RunOf identifies the current run of an upstream.
 func RunOf(u directory.Upstream) quarantine.Run {
 	return quarantine.Run{Upstream: u.ID, Boot: strconv.FormatInt(u.Born, 10)}
 }
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -13,50 +13,55 @@
 )
 
 const (
-	// otherDataCentrePenalty is the handicap of another data centre. The way there and back
-	// takes 2 ms; the rest stands for the bytes, which are paid for, and for
-	// links that can be cut. It is above what short prompts wait for at most,
-	// so that those stay in their data centre, and well below what a shared
-	// part of a long prompt weighs, so that those still go where it is held.
+	// otherDataCentrePenalty is added to the score of an upstream in another
+	// data centre. The network round trip takes 2 ms of it; the rest accounts
+	// for traffic that is paid for and for links that can fail. The penalty is
+	// higher than the longest wait of short prompts, so that those stay in
+	// their data centre. It is well below the weight of a shared part of a long
+	// prompt, so that long prompts are still sent where the part is cached.
 	otherDataCentrePenalty = 100 * time.Millisecond
-	// firstTokenOverhead is the time to a first token beyond reading: a step of the
-	// batch, the engine's own overhead and the way there and back.
+	// firstTokenOverhead is the time to a first token in addition to the
+	// prefill: a batch step, the overhead of the engine and the network round
+	// trip.
 	firstTokenOverhead = 45 * time.Millisecond
-	// initialWorkTime is assumed for a plain request until answers have taught
-	// better.
+	// initialWorkTime is the assumed duration of a plain request until the
+	// first answers have arrived.
 	initialWorkTime = 50 * time.Millisecond
-	// failureWeight is the weight of one answer in an upstream's failure
-	// rate: it follows within some ten answers.
+	// failureWeight is the weight of one answer in an upstream's failure rate,
+	// which follows a change within about ten answers.
 	failureWeight = 0.08
-	// failurePenalty is the handicap of an upstream that fails all its
-	// requests; one that fails a fifth gets a fifth of it.
+	// failurePenalty is added to the score of an upstream that fails all its
+	// requests. The penalty is proportional to the failure rate: an upstream
+	// that fails a fifth of its requests gets a fifth of it.
 	failurePenalty = 400 * time.Millisecond
 )
 
-// Work is what placing needs to know of a request.
+// Work holds the properties of a request that placement depends on.
 type Work struct {
 	Service state.Service
-	// Prompt is empty for plain requests.
+	// Prompt holds the parts of the prompt. It is empty for plain requests,
+	// which are served by workers instead of engines.
 	Prompt []prefix.Part
 	// ExpectedOutputTokens is the expected number of generated tokens.
 	ExpectedOutputTokens int
-	// TargetLatency is the latency within which the answer is on time, counted from
-	// the caller's first attempt; zero means none.
+	// TargetLatency is the latency within which the answer is on time, counted
+	// from the caller's first attempt; zero means none.
 	TargetLatency time.Duration
-	// MaxEventGap is the longest time between two events of a stream with which it
-	// is still on time; zero means none.
+	// MaxEventGap is the longest time between two events of a stream with which
+	// the stream is still on time; zero means none.
 	MaxEventGap time.Duration
-	// Repeatable requests may be given up at one upstream and sent to
-	// another, if one is left.
+	// Repeatable is set if the request may be given up at one upstream and sent
+	// to another, provided that another is available.
 	Repeatable bool
-	// Resumed is set if the caller has the beginning of the answer.
+	// Resumed is set if the caller has received the beginning of the answer.
 	Resumed bool
-	// Excluded are upstreams that failed or rejected this request.
+	// Excluded lists the upstreams that failed or rejected this request.
 	Excluded []state.Upstream
 }
 
-// affinityKey is the part that requests share most specifically: the one before
-// the last, which is the request's own.
+// affinityKey returns the ID of the most specific prompt part that requests
+// share. This is the last part but one, because the last part is the request's
+// own.
 func (w Work) affinityKey() (uint64, bool) {
 	switch len(w.Prompt) {
 	case 0:
@@ -68,7 +73,8 @@
 	}
 }
 
-// ownTokens is the size of the request's own part, which any engine reads.
+// ownTokens returns the size of the request's own part, which any engine has to
+// prefill.
 func (w Work) ownTokens() int {
 	if len(w.Prompt) == 0 {
 		return 0
@@ -76,44 +82,50 @@
 	return w.Prompt[len(w.Prompt)-1].Tokens
 }
 
-// Estimate is what one upstream would do with a request.
+// Estimate is the expected handling of a request by one upstream.
 type Estimate struct {
 	Upstream state.Upstream
 	Address  string
 	Born     int64
-	// WaitTime is the time until the upstream turns to the request, Own the time
-	// it then takes to the first token or the answer.
+	// WaitTime is the time until the upstream starts the request,
+	// ProcessingTime the time from then to the first token or the answer.
 	WaitTime       time.Duration
 	ProcessingTime time.Duration
 	// StreamTime is the time from the first event of a stream to its last.
 	StreamTime time.Duration
-	// UncachedTokens is the number of prompt tokens the upstream would read.
+	// UncachedTokens is the number of prompt tokens that the upstream would
+	// have to prefill.
 	UncachedTokens int
-	// UnderHalfFull is set while less than half of the upstream's slots are taken and
-	// nothing waits there.
+	// UnderHalfFull is set if less than half of the upstream's slots are in use
+	// and no prefill is pending there.
 	UnderHalfFull bool
-	// UnderQuarterFull is set while less than a quarter of them are taken and nothing
-	// waits there.
+	// UnderQuarterFull is set if less than a quarter of the upstream's slots
+	// are in use and no prefill is pending there.
 	UnderQuarterFull bool
-	// Interferes says that reading the prompt makes the pauses of the streams that
-	// the engine runs too long, Disturbed is how many those are.
+	// Interferes is set if the prefill of the prompt makes the event gaps of
+	// the engine's running streams too long. DelayedStreams is the number of
+	// those streams.
 	Interferes     bool
 	DelayedStreams int
-	// prefillWork is the reading of the prompt, in tokens at the rate of short ones.
+	// prefillWork is the prefill of the prompt, expressed as the number of
+	// short-prompt tokens that take the same time.
 	prefillWork int
-	// score is the time that candidates are compared by.
+	// score is the time by which candidates are compared; the lowest one is the
+	// best.
 	score time.Duration
 }
 
-// TimeToAnswer is the expected time to the first token or the answer.
+// TimeToAnswer returns the expected time to the first token or the answer.
 func (e Estimate) TimeToAnswer() time.Duration { return e.WaitTime + e.ProcessingTime }
 
-// Load is what one router, or all of a data centre, have at one upstream.
+// Load is the load of one router, or the total load of several routers, at one
+// upstream.
 type Load struct {
-	// Running counts the requests sent and not ended.
+	// Running is the number of requests that were sent and have not ended.
 	Running int
-	// PendingPrefill is the work of reading prompts that have not begun to be
-	// answered, in tokens at the rate of short ones.
+	// PendingPrefill is the prefill work of requests whose answers have not
+	// begun, expressed as the number of short-prompt tokens that take the same
+	// time.
 	PendingPrefill int
 }
 
@@ -125,8 +137,8 @@
 	return Load{l.Running - o.Running, l.PendingPrefill - o.PendingPrefill}
 }
 
-// View is what is known of all upstreams. It is not safe for concurrent
-// use.
+// View holds the state of all upstreams as known to this router. It is not safe
+// for concurrent use.
 type View struct {
 	self          state.DataCentre
 	engines       map[state.Service]routing.Engine
@@ -134,16 +146,18 @@
 	hosts         map[state.Upstream]*host
 	workTimes     map[state.Service]float64
 	prefillModels map[state.Service]*prefillModel
-	// tokenTimes is how long streams take for a token, in nanoseconds.
+	// tokenTimes holds the mean time that streams take for a generated token,
+	// in nanoseconds.
 	tokenTimes    map[state.Service]float64
 	placedPrompts []PlacedPrompt
-	// scatterCounter counts the draws of scatter, which begin at a seed.
+	// scatterCounter is the number of random draws for scatterPenalty, plus the
+	// seed.
 	scatterCounter uint64
-	// lastReceivedAt is when each source last told its loads.
+	// lastReceivedAt is when each peer last sent its loads.
 	lastReceivedAt map[state.Router]time.Time
 }
 
-// New returns an empty picture of a router in a data centre.
+// New returns an empty view for a router in a data centre.
 func New(self state.DataCentre) *View {
 	return &View{
 		self:           self,
@@ -157,7 +171,7 @@
 	}
 }
 
-// SetServices takes the services of a configuration.
+// SetServices applies the services of a configuration.
 func (v *View) SetServices(services []routing.Service) {
 	for _, service := range services {
 		if service.Engine != nil {
@@ -169,8 +183,8 @@
 	}
 }
 
-// SetUpstream adds or changes an upstream. All that was known of an earlier
-// run under the same id is void.
+// SetUpstream adds or updates an upstream. If the id now belongs to another
+// run, all state of the earlier run is dropped.
 func (v *View) SetUpstream(u directory.Upstream) {
 	h := v.hosts[u.ID]
 	if h != nil && (h.Born != u.Born || h.Address != u.Address || h.Service != u.Service) {
@@ -185,7 +199,7 @@
 	h.Upstream = u
 }
 
-// RemoveUpstream forgets an upstream that is gone.
+// RemoveUpstream removes the state of an upstream that no longer exists.
 func (v *View) RemoveUpstream(id state.Upstream) {
 	h := v.hosts[id]
 	if h == nil {
@@ -195,7 +209,8 @@
 	v.services[h.Service] = slices.DeleteFunc(v.services[h.Service], func(o *host) bool { return o == h })
 }
 
-// CountUsable counts the upstreams of a service that take new work.
+// CountUsable returns the number of upstreams of a service that accept new
+// work.
 func (v *View) CountUsable(service state.Service) int {
 	n := 0
 	for _, h := range v.services[service] {
@@ -206,16 +221,15 @@
 	return n
 }
 
-// Choose returns the upstream that serves a request best, all callers
-// considered, or false if the service has none.
+// Choose returns the upstream that is best for all callers together, or false
+// if the service has none.
 func (v *View) Choose(now time.Time, w Work) (Estimate, bool) {
 	best, _, found := v.Candidates(now, w)
 	return best, found
 }
 
-// Candidates returns the upstream that serves a request best, all callers
-// considered, and the one that answers it first, or false if the service has
-// none.
+// Candidates returns the upstream that is best for all callers together and the
+// upstream that answers this request first, or false if the service has none.
 func (v *View) Candidates(now time.Time, w Work) (best, soonest Estimate, found bool) {
 	pool := v.eligible(now, w)
 	if len(pool) == 0 {
@@ -234,10 +248,11 @@
 	return best, soonest, true
 }
 
-// homeEngine returns the engine that a shared part goes to while nobody is known to
-// hold it: the first in a rendezvous hash. A router that starts again knows
-// nothing, but what it and its peers sent before went there; without this it
-// spreads parts over all engines, and they are read again everywhere.
+// homeEngine returns the engine that a shared part is sent to while no engine
+// is known to have cached it: the first in a rendezvous hash. A router that
+// restarts has no record of cached parts, but the parts that it and its peers
+// sent before are at that engine. Without the hash it would spread parts over
+// all engines, which would all prefill them again.
 func homeEngine(pool []*host, w Work) *host {
 	key, shared := w.affinityKey()
 	if !shared {
@@ -256,9 +271,9 @@
 	return home
 }
 
-// eligible returns the upstreams that may take a request: all that do not leave,
-// without those that cannot be reached or just rejected one if any others are
-// left.
+// eligible returns the upstreams that may receive a request. Leaving and
+// excluded upstreams are never included. Upstreams that are unreachable or have
+// just rejected a request are included only if there are no others.
 func (v *View) eligible(now time.Time, w Work) []*host {
 	var preferred, fallback []*host
 	for _, h := range v.services[w.Service] {
@@ -276,7 +291,8 @@
 	return fallback
 }
 
-// mix combines an upstream's hash with a key by the finalizer of splitmix64.
+// mix combines an upstream's hash with a key, using the finalizer of
+// splitmix64.
 func mix(upstream, key uint64) uint64 {
 	z := upstream ^ key*0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
@@ -304,15 +320,15 @@
 	if h.DataCentre != v.self {
 		e.score += otherDataCentrePenalty
 	}
-	// Among upstreams that would answer equally soon the less busy one
-	// generates faster.
+	// Among upstreams that would answer equally soon, the one with fewer
+	// running requests generates tokens faster.
 	if slots > 0 {
 		e.score += time.Duration(float64(fullBatchPenalty) * float64(running) / float64(slots))
 	}
 	return e
 }
 
-// estimateEngine estimates when an engine would answer, and what that costs the
+// estimateEngine estimates when an engine would answer, and the cost for the
 // callers of the streams that it runs.
 func (v *View) estimateEngine(now time.Time, e *Estimate, h *host, w Work, home bool) {
 	m := v.prefillModels[w.Service]
@@ -331,23 +347,27 @@
 	v.estimateInterference(now, e, h, w, promptTokens)
 }
 
-// SeedScatter makes this router's draws differ from those of others.
+// SeedScatter sets the seed of the random draws, so that routers draw different
+// penalties.
 func (v *View) SeedScatter(seed uint64) { v.scatterCounter = seed }
 
 const (
-	// peerLoadAge is how old the word of peers is on average: a router tells its
-	// data centre ten times a second, and that tells the others five times.
+	// peerLoadAge is the average age of peers' loads: a router sends its loads
+	// to its data centre ten times a second, and data centres exchange theirs
+	// five times a second.
 	peerLoadAge = 200 * time.Millisecond
-	// scatterFactor is how far plain requests are scattered, over the work that
-	// arrives unseen within newsAge. Routers that all send to the worker which
-	// was least busy a moment ago fill its slots several times over before they
-	// hear of it.
+	// scatterFactor is the maximum scatter penalty of plain requests, as a
+	// multiple of the work that arrives at the workers within peerLoadAge and
+	// is not yet visible. Routers that all send to the worker with the lowest
+	// load a moment ago fill its slots several times over before they receive
+	// each other's loads.
 	scatterFactor = 6.0
 )
 
-// maxScatterPenalty is the greatest handicap of a service's plain workers. It grows
-// with how busy the service is: what peers send unseen is that part of the
-// slots' time. A router that hears of no peers sees all there is.
+// maxScatterPenalty returns the maximum random penalty of a service's plain
+// workers. It grows with the utilisation of their slots, because the unseen
+// requests of peers take up that fraction of the slots' time. A router without
+// peers sees all requests, so it needs no penalty.
 func (v *View) maxScatterPenalty(service state.Service) time.Duration {
 	if _, engine := v.engines[service]; engine || len(v.lastReceivedAt) == 0 {
 		return 0
@@ -355,17 +375,18 @@
 	return time.Duration(scatterFactor * v.slotUtilisation(service) * float64(peerLoadAge))
 }
 
-// scatterPenalty draws a worker's handicap.
+// scatterPenalty draws the random penalty of a worker.
 func (v *View) scatterPenalty(limit time.Duration) time.Duration {
 	v.scatterCounter++
 	draw := float64(mix(v.scatterCounter, scatterHashKey)>>11) / (1 << 53)
 	return time.Duration(draw * float64(limit))
 }
 
-// scatterHashKey sets the draws apart from the hashes of homes.
+// scatterHashKey separates the random draws from the hashes used by homeEngine.
 const scatterHashKey = 1
 
-// slotUtilisation is the part of a service's slots that is taken, at most one.
+// slotUtilisation returns the fraction of a service's slots that is in use, at
+// most one.
 func (v *View) slotUtilisation(service state.Service) float64 {
 	running, slots := 0, 0
 	for _, h := range v.services[service] {
@@ -379,13 +400,14 @@
 	return min(float64(running)/float64(max(slots, 1)), 1)
 }
 
-// repeatedPrefillWeight is how much dearer the reading of shared parts counts than its time:
-// it delays the requests behind as well, and takes memory from the parts of
-// others.
+// repeatedPrefillWeight is the weight of repeated prefill of shared parts, as a
+// multiple of its duration. Repeated prefill also delays the requests behind it
+// and evicts the cached parts of others.
 const repeatedPrefillWeight = 8.0
 
-// fullBatchPenalty is the handicap of an upstream with all slots taken: a full batch
-// takes some three times as long for a step as an empty one.
+// fullBatchPenalty is added to the score of an upstream with all slots in use.
+// A step of a full batch takes about three times as long as a step of an empty
+// one.
 const fullBatchPenalty = 60 * time.Millisecond
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/coordination/placement/reading.go
+++ b/coordination/placement/reading.go
@@ -8,57 +8,69 @@
 )
 
 const (
-	// initialRate is the reading rate of an engine, in tokens a second, until
-	// answers have taught better; between the slowest and the fastest known.
+	// initialRate is the assumed prefill rate of an engine, in tokens per
+	// second, until answers have been observed. It lies between the slowest and
+	// the fastest known engine.
 	initialRate = 40000
-	// minRate and maxRate bound what answers may teach, so that one odd
-	// answer does not make an engine look dead or free.
+	// minRate and maxRate bound the learned prefill rate in tokens per second,
+	// so that a single outlier does not make an engine appear dead or
+	// infinitely fast.
 	minRate = 5000
 	maxRate = 400000
-	// initialCurvature is how much dearer a token of a long prompt is, per
-	// token before it: every token attends to all of them. At 1e-5 a prompt of
-	// 50,000 tokens takes half as long again as ten of 5,000.
+	// initialCurvature is the relative increase of the mean prefill time per
+	// token, for each token of the prompt's length. It arises because every
+	// token attends to all tokens before it. At 1e-5 a prompt of 50,000 tokens
+	// takes half as long again as ten prompts of 5,000.
 	initialCurvature = 1e-5
 	maxCurvature     = 1e-4
-	// initialChunkTokens is the part of a prompt that engines usually read in one
-	// step, in tokens, between two tokens of every running stream.
+	// initialChunkTokens is the assumed part of a prompt that an engine
+	// prefills in one step, in tokens, between two tokens of every running
+	// stream.
 	initialChunkTokens = 2048
-	// minPrefillPerEvent and maxEventTokens bound what pauses may teach.
+	// minPrefillPerEvent and maxPrefillPerEvent bound, in tokens, the amount of
+	// prefill between two events that is learned from event gaps.
 	minPrefillPerEvent = 500
 	maxPrefillPerEvent = 400000
-	// Lessons are learned in logarithms. Requests of peers that are not known
-	// of yet make some of them several times too long, and none too short: up
-	// counts more than down, so that an estimate settles at what an engine
-	// does undisturbed.
+	// raiseWeight and lowerWeight are the weights of an observation above and
+	// below an estimate, on a logarithmic scale. maxRaiseLog and maxLowerLog
+	// limit the logarithm of their ratio. Requests of peers that are not yet
+	// known to this router make some observations several times too long, but
+	// none too short. Raising an estimate therefore has more weight than
+	// lowering it, so that the estimate settles at the speed of an undisturbed
+	// engine.
 	raiseWeight = 0.05
 	maxRaiseLog = 0.5
 	lowerWeight = 0.02
 	maxLowerLog = 1.0
-	// eventGapWeight is the weight of an observation that errs both ways.
+	// eventGapWeight is the weight of an observation whose errors are
+	// symmetric.
 	eventGapWeight = 0.05
-	// minLearningTokens is the least number of tokens from which a rate is learned:
-	// below it the startup dominates. From straightLesson on the curvature
-	// would show in the rate; it is learned from prompts above.
+	// minLearningTokens is the minimum number of uncached tokens from which a
+	// rate is learned: below it, firstTokenOverhead dominates. From
+	// longPromptTokens on, the curvature would distort the rate, so these
+	// prompts are used to learn the curvature instead.
 	minLearningTokens = 1500
 	longPromptTokens  = 12000
-	// maxPrefillAge is the age from which a request that has not begun no longer
-	// shows that its engine is reading: its answer may be lost.
+	// maxPrefillAge is the age from which a request without output no longer
+	// shows that its engine is busy with prefill, because its answer may be
+	// lost.
 	maxPrefillAge = time.Second
 )
 
-// prefillModel is what answers have taught about how a service's engines read
-// prompts. Engines read in chunks, one in each step that gives all running
-// streams a token, so that reading lengthens the pauses between events.
+// prefillModel is the learned prefill speed of a service's engines. Engines
+// prefill in chunks, one in each step that gives every running stream a token,
+// so prefill lengthens the gaps between events.
 type prefillModel struct {
-	// rate is in tokens a second for short prompts.
+	// rate is the prefill rate for short prompts, in tokens per second.
 	rate float64
-	// curvature is the part by which a token takes longer per token before it.
+	// curvature is the relative increase of the mean prefill time per token,
+	// for each token of the prompt's length.
 	curvature float64
-	// prefillPerEvent is how much an engine reads between two events of a stream
-	// while it reads without a break.
+	// prefillPerEvent is the number of tokens that an engine prefills between
+	// two events of a stream while it always has prefill pending.
 	prefillPerEvent float64
 	// idleEventGap is the time between two events of a stream in seconds while
-	// nothing is read.
+	// no prefill is pending.
 	idleEventGap float64
 }
 
@@ -69,40 +81,44 @@
 	}
 }
 
-// prefillWork is the reading of the last tokens of a prompt, in tokens at the rate of
-// short prompts.
+// prefillWork returns the prefill of the last uncached tokens of a prompt of
+// total tokens, expressed as the number of short-prompt tokens that take the
+// same time.
 func (m *prefillModel) prefillWork(uncached, total int) int {
 	before := float64(2*total - uncached)
 	return uncached + int(m.curvature*float64(uncached)*before)
 }
 
-// maxEventGap is the longest time between two events of a stream at an engine of a
-// speed that has work to read and gets a prompt more.
+// maxEventGap returns the longest expected time between two events of a stream,
+// at an engine of the given relative speed with the given prefill work,
+// including that of a new prompt of total tokens.
 func (m *prefillModel) maxEventGap(work int, total int, speed float64) time.Duration {
 	prefill := min(float64(work), m.prefillPerEvent*(1+2*m.curvature*float64(total)))
 	return seconds(m.idleEventGap + prefill/m.rateAt(speed))
 }
 
-// rateAt is the reading rate of an engine of a speed.
+// rateAt returns the prefill rate of an engine of the given relative speed, in
+// tokens per second.
 func (m *prefillModel) rateAt(speed float64) float64 {
 	return min(max(m.rate*speed, minRate), maxRate)
 }
 
-// learnRate takes how long an idle engine took to read a prompt, and returns
-// what part of the usual rate that was.
-func (m *prefillModel) learnRate(work int, took time.Duration) float64 {
-	observed := float64(work) / took.Seconds()
+// learnRate learns from the time that an idle engine took to prefill a prompt.
+// It returns the engine's rate as a multiple of the mean rate.
+func (m *prefillModel) learnRate(work int, elapsed time.Duration) float64 {
+	observed := float64(work) / elapsed.Seconds()
 	m.rate = min(max(adjustEstimate(m.rate, observed), minRate), maxRate)
 	return observed / m.rate
 }
 
-// learnCurvature takes how long an idle engine of a speed took to read a long
-// prompt.
-func (m *prefillModel) learnCurvature(uncached, total int, speed float64, took time.Duration) {
-	extraWork := took.Seconds()*m.rateAt(speed) - float64(uncached)
+// learnCurvature learns from the time that an idle engine of the given relative
+// speed took to prefill a long prompt.
+func (m *prefillModel) learnCurvature(uncached, total int, speed float64, elapsed time.Duration) {
+	extraWork := elapsed.Seconds()*m.rateAt(speed) - float64(uncached)
 	observed := extraWork / (float64(uncached) * float64(2*total-uncached))
 	step := min(max(observed-m.curvature, -maxCurvature), maxCurvature)
-	// As with rates, lessons that took too long are no proof.
+	// As with rates, observations that took too long have less weight, since
+	// unseen requests may have caused them.
 	weight := lowerWeight
 	if step < 0 {
 		weight = raiseWeight
@@ -110,8 +126,9 @@
 	m.curvature = max(m.curvature+weight*step, 0)
 }
 
-// learnEventGap takes the time between two events of a stream, in which the engine
-// read a prompt of a total length without a break, or, if that is 0, nothing.
+// learnEventGap learns from the time between two events of a stream. Within it
+// the engine was prefilling a prompt of total tokens without a break, or
+// nothing if total is 0.
 func (m *prefillModel) learnEventGap(gap time.Duration, total int, speed float64) {
 	if total == 0 {
 		m.idleEventGap += eventGapWeight * (gap.Seconds() - m.idleEventGap)
@@ -123,7 +140,8 @@
 	}
 }
 
-// adjustEstimate moves an estimate towards an observation; both are positive.
+// adjustEstimate moves an estimate towards an observation. Both must be
+// positive.
 func adjustEstimate(estimate, observed float64) float64 {
 	if observed >= estimate {
 		return estimate * math.Exp(raiseWeight*min(math.Log(observed/estimate), maxRaiseLog))
--- a/coordination/placement/stall.go
+++ b/coordination/placement/stall.go
@@ -9,34 +9,41 @@
 )
 
 const (
-	// upstreamSilenceLimit is how long an upstream that generates for this router may send
-	// nothing before it counts as unreachable. Engines send an event of each
-	// stream several times a second; a partition or a lost VM sends nothing
-	// and resets nothing.
+	// upstreamSilenceLimit is how long an upstream that generates for this
+	// router may send nothing before it counts as unreachable. Engines send an
+	// event of each stream several times a second, while a network partition or
+	// a lost VM sends neither data nor a connection reset.
 	upstreamSilenceLimit = 700 * time.Millisecond
-	// streamSilenceLimit is the same for one stream of an upstream that sends
-	// others: its answer was lost.
+	// streamSilenceLimit is the same limit for one stream of an upstream whose
+	// other streams continue: the answer of that stream has been lost.
 	streamSilenceLimit = 1200 * time.Millisecond
-	// overtakenLimit is how long after a later request's first output an earlier
-	// one counts as lost: engines begin requests in order of arrival.
+	// overtakenLimit is how long after the first output of a later request an
+	// earlier one counts as lost. Engines start requests in order of arrival.
 	overtakenLimit = 400 * time.Millisecond
-	// stallWorkFactor and leastWork bound a plain request: several times the usual
-	// time, and not so little that a pause of the process counts.
+	// stallWorkFactor and minStallTime bound the duration of a plain request:
+	// several times the mean duration, but long enough that a pause of the
+	// process does not count as a stall.
 	stallWorkFactor = 5
 	minStallTime    = 250 * time.Millisecond
-	// minSilentUpstreams is the number of silent upstreams from which a data centre
-	// counts as cut off.
+	// minSilentUpstreams is the number of silent upstreams from which their
+	// data centre counts as unreachable.
 	minSilentUpstreams = 2
 )
 
-// TakeStalled returns the requests that are given up where they are, because they
-// can be sent again and their answer will not come: their upstream is silent,
-// or has begun later requests, or goes on with others. Each is returned once.
-// A request whose caller has the beginning of its answer is returned only if
-// repeat, asked once for it, grants a retry at its service: a caller whose
-// stream breaks off has nothing, one that waits may see an upstream go on that
-// was only slow. The others can still be answered, if by a failure.
-// Stalled also marks upstreams, and with them data centres, as unreachable.
+// TakeStalled returns the requests that are given up at their upstream because
+// they can be sent again and their answer will not arrive: the upstream is
+// silent, has started later requests, or continues only with other streams.
+// Each request is returned once.
+//
+// If the caller has received the beginning of the answer, the request is
+// returned only if mayRetry, which is called once for it, grants a retry for
+// its service. Without a retry its stream would break off, which leaves the
+// caller with nothing, while an upstream that was only slow may still continue
+// it. A request whose caller has received nothing is always returned, since it
+// can still be answered, if only with an error.
+//
+// TakeStalled also marks silent upstreams, and with them data centres, as
+// unreachable.
 func (v *View) TakeStalled(now time.Time, mayRetry func(state.Service) bool) []*Ticket {
 	v.markUnreachable(now)
 	var stalled []*Ticket
@@ -55,14 +62,16 @@
 	return stalled
 }
 
-// hasAlternative says whether a request can be sent to another upstream than its own.
+// hasAlternative reports whether a request can be sent to an upstream other
+// than its own.
 func (v *View) hasAlternative(t *Ticket) bool {
 	return slices.ContainsFunc(v.services[t.service], func(h *host) bool {
 		return h != t.host && !h.Leaving && !h.unreachable && !slices.Contains(t.excluded, h.ID)
 	})
 }
 
-// partlyDelivered says whether the caller has the beginning of the answer.
+// partlyDelivered reports whether the caller has received the beginning of the
+// answer.
 func (t *Ticket) partlyDelivered() bool { return t.resumed || t.Answering() }
 
 func (v *View) isStalled(now time.Time, t *Ticket) bool {
@@ -79,8 +88,9 @@
 	}
 }
 
-// markUnreachable finds upstreams that should send and don't, and data centres of
-// which all such upstreams are silent.
+// markUnreachable marks engines that should send events and do not. If at least
+// minSilentUpstreams engines of a data centre are silent and no upstream there
+// has sent anything recently, it marks all upstreams of that data centre.
 func (v *View) markUnreachable(now time.Time) {
 	silent := make(map[state.DataCentre]int)
 	sending := make(map[state.DataCentre]bool)
@@ -100,8 +110,8 @@
 	}
 }
 
-// isSilent says whether an engine has begun streams of this router and sends
-// nothing.
+// isSilent reports whether an engine has started streams of this router and now
+// sends nothing.
 func (h *host) isSilent(now time.Time) bool {
 	for _, t := range h.active {
 		if t.onEngine && !t.awaitingFirstOutput && now.Sub(h.lastReceivedAt) > upstreamSilenceLimit {
@@ -111,7 +121,8 @@
 	return false
 }
 
-// UnreachableUpstreams returns the upstreams that cannot be reached, to be probed.
+// UnreachableUpstreams returns the upstreams that cannot be reached, to be
+// probed.
 func (v *View) UnreachableUpstreams() []directory.Upstream {
 	var list []directory.Upstream
 	for _, h := range v.hosts {
@@ -122,7 +133,7 @@
 	return list
 }
 
-// MarkReachable notes that a connection to an upstream could be made.
+// MarkReachable records that a connection to an upstream could be established.
 func (v *View) MarkReachable(now time.Time, id state.Upstream) {
 	if h := v.hosts[id]; h != nil {
 		h.unreachable = false
