--- a/coordination/budget/budget.go
+++ b/coordination/budget/budget.go
@@ -1,30 +1,33 @@
 // Package budget bounds how often requests are sent to an upstream again. All
-// routers together may repeat a part of the requests and a fixed number more,
+// routers together may repeat a fraction of the requests plus a fixed number,
 // so that retries never multiply an overload. Each router spends its own part
-// without asking anybody: a part of its own requests and an even part of the
-// fixed number.
+// without coordination: the fraction of its own requests and an equal part of
+// the fixed number.
 package budget
 
 import "time"
 
-// Limits are the operators' bounds for the whole fleet.
+// Limits holds the operators' bounds for the whole fleet.
 type Limits struct {
-	// Ratio is the part of the requests that may be repeated.
+	// Ratio is the fraction of the requests that may be repeated.
 	Ratio float64
-	// Slack is the number of repeats beyond, over the window, of all routers.
+	// Slack is the fixed number of additional repeats that all routers together
+	// may make within the window.
 	Slack float64
-	// Window is the time over which both are counted.
+	// Window is the duration over which requests and repeats are counted.
 	Window time.Duration
 }
 
-// usableFraction is the part of the allowance that is used: peers count alone, a
-// router that has just gone has spent, and windows of different routers don't
-// end together.
+// usableFraction is the fraction of the allowance that routers use. The rest is
+// a margin: each router counts only its own repeats, the repeats of a router
+// that has just stopped still count for the fleet, and the windows of different
+// routers do not end at the same time.
 const usableFraction = 0.7
 
-// bucketCount cover the window and one bucket more. With a bucket less, what was
-// spent at the end of one would be forgotten before the window has passed, and
-// twice the allowance could fall into one window.
+// bucketCount is the number of buckets: those of the window and one more.
+// Without the additional bucket, the repeats counted at the end of a bucket
+// would be dropped before the window has passed, and twice the allowance could
+// fall into one window.
 const bucketCount = 21
 
 type bucket struct {
@@ -33,8 +36,8 @@
 	repeats  int
 }
 
-// Budget counts one service's requests and repeats at this router. The zero
-// value is empty. It is not safe for concurrent use.
+// Budget counts the requests and repeats of one service at this router. The
+// zero value is empty. It is not safe for concurrent use.
 type Budget struct {
 	buckets [bucketCount]bucket
 }
@@ -56,8 +59,8 @@
 	b.bucketAt(now, limits.Window).requests++
 }
 
-// TryRepeat spends one repeat if the budget has it. Routers is the number of live
-// routers, this one included.
+// TryRepeat spends one repeat and returns true if the budget allows it. The
+// argument routers is the number of live routers, including this one.
 func (b *Budget) TryRepeat(now time.Time, limits Limits, routers int) bool {
 	if limits.Window <= 0 {
 		return true
--- a/coordination/budget/budget_test.go
+++ b/coordination/budget/budget_test.go
@@ -13,10 +13,10 @@
 	limits = Limits{Ratio: 0.2, Slack: 56, Window: 10 * time.Second}
 )
 
-// Every upstream fails. However requests come and are repeated, all routers
-// together stay within the operators' budget in any window. The requests it is
-// measured by are those of the window, of the one half a window before, or of
-// the one before, whichever has most.
+// While every upstream fails, all routers together must stay within the
+// operators' budget in any window, however requests arrive and are repeated.
+// The budget is computed from the requests of that window, of the window that
+// ends half a window earlier, or of the preceding window, whichever is largest.
 func TestFleetStaysWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routers := rapid.IntRange(1, 20).Draw(t, "routers")
