--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -1,6 +1,6 @@
-// Package demand remembers what every router has waiting of one service. An
-// owner's choice of a workspace is followed by the choice of the router that
-// holds its oldest request.
+// Package demand records the waiting requests of every router for one service.
+// After an owner has chosen a workspace, it uses this record to choose the
+// router that gets the slot, normally the one with the oldest request.
 package demand
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Key names work that is alike for the choice.
+// Key identifies waiting requests that are interchangeable for this choice.
 type Key struct {
 	Workspace state.Workspace
 	Model     state.Model
 }
 
-// Entry is what one router has waiting of a key.
+// Entry describes the waiting requests of one router for one key.
 type Entry struct {
 	Router  state.Router
 	Waiting int
@@ -37,12 +37,12 @@
 // Table holds the demand of one service.
 type Table struct {
 	byKey map[Key]*keyDemand
-	// keysByRouter lists what each router has waiting, to drop a lost router without
-	// a walk over all workspaces.
+	// keysByRouter lists the keys for which each router has waiting requests,
+	// so that a lost router can be removed without visiting all workspaces.
 	keysByRouter map[state.Router]map[Key]struct{}
 }
 
-// New returns an empty book.
+// New returns an empty table.
 func New() *Table {
 	return &Table{byKey: make(map[Key]*keyDemand), keysByRouter: make(map[state.Router]map[Key]struct{})}
 }
@@ -54,8 +54,8 @@
 	return a.Router < b.Router
 }
 
-// Set replaces what a router has waiting of a key and reports whether any
-// router still has some.
+// Set replaces the entry of a router for a key and reports whether any router
+// still has waiting requests for that key.
 func (t *Table) Set(k Key, e Entry) (backlogged bool) {
 	t.remove(k, e.Router)
 	if e.Waiting > 0 {
@@ -98,7 +98,8 @@
 	}
 }
 
-// Keys lists what a router has waiting, in order.
+// Keys returns the keys for which a router has waiting requests, sorted by
+// workspace and model.
 func (t *Table) Keys(r state.Router) []Key {
 	keys := make([]Key, 0, len(t.keysByRouter[r]))
 	for k := range t.keysByRouter[r] {
@@ -112,7 +113,7 @@
 	return cmp.Or(cmp.Compare(a.Workspace, b.Workspace), cmp.Compare(a.Model, b.Model))
 }
 
-// Oldest returns the entry of the router that holds the oldest request.
+// Oldest returns the entry of the router with the oldest request.
 func (t *Table) Oldest(k Key) (Entry, bool) {
 	d := t.byKey[k]
 	if d == nil {
@@ -121,17 +122,19 @@
 	return d.byAge.Min()
 }
 
-// localPreferenceFactor is how long the owner's own request must have waited, as a part of
-// the oldest one's wait, to be preferred. Made for saturation: a slot for a
-// request of the owner's own router needs no message, one for a peer's needs a
-// grant, a report of the end and fresh demand. A half bounds the harm without
-// a constant of time: no request waits more than twice as long as it would in
-// order of age, be it milliseconds or minutes. Which workspace is next is not
-// touched.
+// localPreferenceFactor is the maximum wait of the oldest request of all
+// routers, as a multiple of the wait of the owner's own oldest request, up to
+// which the owner's own request is preferred. It matters at saturation: a slot
+// for a request of the owner's own router needs no message, a slot for a
+// request of a peer needs a grant, a report of its end and an updated demand. A
+// factor of two bounds the delay without a fixed time: no request waits more
+// than twice as long as it would in order of age, whether that is milliseconds
+// or minutes. The choice of the next workspace is not affected.
 const localPreferenceFactor = 2
 
-// Choose returns the entry that a slot goes to: that of the near router if its
-// oldest request has waited for long enough, otherwise the oldest of all.
+// Choose returns the entry that gets a slot: the entry of the local router if
+// its oldest request has waited long enough, otherwise the one with the oldest
+// request of all.
 func (t *Table) Choose(now time.Time, k Key, local state.Router) (Entry, bool) {
 	oldest, ok := t.Oldest(k)
 	if !ok || oldest.Router == local {
@@ -144,7 +147,7 @@
 	return oldest, true
 }
 
-// Waiting counts a router's remembered requests of a key.
+// Waiting returns the recorded number of a router's waiting requests for a key.
 func (t *Table) Waiting(k Key, r state.Router) int {
 	d := t.byKey[k]
 	if d == nil {
@@ -153,10 +156,11 @@
 	return d.byRouter[r].Waiting
 }
 
-// RecordGrant counts one request less at a router, because it was granted a slot.
-// The age of its next request is not known before the router says so; until
-// then it is taken to lie evenly between the oldest and now, so that one
-// router with a single old request does not draw all grants.
+// RecordGrant reduces the number of a router's waiting requests by one because
+// it was granted a slot. The age of its next request is unknown until the
+// router reports it. Until then the remaining requests are assumed to be spread
+// evenly between the oldest arrival and now, so that a router with a single old
+// request does not receive all grants.
 func (t *Table) RecordGrant(now time.Time, k Key, r state.Router) (backlogged bool) {
 	d := t.byKey[k]
 	if d == nil {
