--- a/coordination/estimate/estimate.go
+++ b/coordination/estimate/estimate.go
@@ -1,5 +1,6 @@
-// Package estimate learns what a request of a workspace costs. Hints given on
-// arrival are rough, so only finished work teaches.
+// Package estimate learns the cost of a workspace's requests. The cost hints
+// that arrive with requests are rough, so costs are learned from finished
+// requests only.
 package estimate
 
 import (
@@ -9,34 +10,35 @@
 )
 
 const (
-	// newestWeight is the weight of the newest cost, once as many as its inverse
-	// are known; until then all known ones weigh alike. Reservations carry
-	// the estimate's noise into the choice of workspace, and with it into the
-	// fairness gap. A hundredth follows a workspace that changes its kind of
-	// work within a minute or two of heavy use.
+	// newestWeight is the weight of the newest cost once 1/newestWeight costs
+	// have been observed. Until then all costs have equal weight. Reservations
+	// are based on the estimates, so noise in an estimate affects the choice of
+	// the next workspace and with it the fairness gap. A weight of 0.01 follows
+	// a workspace that changes its kind of requests within one or two minutes
+	// of heavy use.
 	newestWeight = 0.01
-	// DefaultCapacity bounds the learned keys. Some hundred workspaces over a
-	// few services fit many times over; names invented by a faulty caller
-	// cannot grow the memory.
+	// DefaultCapacity bounds the number of learned keys. It is many times
+	// larger than needed for some hundred workspaces with a few services each,
+	// and it keeps a faulty caller from exhausting memory with invented names.
 	DefaultCapacity = 4096
 )
 
-// Key names what is learned.
+// Key identifies a learned cost.
 type Key struct {
 	Service   state.Service
 	Workspace state.Workspace
 }
 
-// costMean is a mean over all costs at first, an exponentially weighted one
-// later.
+// costMean is the arithmetic mean of the first costs and an exponentially
+// weighted mean later.
 type costMean struct {
 	mean  float64
 	count float64
 }
 
-func (a *costMean) add(cost state.Cost) {
-	a.count++
-	a.mean += max(newestWeight, 1/a.count) * (float64(cost) - a.mean)
+func (m *costMean) add(cost state.Cost) {
+	m.count++
+	m.mean += max(newestWeight, 1/m.count) * (float64(cost) - m.mean)
 }
 
 type entry struct {
@@ -44,8 +46,8 @@
 	costMean
 }
 
-// Estimator holds mean costs; the least recently updated key makes room for a
-// new one.
+// Estimator holds mean costs. When it is full, a new key replaces the least
+// recently updated one.
 type Estimator struct {
 	capacity     int
 	entries      map[Key]*list.Element
@@ -53,7 +55,7 @@
 	serviceMeans map[state.Service]*costMean
 }
 
-// New returns an estimator that remembers at most capacity keys.
+// New returns an estimator that stores at most capacity keys.
 func New(capacity int) *Estimator {
 	return &Estimator{
 		capacity:     capacity,
@@ -63,7 +65,7 @@
 	}
 }
 
-// Learn takes in the cost of a finished request.
+// Learn adds the cost of a finished request.
 func (e *Estimator) Learn(k Key, cost state.Cost) {
 	if cost <= 0 {
 		return
@@ -83,9 +85,9 @@
 	e.entries[k] = e.byRecency.PushFront(&entry{key: k, costMean: costMean{mean: float64(cost), count: 1}})
 }
 
-// Estimate returns the expected cost, at least one thousandth of a unit. A
-// hint only counts until something is known of the workspace, then the mean
-// of the service, then one whole unit.
+// Estimate returns the expected cost, at least one thousandth of a cost unit.
+// It is the learned mean of the workspace, or else the hint if there is one, or
+// else the mean of the service, or else one whole cost unit.
 func (e *Estimator) Estimate(k Key, hint state.Cost) state.Cost {
 	if el, ok := e.entries[k]; ok {
 		return max(state.Cost(el.Value.(*entry).mean), 1)
@@ -99,7 +101,8 @@
 	return state.CostUnit
 }
 
-// RetainServices forgets the services that are not listed.
+// RetainServices removes the means of the services for which keep returns
+// false.
 func (e *Estimator) RetainServices(keep func(state.Service) bool) {
 	for name := range e.serviceMeans {
 		if !keep(name) {
--- a/coordination/estimate/estimate_test.go
+++ b/coordination/estimate/estimate_test.go
@@ -14,7 +14,7 @@
 	require.Equal(t, state.CostUnit, e.Estimate(k, 0))
 	require.Equal(t, state.Cost(7), e.Estimate(k, 7))
 	e.Learn(Key{Service: "s", Workspace: "v"}, 500)
-	require.Equal(t, state.Cost(500), e.Estimate(k, 0), "the service's mean")
+	require.Equal(t, state.Cost(500), e.Estimate(k, 0), "the mean of the service is used")
 	e.Learn(k, 100)
 	e.Learn(k, 300)
 	e.Learn(k, 0)
