--- a/coordination/prefix/prefix.go
+++ b/coordination/prefix/prefix.go
@@ -1,19 +1,19 @@
-// Package prefix keeps a picture of which prompt parts an engine still holds.
-// Engines tell late and with gaps, so the picture is built from the requests
+// Package prefix models which prompt parts an engine has cached. Engines report
+// their cache late and incompletely, so the model is built from the requests
 // that were placed there.
 package prefix
 
 import "container/list"
 
-// Part is one part of a prompt. Requests that share a part, and all parts
-// before it, can share an engine's work of reading it.
+// Part is one part of a prompt. Requests that share a part and all parts before
+// it can share the prefill of that part.
 type Part struct {
 	ID     uint64
 	Tokens int
 }
 
-// Cache is the believed content of one engine's prompt cache. It is not safe
-// for concurrent use.
+// Cache is the assumed content of one engine's prompt cache. It is not safe for
+// concurrent use.
 type Cache struct {
 	capacityTokens int64
 	cachedTokens   int64
@@ -21,13 +21,13 @@
 	byRecency      *list.List
 }
 
-// New returns an empty cache of a number of tokens.
+// New returns an empty cache with a capacity in tokens.
 func New(capacity int64) *Cache {
 	return &Cache{capacityTokens: capacity, parts: make(map[uint64]*list.Element), byRecency: list.New()}
 }
 
-// UncachedTokens returns how many tokens of a prompt an engine has to read: all from
-// the first part on that it does not hold.
+// UncachedTokens returns how many tokens of a prompt an engine has to prefill:
+// all tokens from the first part on that is not cached.
 func (c *Cache) UncachedTokens(parts []Part) int {
 	uncached, missing := 0, false
 	for _, part := range parts {
@@ -39,11 +39,11 @@
 	return uncached
 }
 
-// Contains says whether a part is held.
+// Contains reports whether a part is cached.
 func (c *Cache) Contains(id uint64) bool { return c.parts[id] != nil }
 
-// Touch notes that a prompt's parts were read, the least recently used ones
-// giving way.
+// Touch records that the parts of a prompt were prefilled. The least recently
+// used parts are evicted to make space.
 func (c *Cache) Touch(parts []Part) {
 	for _, part := range parts {
 		if el := c.parts[part.ID]; el != nil {
@@ -64,7 +64,7 @@
 	c.cachedTokens -= int64(part.Tokens)
 }
 
-// Clear forgets everything, as after an engine's restart.
+// Clear removes all parts, as after an engine's restart.
 func (c *Cache) Clear() {
 	c.byRecency.Init()
 	clear(c.parts)
--- a/coordination/prefix/prefix_test.go
+++ b/coordination/prefix/prefix_test.go
@@ -13,7 +13,7 @@
 	c.Touch([]Part{a, b, own})
 	require.Equal(t, 0, c.UncachedTokens([]Part{a, b, own}))
 	require.Equal(t, 70, c.UncachedTokens([]Part{a, b, {4, 70}}))
-	require.Equal(t, 250, c.UncachedTokens([]Part{{9, 0}, b, own}), "a part counts only with all before it")
+	require.Equal(t, 250, c.UncachedTokens([]Part{{9, 0}, b, own}), "a part counts as cached only if all parts before it are cached")
 }
 
 func TestLeastRecentlyUsedPartIsEvicted(t *testing.T) {
