--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -1,6 +1,7 @@
-// Package shares decides which workspaces ask for more than their max-min fair
-// share of the fleet's throughput. It counts cost over a sliding window at
-// this router, takes the peers' counts as last heard, and knows no clock.
+// Package shares determines which workspaces request more than their max-min
+// fair share of the fleet's throughput. It counts the cost of requests at this
+// router over a sliding window, adds the counts last received from peers, and
+// takes the time as an argument.
 package shares
 
 import (
@@ -13,22 +14,24 @@
 )
 
 const (
-	// Window is the time over which shares are measured. Operators judge
-	// shares over a few seconds; a shorter window would refuse a burst that
-	// is within its share, a longer one let a flood run on.
+	// Window is the duration over which shares are computed. Operators judge
+	// shares over a few seconds. A shorter window would refuse a burst that is
+	// within its share, a longer one would let a flood continue for too long.
 	Window = 4 * time.Second
-	// bucketWidth is the width of a bucket: a sixteenth of the window, so that the
-	// count falls smoothly.
+	// bucketWidth is the width of a bucket: a sixteenth of the window, so that
+	// counts decrease smoothly.
 	bucketWidth = Window / bucketCount
 	bucketCount = 16
-	// PeerExpiry is the age at which a peer's counts no longer say what it
-	// does: the window has passed.
+	// PeerExpiry is the age at which a peer's counts are dropped. They then
+	// describe a window that has passed.
 	PeerExpiry = Window
 )
 
-// Usage is the cost of one workspace at one router over the window.
+// Usage is the cost of one workspace's requests at one router over the window,
+// in cost units.
 type Usage struct {
-	// Requested counts all requests once, Admitted those that were dispatched.
+	// Requested counts every request once. Admitted counts the requests that
+	// were dispatched.
 	Requested float64
 	Admitted  float64
 }
@@ -62,10 +65,11 @@
 	return total
 }
 
-// bucketWeight weighs a bucket by its age in buckets: the newest twice, the oldest
-// hardly, all together as many as there are. Usage then falls steadily; with
-// equal weights a workspace that got much at once is refused until the window
-// lets go of it, and then floods again.
+// bucketWeight returns the weight of a bucket, given its age in buckets. The
+// weight decreases linearly from almost two to almost zero, and the weights of
+// all buckets add up to their number. Usage therefore decreases steadily. With
+// equal weights, a workspace that was served a lot at once would be refused
+// until that usage left the window, and would then flood the fleet again.
 func bucketWeight(age int64) float64 {
 	return 2 * (bucketCount - float64(age) - 0.5) / bucketCount
 }
@@ -75,16 +79,18 @@
 	usage      map[state.Workspace]Usage
 }
 
-// Ledger counts what workspaces ask for and get. It is not safe for concurrent
-// use.
+// Ledger counts the cost that workspaces request and the cost that is admitted.
+// It is not safe for concurrent use.
 type Ledger struct {
 	ownMeters map[state.Workspace]*meter
 	peers     map[state.Router]peerUsage
-	// statedShare is the max-min share over the window; recomputed when stale.
+	// statedShare is the max-min share of the stated throughput over the
+	// window. It is recomputed at most every refreshInterval.
 	statedShare    float64
 	oversubscribed bool
-	// actualShare is the max-min share of what the fleet takes on, if that is
-	// more; 0 if it takes on all that is asked for.
+	// actualShare is the max-min share of the load that the fleet actually
+	// accepts, if that is more than the stated throughput. It is 0 if the fleet
+	// accepts all requests.
 	actualShare float64
 	totalUsage  map[state.Workspace]Usage
 	computedAt  time.Time
@@ -119,7 +125,8 @@
 	}
 }
 
-// RevertAdmitted takes back a request that was dispatched at a time and did not begin.
+// RevertAdmitted removes the count of a request that was dispatched at the
+// given time but did not start.
 func (l *Ledger) RevertAdmitted(at time.Time, ws state.Workspace, cost float64) {
 	m := l.ownMeters[ws]
 	if m == nil {
@@ -131,13 +138,13 @@
 	}
 }
 
-// ReportedUsage returns the counts of this router that peers have to know.
+// ReportedUsage returns the part of this router's counts that is sent to peers.
 func (l *Ledger) ReportedUsage(now time.Time) map[state.Workspace]Usage {
 	return largestWorkspaces(l.OwnUsage(now))
 }
 
-// ReportedUsageExcluding returns the counts of all routers but those on a peer's side of a
-// link, as its peer has to know them.
+// ReportedUsageExcluding returns the counts of all routers except those on a
+// peer's side of a link, to be sent to that peer.
 func (l *Ledger) ReportedUsageExcluding(now time.Time, peer state.Router) map[state.Workspace]Usage {
 	total := l.OwnUsage(now)
 	for source, usage := range l.peers {
@@ -157,9 +164,9 @@
 	}
 }
 
-// largestWorkspaces keeps the workspaces that ask for most, up to nearly all of the
-// cost. The others are too small to move the level, and there may be
-// thousands.
+// largestWorkspaces returns the workspaces with the highest requested cost,
+// which together make up at least reportedFraction of all cost. The others are
+// too small to affect the share, and there may be thousands of them.
 func largestWorkspaces(usage map[state.Workspace]Usage) map[state.Workspace]Usage {
 	names := slices.SortedFunc(maps.Keys(usage), func(a, b state.Workspace) int {
 		return cmp.Or(cmp.Compare(usage[b].Requested, usage[a].Requested), cmp.Compare(a, b))
@@ -180,7 +187,8 @@
 	return reported
 }
 
-// reportedFraction is the part of the asked cost that peers are told of.
+// reportedFraction is the fraction of the requested cost that is reported to
+// peers.
 const reportedFraction = 0.95
 
 // OwnUsage returns this router's counts.
@@ -197,13 +205,14 @@
 	return usage
 }
 
-// ReceiveUsage takes a peer's counts, or those of its side of a link, in place of what
-// it told before.
+// ReceiveUsage stores the counts of a peer, or those of its side of a link, in
+// place of the counts that it sent before.
 func (l *Ledger) ReceiveUsage(now time.Time, from state.Router, usage map[state.Workspace]Usage) {
 	l.peers[from] = peerUsage{receivedAt: now, usage: usage}
 }
 
-// OldestPeerAge returns the age of the oldest counts of a source that still count.
+// OldestPeerAge returns the age of the oldest peer counts that have not
+// expired.
 func (l *Ledger) OldestPeerAge(now time.Time) time.Duration {
 	age := time.Duration(0)
 	for _, peer := range l.peers {
@@ -214,11 +223,11 @@
 	return age
 }
 
-// RemovePeer forgets a source.
+// RemovePeer removes the counts of a peer.
 func (l *Ledger) RemovePeer(from state.Router) { delete(l.peers, from) }
 
-// refresh recomputes the level. It is done a few times a second: the level
-// moves with the window, not with single requests.
+// refresh recomputes the shares. It does so only a few times a second, because
+// the shares change with the window and not with single requests.
 func (l *Ledger) refresh(now time.Time, throughput float64) {
 	if l.totalUsage != nil && now.Sub(l.computedAt) < refreshInterval && !now.Before(l.computedAt) {
 		return
@@ -244,31 +253,37 @@
 	l.computedAt = now
 }
 
-// growthFactor is how much more than lately the fleet may take on: enough that a
-// level follows a fleet that has become faster within some windows, too little
-// to let the workspaces that ask for most run ahead of the others.
+// growthFactor is the assumed growth of the load that the fleet can accept,
+// relative to the load that it accepted in the last window. It is large enough
+// that the share follows a fleet that has become faster within a few windows,
+// and too small to let the workspaces with the highest load get ahead of the
+// others.
 const growthFactor = 1.05
 
-// refreshInterval bounds the work of recomputing the level to ten times a second.
+// refreshInterval limits the recomputation of the shares to ten times a second.
 const refreshInterval = 100 * time.Millisecond
 
-// Standing says how a workspace stands to its fair share.
+// Standing compares the usage of a workspace with its fair share.
 type Standing struct {
-	// ShareExhausted is set if all workspaces together ask for more than the fleet
-	// produces and this one got its max-min share already.
+	// ShareExhausted is set if all workspaces together request more than the
+	// stated throughput and this workspace has already had its max-min share of
+	// it.
 	ShareExhausted bool
-	// ShareUse is what the workspace got over its max-min share of what the fleet
-	// takes on; 0 if the fleet is not short. That is more than the stated
-	// throughput where engines do more than operators state.
+	// ShareUse is the admitted cost of the workspace as a multiple of its
+	// max-min share of the load that the fleet accepts, or 0 if the fleet is
+	// not short of capacity. The accepted load exceeds the stated throughput if
+	// engines are faster than operators have stated.
 	ShareUse float64
-	// LocalShareUse is the same by this router's own requests: the part of them that was
-	// admitted, over the part that the fleet may admit of all the workspace's.
-	// It is current, while Use depends on what peers told some time ago.
+	// LocalShareUse is the share use estimated from this router's own requests:
+	// the fraction of the workspace's requests that this router admitted,
+	// divided by the fraction that the fleet may admit. It includes the latest
+	// requests, while ShareUse depends on counts that peers sent some time ago.
 	LocalShareUse float64
 }
 
-// Standing judges a workspace at a throughput in cost units a second; zero or
-// less means unknown and limits nobody.
+// Standing returns the standing of a workspace at a stated throughput in cost
+// units per second. A throughput of zero or less means unknown, and limits no
+// workspace.
 func (l *Ledger) Standing(now time.Time, ws state.Workspace, throughput float64) Standing {
 	if throughput <= 0 {
 		return Standing{}
@@ -286,7 +301,8 @@
 	return standing
 }
 
-// localShareUse returns Standing.Here; zero if the router was not asked lately.
+// localShareUse returns Standing.LocalShareUse, or zero if the workspace has no
+// recent requests at this router.
 func (l *Ledger) localShareUse(now time.Time, ws state.Workspace) float64 {
 	m := l.ownMeters[ws]
 	if m == nil {
@@ -299,9 +315,10 @@
 	return own.Admitted / own.Requested * max(l.totalUsage[ws].Requested, own.Requested) / l.actualShare
 }
 
-// MaxMinShare returns the max-min share: the greatest amount such that everybody
-// gets what it asks for up to it and the sum stays within the capacity.
-// Limited is false if the capacity serves all.
+// MaxMinShare returns the max-min share: the largest amount such that the sum
+// stays within the capacity if every workspace gets its requested amount but
+// no more than the share. The result limited is false if the capacity suffices
+// for all. The slice is sorted in place.
 func MaxMinShare(requested []float64, capacity float64) (share float64, limited bool) {
 	slices.Sort(requested)
 	remaining := capacity
--- a/coordination/shares/shares_test.go
+++ b/coordination/shares/shares_test.go
@@ -15,10 +15,10 @@
 
 func TestMaxMinShare(t *testing.T) {
 	for _, c := range []struct {
-		asked    []float64
-		capacity float64
-		level    float64
-		limited  bool
+		requested []float64
+		capacity  float64
+		share     float64
+		limited   bool
 	}{
 		{nil, 10, 0, false},
 		{[]float64{1, 2, 3}, 10, 0, false},
@@ -26,41 +26,42 @@
 		{[]float64{8, 8, 8}, 12, 4, true},
 		{[]float64{5}, 0, 0, true},
 	} {
-		level, limited := MaxMinShare(c.asked, c.capacity)
+		share, limited := MaxMinShare(c.requested, c.capacity)
 		require.Equal(t, c.limited, limited, c)
-		require.InDelta(t, c.level, level, 1e-9, c)
+		require.InDelta(t, c.share, share, 1e-9, c)
 	}
 }
 
-// At any demand the level hands out the capacity and not more, and nobody who
-// asks for less than it is cut.
+// For any requested amounts, the max-min share uses up the capacity without
+// exceeding it. A workspace that requests less than the share is not cut.
 func TestMaxMinShareUsesWholeCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		asked := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 40).Draw(t, "asked")
+		requested := rapid.SliceOfN(rapid.Float64Range(0, 1000), 1, 40).Draw(t, "asked")
 		capacity := rapid.Float64Range(1, 20000).Draw(t, "capacity")
 		sum := 0.0
-		for _, a := range asked {
+		for _, a := range requested {
 			sum += a
 		}
-		level, limited := MaxMinShare(slices.Clone(asked), capacity)
+		share, limited := MaxMinShare(slices.Clone(requested), capacity)
 		if limited != (sum > capacity) && (sum-capacity > 1e-6 || capacity-sum > 1e-6) {
-			t.Fatalf("asked %v of %v, limited %v", sum, capacity, limited)
+			t.Fatalf("requested %v of %v, limited %v", sum, capacity, limited)
 		}
 		if !limited {
 			return
 		}
-		given := 0.0
-		for _, a := range asked {
-			given += min(a, level)
+		served := 0.0
+		for _, a := range requested {
+			served += min(a, share)
 		}
-		if given < capacity*(1-1e-9) || given > capacity*(1+1e-9) {
-			t.Fatalf("level %v gives %v of %v", level, given, capacity)
+		if served < capacity*(1-1e-9) || served > capacity*(1+1e-9) {
+			t.Fatalf("share %v gives %v of %v", share, served, capacity)
 		}
 	})
 }
 
-// One workspace floods router a, another asks a little at router b. Both
-// routers see the flood beyond its share, neither the other one.
+// One workspace floods router a, another one sends a few requests to router b.
+// Both routers must find that the flood has exhausted its share and that the
+// other workspace has not.
 func TestPeerUsageCountsTowardsShare(t *testing.T) {
 	const throughput = 100
 	a, b := New(), New()
@@ -85,7 +86,7 @@
 	require.Empty(t, l.OwnUsage(start.Add(2*Window)))
 }
 
-// A peer that is cut off says nothing more; what it said holds for a window.
+// The counts of a peer that no longer sends any are used for one window only.
 func TestSilentPeerIsForgotten(t *testing.T) {
 	l := New()
 	l.ReceiveUsage(start, "peer", map[state.Workspace]Usage{"w": {Requested: 1000, Admitted: 1000}})
@@ -111,7 +112,8 @@
 	require.Contains(t, reported, state.Workspace("big"))
 }
 
-// Guards against a workspace that is refused for seconds after a burst and then floods again.
+// Guards against a workspace that is refused for seconds after a burst and then
+// floods again.
 func TestUsageFadesSteadily(t *testing.T) {
 	l := New()
 	l.RecordAdmitted(start, "w", 1600)
@@ -125,7 +127,8 @@
 	require.Empty(t, l.OwnUsage(start.Add(Window)))
 }
 
-// Asked for evenly, the weighed window counts as much as an unweighed one.
+// With evenly spaced requests, the weighted window counts as much as an
+// unweighted one.
 func TestSteadyUsageHasUnweightedAmount(t *testing.T) {
 	l := New()
 	for i := range 100 {
@@ -134,8 +137,8 @@
 	require.InDelta(t, 10*bucketCount, l.OwnUsage(start.Add(99 * bucketWidth))["w"].Requested, 1e-6)
 }
 
-// Guards against a router that admits far more than its part of a flood while its
-// peers' counts are on their way.
+// Guards against a router that admits far more than its part of a flood while
+// its peers' counts are in transit.
 func TestLocalShareUseIsCurrent(t *testing.T) {
 	throughput := 50 * bucketWeight(0)
 	l := New()
@@ -144,7 +147,7 @@
 	require.Zero(t, l.Standing(start, "w", throughput).LocalShareUse)
 	l.RecordAdmitted(start, "w", 200)
 	standing := l.Standing(start, "w", throughput)
-	require.InDelta(t, 3, standing.LocalShareUse, 0.01, "a half of what was asked here, where a sixth is due")
+	require.InDelta(t, 3, standing.LocalShareUse, 0.01, "half of the cost requested here was admitted where a sixth is due")
 	require.InDelta(t, 1, standing.ShareUse, 0.01)
 	require.InDelta(t, 0, l.Standing(start, "elsewhere", throughput).LocalShareUse, 0)
 }
