--- a/coordination/workload/budget.go
+++ b/coordination/workload/budget.go
@@ -6,43 +6,48 @@
 )
 
 const (
-	// callerCPUFraction is the part of a VM's processor share that callers' requests may
-	// take. The rest is for news of peers, upstreams and the process itself.
+	// callerCPUFraction is the fraction of a VM's CPU share that callers'
+	// requests may use. The rest is for messages from peers, for upstreams and
+	// for the process itself.
 	callerCPUFraction = 0.85
-	// budgetBurst is the time whose budget may be spent at once, so that callers
-	// who arrive together are taken on, and the longest time by which it may be
-	// overspent.
+	// budgetBurst is the time whose budget may be spent at once, so that
+	// callers who arrive together are accepted. The budget may be overspent by
+	// at most the same amount.
 	budgetBurst = 250 * time.Millisecond
-	// maxStreamFraction is the most of the burst that one stream is charged. A VM that had to
-	// save up for longer would never take one on, and never learn that they became
-	// shorter.
+	// maxStreamFraction is the maximum charge for one stream, as a fraction of
+	// the burst. If the charge could exceed the burst, a VM would never accept
+	// a stream again, and would never learn that streams have become shorter.
 	maxStreamFraction = 0.25
-	// initialStreamEvents is the number of events of a stream until some have ended,
-	// eventLearning the weight of one that has.
+	// initialStreamEvents is the assumed number of events of a stream until the
+	// first streams have ended. streamEventsWeight is the weight of a stream
+	// that has ended in the mean.
 	initialStreamEvents = 25.0
 	streamEventsWeight  = 0.02
 )
 
-// CPUBudget is the processor time that a router may spend on callers' requests. It
-// fills at the rate of the VM's share. A request is charged all that its answer
-// will take when it is taken on, since a stream costs little until its engine
-// begins to answer. Connections hold what a request may take from their
-// acceptance until it is read, so that those in between are bounded as well.
+// CPUBudget is the CPU time that a router may spend on callers' requests. It is
+// refilled at the rate of the VM's CPU share. A request is charged for its
+// complete answer when it is accepted, because a stream costs little until its
+// engine starts to answer. From its acceptance until its first request is read,
+// a connection reserves the cost of a stream, so that unread connections are
+// bounded as well.
 //
-// Without a known share it never runs out. It is safe for concurrent use.
+// If the CPU share is not known, the budget is unlimited. A CPUBudget is safe
+// for concurrent use.
 type CPUBudget struct {
-	// rate is in seconds of a whole core a second.
+	// rate is the refill rate in seconds of a whole core per second.
 	rate float64
 
 	mu sync.Mutex
-	// remaining is in seconds of a whole core, as of at.
+	// remaining is the budget in seconds of a whole core at the time
+	// refilledAt.
 	remaining        float64
 	refilledAt       time.Time
 	meanStreamEvents float64
 }
 
-// NewCPUBudget returns a full budget for a VM's processor share in cores; 0 if not
-// known.
+// NewCPUBudget returns a full budget for a VM with the given CPU share in
+// cores; 0 means that the share is not known.
 func NewCPUBudget(cores float64) *CPUBudget {
 	b := &CPUBudget{rate: callerCPUFraction * cores, meanStreamEvents: initialStreamEvents}
 	b.remaining = b.capacity()
@@ -51,7 +56,8 @@
 
 func (b *CPUBudget) capacity() float64 { return b.rate * budgetBurst.Seconds() }
 
-// refill adds what has accrued since the last call. The caller holds the lock.
+// refill adds the budget accrued since the last call. The caller holds the
+// lock.
 func (b *CPUBudget) refill(now time.Time) {
 	since := now.Sub(b.refilledAt)
 	if !b.refilledAt.IsZero() && since <= 0 {
@@ -71,15 +77,18 @@
 	b.remaining = min(max(b.remaining-seconds, -b.capacity()), b.capacity())
 }
 
-// streamCost is what a stream takes, relayed to its end. The caller holds the lock.
+// streamCost returns the cost of relaying a whole stream, in seconds of a whole
+// core. The caller holds the lock.
 func (b *CPUBudget) streamCost() float64 {
 	return min(requestCPUTime.Seconds()+b.meanStreamEvents*eventCPUTime.Seconds(), maxStreamFraction*b.capacity())
 }
 
-// Bounded says whether the budget is bounded.
+// Bounded reports whether the budget is limited, that is, whether the CPU share
+// is known.
 func (b *CPUBudget) Bounded() bool { return b.rate > 0 }
 
-// TryAccept takes on a connection if there is room for its request, and says whether.
+// TryAccept accepts a connection and reserves the cost of its first request, if
+// the budget suffices. It reports whether the connection was accepted.
 func (b *CPUBudget) TryAccept(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,10 +103,11 @@
 	return true
 }
 
-// ChargeShed charges a connection that is closed unread.
+// ChargeShed charges a connection that is closed without being read.
 func (b *CPUBudget) ChargeShed(now time.Time) { b.charge(now, shedCPUTime) }
 
-// ChargeRequest charges a request that is sent to an upstream and is no stream.
+// ChargeRequest charges a request that is sent to an upstream and is not a
+// stream.
 func (b *CPUBudget) ChargeRequest(now time.Time) { b.charge(now, requestCPUTime) }
 
 // ChargeRefusal charges a request that is refused.
@@ -116,29 +126,32 @@
 	b.spend(now, b.streamCost())
 }
 
-// ReleaseConnection gives back what a connection held for its first request.
+// ReleaseConnection returns the cost that a connection reserved for its first
+// request.
 func (b *CPUBudget) ReleaseConnection(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spend(now, -b.streamCost())
 }
 
-// RefundStream gives back what a stream was charged for its events, none of which came.
+// RefundStream returns the charge for the events of a stream that had none.
 func (b *CPUBudget) RefundStream(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spend(now, -max(b.streamCost()-requestCPUTime.Seconds(), 0))
 }
 
-// LearnStreamEvents takes how many events a stream had that was answered whole.
+// LearnStreamEvents records the number of events of a stream that was answered
+// completely.
 func (b *CPUBudget) LearnStreamEvents(events int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.meanStreamEvents += streamEventsWeight * (float64(events) - b.meanStreamEvents)
 }
 
-// RemainingFraction returns the part of the burst that may still be spent, negative if more
-// was; 1 if the share is not known.
+// RemainingFraction returns the fraction of the burst that may still be spent.
+// It is negative if the budget is overspent, and 1 if the CPU share is not
+// known.
 func (b *CPUBudget) RemainingFraction(now time.Time) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/coordination/workload/budget_test.go
+++ b/coordination/workload/budget_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
-// acceptedConnections returns how many connections a budget takes on at once.
+// acceptedConnections returns how many connections a budget accepts at once.
 func acceptedConnections(t *testing.T, b *CPUBudget, now time.Time) int {
 	t.Helper()
 	n := 0
@@ -22,26 +22,26 @@
 	return n
 }
 
-// Guards against a VM that is sent two hundred streams at once, none of which has
-// begun, and takes on more than it can relay.
+// Guards against a VM that is sent two hundred streams at once, none of which
+// has started, and accepts more than it can relay.
 func TestBudgetChargesStreamsBeforeTheyBegin(t *testing.T) {
 	b := NewCPUBudget(smallVM)
 	stream := (requestCPUTime + initialStreamEvents*eventCPUTime).Seconds()
 	require.InDelta(t, callerCPUFraction*smallVM*budgetBurst.Seconds()/stream, acceptedConnections(t, b, start), 1)
 	require.False(t, b.TryAccept(start))
-	taken := 0
+	accepted := 0
 	for at := time.Duration(0); at < 10*time.Second; at += 10 * time.Millisecond {
 		now := start.Add(at)
 		for b.TryAccept(now) {
 			b.ReleaseConnection(now)
 			b.ChargeStream(now)
-			taken++
+			accepted++
 		}
 	}
-	require.InDelta(t, 10*callerCPUFraction*smallVM/stream, taken, 2, "steadily what the share bears")
+	require.InDelta(t, 10*callerCPUFraction*smallVM/stream, accepted, 2, "the steady rate is what the CPU share supports")
 }
 
-// Guards against accepted connections that are in nobody's count until they are read.
+// Guards against accepted connections that are not counted until they are read.
 func TestBudgetReservesCapacityForUnreadConnections(t *testing.T) {
 	b := NewCPUBudget(smallVM)
 	require.Positive(t, acceptedConnections(t, b, start))
@@ -49,10 +49,11 @@
 		b.ReleaseConnection(start)
 		b.ChargeRefusal(start)
 	}
-	require.GreaterOrEqual(t, acceptedConnections(t, b, start), 2, "three refusals take less than a stream")
+	require.GreaterOrEqual(t, acceptedConnections(t, b, start), 2, "three refusals cost less than a stream")
 }
 
-// Guards against a flood that is over and has left the router in debt for seconds.
+// Guards against a flood that leaves the router in debt for seconds after it
+// has ended.
 func TestBudgetDebtIsBounded(t *testing.T) {
 	b := NewCPUBudget(smallVM)
 	for range 100_000 {
@@ -83,7 +84,8 @@
 	require.InDelta(t, 1, b.RemainingFraction(start), 0)
 }
 
-// Guards against a VM that takes no stream on any more since they were long.
+// Guards against a VM that accepts no streams any more because previous ones
+// were long.
 func TestBudgetAcceptsStreamsOfAnyLength(t *testing.T) {
 	b := NewCPUBudget(0.05)
 	for range 2000 {
@@ -92,16 +94,18 @@
 	require.True(t, b.TryAccept(start))
 }
 
-// Guards against time that accrues twice when readings of the clock overtake each other.
+// Guards against time that accrues twice when concurrent clock readings arrive
+// out of order.
 func TestBudgetIgnoresOlderReadings(t *testing.T) {
 	b := NewCPUBudget(smallVM)
 	_ = acceptedConnections(t, b, start)
 	_ = b.RemainingFraction(start.Add(100 * time.Millisecond))
-	left := b.RemainingFraction(start)
-	require.InDelta(t, left, b.RemainingFraction(start.Add(100*time.Millisecond)), 1e-9)
+	remaining := b.RemainingFraction(start)
+	require.InDelta(t, remaining, b.RemainingFraction(start.Add(100*time.Millisecond)), 1e-9)
 }
 
-// Guards against upstreams that are down and use up a router's processor in its books.
+// Guards against unavailable upstreams that use up a router's CPU budget
+// although their streams cost no CPU time.
 func TestBudgetRefundsStreamsWithoutEvents(t *testing.T) {
 	b := NewCPUBudget(smallVM)
 	before := b.RemainingFraction(start)
--- a/coordination/workload/doc.go
+++ b/coordination/workload/doc.go
@@ -1,10 +1,10 @@
-// Package workload estimates what part of a VM's processor share relaying
-// takes, and will take once the requests that are under way have all begun to
-// answer. A router is refused no more work than it can relay in time.
+// Package workload estimates which part of a VM's CPU share relaying uses, and
+// will use once all active requests have started to answer. With it a router
+// accepts only as many requests as it can relay in time.
 //
-// The load it is made for is a balancer that sends one small VM a quarter of
-// the callers of a fleet. A stream that is admitted costs little until its
-// engine begins to answer, and then some tens of events a second, so that a router
-// which looks only at what it does now admits more than it can relay. No I/O and
-// no clock.
+// It is designed for a balancer that sends a quarter of a fleet's callers to
+// one small VM. An admitted stream costs little until its engine starts to
+// answer, and then some tens of events per second. A router that considers only
+// its current load therefore admits more than it can relay. The package does no
+// I/O and takes the time as an argument.
 package workload
--- a/coordination/workload/read_lag_test.go
+++ b/coordination/workload/read_lag_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A router that gets more connections than it reads sent requests on seconds late.
+// Guards against a router that gets more connections than it can read and
+// forwards requests seconds late.
 func TestReadLagOfAFloodedRouter(t *testing.T) {
 	var l ReadLag
 	now := time.Unix(1000, 0)
@@ -17,7 +18,8 @@
 	require.InDelta(t, 0.7, l.Lag(now.Add(time.Second)).Seconds(), 0.05)
 }
 
-// Callers that open connections early must not look like a router that reads late.
+// Callers that open connections early must not make the router appear slow to
+// read.
 func TestSlowCallersDoNotCountAsReadLag(t *testing.T) {
 	var l ReadLag
 	now := time.Unix(1000, 0)
@@ -35,7 +37,7 @@
 	for range lagSamples - 1 {
 		l.Record(now, time.Second)
 	}
-	require.Zero(t, l.Lag(now), "too few")
+	require.Zero(t, l.Lag(now), "too few samples")
 	l.Record(now, time.Second)
 	require.Equal(t, time.Second, l.Lag(now))
 	require.Zero(t, l.Lag(now.Add(lagSampleExpiry+1)))
--- a/coordination/workload/workload.go
+++ b/coordination/workload/workload.go
@@ -6,38 +6,42 @@
 )
 
 const (
-	// requestTime, refusalTime and eventTime are what a request that is sent,
-	// one that is refused, and an event of a stream take of a processor. They are
-	// fixed, since the process's own clock is no measure where a VM's share is
-	// less than a core.
+	// requestCPUTime, refusalCPUTime and eventCPUTime are the CPU times of a
+	// request that is sent to an upstream, of a request that is refused, and of
+	// one event of a stream. They are constants because the process's own clock
+	// does not show its CPU time if the VM has less than one core.
 	requestCPUTime = 400 * time.Microsecond
 	refusalCPUTime = 130 * time.Microsecond
 	eventCPUTime   = 25 * time.Microsecond
-	// shedCPUTime is what a connection takes that is closed unread: no goroutine,
-	// no head and no log line.
+	// shedCPUTime is the CPU time of a connection that is closed without being
+	// read: it needs no goroutine, reads no request head and writes no log
+	// line.
 	shedCPUTime = 13 * time.Microsecond
-	// rateWeight is the weight of one round of a tenth of a second: rates follow
-	// within half a second, in which a start of traffic fills a small VM.
+	// rateWeight is the weight of one interval of a tenth of a second. With it
+	// the rates follow a change within half a second, the time in which new
+	// traffic can saturate a small VM.
 	rateWeight = 0.2
-	// initialEventRate is how many events a second a stream is taken to have until
-	// some were seen; between those of full and of idle engines.
+	// initialEventRate is the assumed number of events per second of a stream
+	// until some have been observed. It lies between the rates of full and of
+	// idle engines.
 	initialEventRate = 20.0
-	// minEmittingStreams is the number of streams from which a pace is learned.
+	// minEmittingStreams is the minimum number of emitting streams from which
+	// the event rate is learned.
 	minEmittingStreams = 5
 )
 
-// Estimator counts a router's work. The counting methods and Expected are safe
-// for concurrent use; Observe is for one periodic task.
+// Estimator counts a router's work. Its counting methods and ExpectedLoad are
+// safe for concurrent use. Observe must be called from a single periodic task.
 type Estimator struct {
-	// cores is the VM's share in cores; 0 if not known.
+	// cores is the VM's CPU share in cores; 0 if it is not known.
 	cores float64
 
 	requests atomic.Int64
 	refusals atomic.Int64
 	shed     atomic.Int64
 	events   atomic.Int64
-	// activeStreams are the streams under way, emitting those of them whose answer
-	// has begun.
+	// activeStreams is the number of streams that have not ended,
+	// emittingStreams the number of those whose answer has begun.
 	activeStreams   atomic.Int64
 	emittingStreams atomic.Int64
 
@@ -45,29 +49,33 @@
 	lastTotals Totals
 }
 
-// Totals count a router's work since its start.
+// Totals holds the counts of a router's work since its start.
 type Totals struct {
-	// Requests were sent to upstreams, Refusals answered by the router, and Shed
-	// are connections that were closed unread. Events are those of streams.
+	// Requests counts the requests sent to upstreams, Refusals those that the
+	// router refused, Shed the connections closed without being read, and
+	// Events the events of streams.
 	Requests, Refusals, Shed, Events int64
 }
 
-// Since returns what was counted since earlier totals.
+// Since returns the counts since earlier totals.
 func (t Totals) Since(earlier Totals) Totals {
 	return Totals{t.Requests - earlier.Requests, t.Refusals - earlier.Refusals, t.Shed - earlier.Shed, t.Events - earlier.Events}
 }
 
-// rates are averages over some rounds.
+// rates holds exponentially weighted means over the last intervals.
 type rates struct {
-	// requestLoad is the part of the share that requests take which are sent on,
-	// turnedAway that of refusals and connections closed unread, events that of
-	// the events.
+	// requestLoad is the fraction of the CPU share used by requests sent to
+	// upstreams, turnedAwayLoad the fraction used by refusals and by
+	// connections closed without being read, and eventLoad the fraction used by
+	// events.
 	requestLoad, turnedAwayLoad, eventLoad float64
-	// eventRate is the number of events a second of a stream that has begun.
+	// eventRate is the number of events per second of a stream whose answer has
+	// begun.
 	eventRate float64
 }
 
-// New returns an estimate for a VM's processor share in cores; 0 if not known.
+// New returns an estimator for a VM with the given CPU share in cores; 0 means
+// that the share is not known.
 func New(cores float64) *Estimator {
 	e := &Estimator{cores: cores}
 	e.rates.Store(&rates{eventRate: initialEventRate})
@@ -80,15 +88,15 @@
 // AddRefusal counts a request that is refused.
 func (e *Estimator) AddRefusal() { e.refusals.Add(1) }
 
-// AddShed counts a connection that is closed unread.
+// AddShed counts a connection that is closed without being read.
 func (e *Estimator) AddShed() { e.shed.Add(1) }
 
-// Totals returns the counts.
+// Totals returns the current counts.
 func (e *Estimator) Totals() Totals {
 	return Totals{e.requests.Load(), e.refusals.Load(), e.shed.Load(), e.events.Load()}
 }
 
-// ActiveStreams returns how many streams are under way.
+// ActiveStreams returns the number of streams that have not ended.
 func (e *Estimator) ActiveStreams() int64 { return e.activeStreams.Load() }
 
 // AddEvent counts an event of a stream.
@@ -100,8 +108,8 @@
 // StreamStarted counts a stream whose answer has begun.
 func (e *Estimator) StreamStarted() { e.emittingStreams.Add(1) }
 
-// StreamEnded takes a stream out of the counts; emitting says whether its answer had
-// begun.
+// StreamEnded removes a stream from the counts. The argument started says
+// whether its answer had begun.
 func (e *Estimator) StreamEnded(started bool) {
 	e.activeStreams.Add(-1)
 	if started {
@@ -109,7 +117,8 @@
 	}
 }
 
-// Observe takes the length of the round since the last call.
+// Observe updates the rates at the end of an interval. The argument is the time
+// since the last call.
 func (e *Estimator) Observe(interval time.Duration) {
 	now := e.Totals()
 	done := now.Since(e.lastTotals)
@@ -129,15 +138,16 @@
 	e.rates.Store(&next)
 }
 
-// ExpectedLoad returns the part of the share that callers will take once all streams
-// under way have begun, at least what they took lately; 0 if the share is not
-// known.
+// ExpectedLoad returns the fraction of the CPU share that callers will use once
+// all active streams have started to answer, and at least the fraction that
+// they used recently. It is 0 if the share is not known.
 func (e *Estimator) ExpectedLoad() float64 {
 	return e.ExpectedRelayLoad() + e.rates.Load().turnedAwayLoad
 }
 
-// ExpectedRelayLoad is Expected without what turning callers away took. A router that
-// counted that as work would have no room for as long as it has none.
+// ExpectedRelayLoad is ExpectedLoad without the cost of turning callers away.
+// If a router counted that cost, turning callers away would keep it full, and
+// it would never accept a caller again.
 func (e *Estimator) ExpectedRelayLoad() float64 {
 	if e.cores <= 0 {
 		return 0
--- a/coordination/workload/workload_test.go
+++ b/coordination/workload/workload_test.go
@@ -9,15 +9,15 @@
 
 const interval = 100 * time.Millisecond
 
-// recentLoad is the part of the processor share that relaying took lately.
+// recentLoad returns the fraction of the CPU share that was used recently.
 func (e *Estimator) recentLoad() float64 {
 	r := e.rates.Load()
 	return r.requestLoad + r.turnedAwayLoad + r.eventLoad
 }
 
-// A VM with a fifth of a core is sent two hundred streams within half a second.
-// None of them has begun, so nothing is used yet, but they will take more than
-// the VM has.
+// A VM with a fifth of a core is sent hundreds of streams within half a second.
+// None of them has started, so hardly any CPU time is used yet, but they will
+// need more than the VM has.
 func TestStreamsUnderWayCountBeforeTheyBegin(t *testing.T) {
 	e := New(0.2)
 	for range 5 {
@@ -38,8 +38,8 @@
 	require.Less(t, e.ExpectedLoad(), 0.01)
 }
 
-// Engines that are full make a stream's events come slowly; the same number of
-// streams then takes less.
+// On full engines the events of a stream arrive more slowly, so the same number
+// of streams needs less CPU time.
 func TestEventRateIsLearned(t *testing.T) {
 	expected := func(perStream int) float64 {
 		e := New(0.5)
@@ -91,7 +91,7 @@
 	require.InDelta(t, 500*shedCPUTime.Seconds()/(0.2*interval.Seconds()), e.recentLoad(), 0.02)
 }
 
-// Guards against a router that stays full by turning callers away.
+// Guards against a router that stays full because it turns callers away.
 func TestTurningCallersAwayLeavesCapacity(t *testing.T) {
 	e := New(0.2)
 	for range 40 {
