--- a/coordination/slots/slots.go
+++ b/coordination/slots/slots.go
@@ -1,11 +1,12 @@
-// Package slots works out how many more requests an upstream may be sent. Its
-// load report lags, so what the owner has granted since is counted as well.
+// Package slots computes how many more requests an upstream may be sent. The
+// upstream's load report lags behind, so the grants that the owner has made
+// since are counted as well.
 //
 //	free = slots + look-ahead - outstanding - foreign
-//	foreign = max(0, reported load - most outstanding within ReportLag)
+//	foreign = max(0, reported load - max outstanding within MaxReportLag)
 //
-// Foreign load is what the report shows beyond the owner's own grants. Two
-// routers that both believe they own an upstream see each other's work as
+// Foreign load is the reported load that exceeds the owner's own grants. If two
+// routers both act as the owner of an upstream, each sees the other's work as
 // foreign load, and both back off.
 package slots
 
@@ -17,42 +18,48 @@
 )
 
 const (
-	// ReportExpiry is how old the last report may be. An upstream that left
-	// without a word gets nothing new after this time; two lost reports at
-	// the usual period of one second do not stop it.
+	// ReportExpiry is the maximum age of a usable report. An upstream that
+	// disappeared without an announcement gets no new requests after this time.
+	// Two lost reports, at the usual period of one second, do not make an
+	// upstream unusable.
 	ReportExpiry = 3 * time.Second
-	// MaxReportLag is how far a report may lag behind. Work that ended within
-	// this time may still be in the report and is not foreign; a greater
-	// figure would hide the work of a second owner for longer.
+	// MaxReportLag is the maximum lag of a report. Work that ended within this
+	// time may still be in the report and is not foreign load. A greater value
+	// would hide the work of a second owner for longer.
 	MaxReportLag = time.Second
-	// DepartureExpiry is how long an announced departure is believed without
-	// a report: the time a planned restart takes.
+	// DepartureExpiry is how long an announced departure is assumed to hold
+	// without a report. It is the time that a planned restart takes.
 	DepartureExpiry = 30 * time.Second
 	// handOverTime is the time from the end of a request until the next one
-	// reaches the upstream, with messages to and from the owner; about twice
-	// what it takes between data centres. As many requests as end within it
-	// may wait inside the upstream, so that no slot idles; what waits inside
-	// is lost to fairness, so there are no more.
+	// reaches the upstream, including the messages to and from the owner. It is
+	// about twice the time needed between data centres. As many requests as end
+	// within this time may wait inside the upstream, so that no slot idles.
+	// More would be harmful, because requests that wait inside an upstream can
+	// no longer be scheduled fairly.
 	handOverTime = 10 * time.Millisecond
-	// slotTimeWeight averages how long requests hold a slot over some fifty.
+	// slotTimeWeight is the weight of the newest slot time in the mean, which
+	// spans about fifty requests.
 	slotTimeWeight = 0.02
 )
 
-// outstandingSample is an amount of outstanding grants and when it stopped to hold.
+// outstandingSample is a past number of outstanding grants and the time until
+// which it was valid.
 type outstandingSample struct {
 	validUntil  time.Time
 	outstanding int
 }
 
-// departure is an announcement that an upstream leaves.
+// departure is the announcement that an upstream is leaving.
 type departure struct {
 	announced bool
-	// boot is the run that leaves; empty until a report tells.
+	// boot identifies the run that is leaving. It is empty until a report
+	// identifies the run.
 	boot        string
 	announcedAt time.Time
 }
 
-// Tracker follows one upstream. The zero value has no report and no slots.
+// Tracker tracks the slots of one upstream. The zero value has no report and no
+// slots.
 type Tracker struct {
 	report        state.ReceivedReport
 	reportTrusted bool
@@ -62,18 +69,20 @@
 	foreignLoad   int
 	// meanSlotSeconds is the mean time that a request holds a slot, in seconds.
 	meanSlotSeconds float64
-	// recentOutstanding holds falling amounts, the greatest of the window first, so it
-	// never outgrows the upstream's slots.
+	// recentOutstanding holds decreasing numbers of outstanding grants,
+	// starting with the maximum within MaxReportLag. It is never longer than
+	// the number of slots.
 	recentOutstanding []outstandingSample
 }
 
-// SetSlotLimit bounds the slots by configuration; zero takes the report's figure.
+// SetSlotLimit sets the configured number of slots; zero means that the
+// reported number is used.
 func (t *Tracker) SetSlotLimit(limit int) {
 	t.slotLimit = limit
 }
 
-// RecordReport takes in a fresh report and tells whether the upstream's process was
-// replaced since the last one.
+// RecordReport stores a new report and returns true if the upstream's process
+// was replaced since the last one.
 func (t *Tracker) RecordReport(now time.Time, r state.LoadReport) bool {
 	restarted := t.report.Boot != "" && t.report.Boot != r.Boot
 	t.settleDeparture(now, r.Boot)
@@ -83,7 +92,8 @@
 	return restarted
 }
 
-// LastReport returns the last report; ok is false if it may not be relied on.
+// LastReport returns the last report. The result ok is false if the report is
+// missing, distrusted or too old.
 func (t *Tracker) LastReport(now time.Time) (r state.LoadReport, ok bool) {
 	return t.report.LoadReport, t.reportTrusted && now.Sub(t.report.At) <= ReportExpiry
 }
@@ -93,13 +103,14 @@
 	return t.report.Boot
 }
 
-// DistrustReport makes the upstream wait for the next report before it gets work.
+// DistrustReport withholds new work from the upstream until the next report
+// arrives.
 func (t *Tracker) DistrustReport() {
 	t.reportTrusted = false
 }
 
-// AnnounceDeparture stops new work until another run of the upstream reports. An
-// announcement of an earlier run comes too late and is ignored.
+// AnnounceDeparture stops new work until another run of the upstream reports. A
+// late announcement of an earlier run is ignored.
 func (t *Tracker) AnnounceDeparture(now time.Time, boot string) {
 	if boot != "" && t.report.Boot != "" && boot != t.report.Boot {
 		return
@@ -110,9 +121,10 @@
 	t.departure = departure{announced: true, boot: boot, announcedAt: now}
 }
 
-// settleDeparture lets the announcement end with the run it was made for. If
-// that run is not known, it is the one that reports next, unless so much time
-// has passed that this is more likely to be its successor.
+// settleDeparture drops the announcement when a run other than the announced
+// one reports. If the announced run is not known, it is taken to be the run
+// that reports next, unless DepartureExpiry has passed, after which the
+// reporting run is more likely its successor.
 func (t *Tracker) settleDeparture(now time.Time, boot string) {
 	d := &t.departure
 	if d.boot == "" && now.Sub(d.announcedAt) <= DepartureExpiry {
@@ -123,14 +135,14 @@
 	}
 }
 
-// Leaving tells whether the upstream wants no new work.
+// Leaving reports whether the upstream accepts no new work.
 func (t *Tracker) Leaving() bool {
 	return t.departure.announced || t.report.Draining
 }
 
-// DepartedRecently tells whether a departure was announced within DepartureMemory.
-// A router that gets no reports of the upstream does not hear of its return
-// and must not go by an old announcement.
+// DepartedRecently reports whether a departure was announced within
+// DepartureExpiry. A router that receives no reports from the upstream does not
+// learn of its return, so it must not rely on an older announcement.
 func (t *Tracker) DepartedRecently(now time.Time) bool {
 	return t.departure.announced && now.Sub(t.departure.announcedAt) <= DepartureExpiry
 }
@@ -154,8 +166,8 @@
 	t.outstanding++
 }
 
-// FinishGrant counts one outstanding grant less, whose request held its slot for
-// a while.
+// FinishGrant removes an outstanding grant whose request held its slot for
+// slotTime.
 func (t *Tracker) FinishGrant(now time.Time, slotTime time.Duration) {
 	if t.meanSlotSeconds == 0 {
 		t.meanSlotSeconds = slotTime.Seconds()
@@ -164,27 +176,27 @@
 	t.ReleaseGrant(now)
 }
 
-// ReleaseGrant counts one outstanding grant less. The work may go on showing in
+// ReleaseGrant removes an outstanding grant. Its work may still appear in
 // reports for a while.
 func (t *Tracker) ReleaseGrant(now time.Time) {
 	t.rememberOutstanding(now)
 	t.outstanding = max(0, t.outstanding-1)
 }
 
-// DisownGrant counts one grant less whose work may go on without anybody to
-// report its end. It holds its slot until the next load report decides.
+// DisownGrant removes a grant whose work may continue although no router will
+// report its end. Its slot counts as in use until the next load report.
 func (t *Tracker) DisownGrant() {
 	t.outstanding = max(0, t.outstanding-1)
 	t.foreignLoad++
 	t.recentOutstanding = nil
 }
 
-// Outstanding returns the grants counted.
+// Outstanding returns the number of outstanding grants.
 func (t *Tracker) Outstanding() int {
 	return t.outstanding
 }
 
-// FreeSlots returns the slots that are free, without look-ahead.
+// FreeSlots returns the number of free slots without look-ahead.
 func (t *Tracker) FreeSlots(now time.Time) int {
 	if !t.Usable(now) {
 		return 0
@@ -192,9 +204,10 @@
 	return max(0, t.Slots()-t.outstanding-t.foreignLoad)
 }
 
-// FreeSlotsWithLookAhead returns the free slots with look-ahead. It is meant for work that
-// no other owner has taken within a round trip; otherwise work would wait
-// inside a full upstream while another one has a slot.
+// FreeSlotsWithLookAhead returns the number of free slots with look-ahead. It
+// is meant for requests that no other owner has granted a slot within a round
+// trip. Otherwise requests would wait inside a full upstream while another
+// upstream has a free slot.
 func (t *Tracker) FreeSlotsWithLookAhead(now time.Time) int {
 	if !t.Usable(now) {
 		return 0
@@ -202,8 +215,8 @@
 	return max(0, t.Slots()+t.lookAhead()-t.outstanding-t.foreignLoad)
 }
 
-// lookAhead is how many requests end within handOver, at least one and at
-// most half the slots.
+// lookAhead returns how many requests end within handOverTime, at least one and
+// at most half the slots.
 func (t *Tracker) lookAhead() int {
 	if t.meanSlotSeconds <= 0 {
 		return 1
--- a/coordination/slots/slots_test.go
+++ b/coordination/slots/slots_test.go
@@ -13,7 +13,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// TestScript runs testdata/script.txt, which tells an upstream's story.
+// TestScript runs testdata/script.txt, a sequence of events at one upstream
+// with the expected numbers of free slots.
 func TestScript(t *testing.T) {
 	file, err := os.Open("testdata/script.txt")
 	require.NoError(t, err)
@@ -57,7 +58,8 @@
 	}
 }
 
-// Two routers that both believe they own an upstream would each fill it.
+// Guards against two routers that both act as the owner of an upstream and each
+// fill all of its slots.
 func TestTwoOwnersBackOff(t *testing.T) {
 	var owners [2]Tracker
 	now := time.Unix(1000, 0)
