--- a/coordination/outlier/outlier_test.go
+++ b/coordination/outlier/outlier_test.go
@@ -17,7 +17,7 @@
 		require.Equal(t, want*time.Second, d.StartCoolDown(now))
 		require.True(t, d.InCoolDown(now.Add(want*time.Second-1)))
 		require.False(t, d.InCoolDown(now.Add(want*time.Second)))
-		require.True(t, d.RecordFailure(), "a relapse")
+		require.True(t, d.RecordFailure(), "the first failure after a cool-down counts as a relapse")
 	}
 	d.RecordSuccess()
 	require.False(t, d.RecordFailure())
