--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry decides whether a request whose upstream was lost is tried
+// Package retry decides whether a request whose upstream was lost is dispatched
 // once more.
 package retry
 
@@ -11,16 +11,16 @@
 )
 
 const (
-	// MaxDispatches is one try and one retry. A second retry would find the
-	// same fleet a moment later and would only add load to an outage.
+	// MaxDispatches allows one attempt and one retry. A second retry would meet
+	// the same fleet a moment later and would only add load to an outage.
 	MaxDispatches = 2
-	// retriesPerSecond and burst bound the retries of one workspace. While many
-	// upstreams fail, retries would double the load of those that are left;
-	// ten cover the requests that one lost upstream was running, and one a
-	// second covers single broken connections.
+	// retriesPerSecond and retryBurst bound the retries of one workspace. While
+	// many upstreams fail, unlimited retries would double the load of the
+	// remaining ones. A burst of ten covers the requests that one lost upstream
+	// was running, and one retry per second covers single broken connections.
 	retriesPerSecond = 1
 	retryBurst       = 10
-	// maxWorkspaces bounds the memory; see Budget.trim.
+	// maxWorkspaces bounds the number of buckets in memory; see Budget.trim.
 	maxWorkspaces = 4096
 )
 
@@ -34,10 +34,10 @@
 	return &Budget{limiters: make(map[state.Workspace]*rate.Limiter)}
 }
 
-// Allow reports whether a request that was dispatched so many times may be
-// dispatched again, and takes a token if so. Only requests that may run twice
-// without harm are ever retried: after a lost connection nobody knows whether
-// a booking went through.
+// Allow reports whether a request that has been dispatched the given number of
+// times may be dispatched again, and takes a token if so. Only requests that
+// may run twice without harm are ever retried: after a lost connection it is
+// unknown whether, for example, a booking was completed.
 func (b *Budget) Allow(now time.Time, w state.Workspace, repeatable bool, dispatches int) bool {
 	if !repeatable || dispatches >= MaxDispatches {
 		return false
@@ -57,8 +57,9 @@
 	return l
 }
 
-// trim drops full buckets, which say no more than absent ones. If none is
-// full, all are dropped: memory comes before the exactness of a budget.
+// trim removes full buckets, which are equivalent to absent ones. If no bucket
+// is full, it removes all of them: bounding the memory is more important than
+// an exact budget.
 func (b *Budget) trim(now time.Time) {
 	for w, l := range b.limiters {
 		if l.TokensAt(now) >= retryBurst {
