--- a/coordination/drain/drain_test.go
+++ b/coordination/drain/drain_test.go
@@ -25,8 +25,9 @@
 	require.Equal(t, 250*time.Millisecond, d.AnswerTimeLeft(at(7500*time.Millisecond)))
 }
 
-// Operators give a router little time to stop. It still leaves most of that to
-// what it has taken, and some to answer what has not ended.
+// With a short grace period, a router still reserves most of it for the
+// requests that it has accepted, and some of it for answering the requests that
+// have not ended.
 func TestShortGracePeriod(t *testing.T) {
 	start := time.Unix(5000, 0)
 	d := Begin(start, 1200*time.Millisecond)
