--- a/cmd/figstile/internal/cli/capacity.go
+++ b/cmd/figstile/internal/cli/capacity.go
@@ -56,20 +56,20 @@
 	MaxStale    *float64 `help:"Limit: seconds until a change of the settings is in force."`
 }
 
-// apply puts the given sizes into a fleet.
-func (s capacitySizes) apply(f *capacity.Fleet) {
-	given := reflect.ValueOf(s)
+// applyTo puts the given sizes into a fleet.
+func (s capacitySizes) applyTo(f *capacity.Fleet) {
+	sizes := reflect.ValueOf(s)
 	fleet := reflect.ValueOf(f).Elem()
-	for i := range given.NumField() {
-		if field := given.Field(i); !field.IsNil() {
-			fleet.FieldByName(given.Type().Field(i).Name).Set(field.Elem())
+	for i := range sizes.NumField() {
+		if field := sizes.Field(i); !field.IsNil() {
+			fleet.FieldByName(sizes.Type().Field(i).Name).Set(field.Elem())
 		}
 	}
 }
 
 // Run prints one report.
 func (c capacityCommand) Run(a *app) error {
-	slopes, err := c.load()
+	slopes, err := c.loadSlopes()
 	if err != nil {
 		return err
 	}
@@ -77,15 +77,15 @@
 	if c.Profile == "destination" {
 		fleet = capacity.Destination()
 	}
-	c.apply(&fleet)
+	c.applyTo(&fleet)
 	report, err := capacity.NewReport(fleet, slopes)
 	if err != nil {
 		return err
 	}
-	return a.out.show(report, func() { a.out.capacity(report, slopes) })
+	return a.out.show(report, func() { a.out.printCapacity(report, slopes) })
 }
 
-func (c capacityCommand) load() (*capacity.Slopes, error) {
+func (c capacityCommand) loadSlopes() (*capacity.Slopes, error) {
 	if c.Slopes == "" {
 		return capacity.Load()
 	}
@@ -96,18 +96,18 @@
 	return capacity.Parse(data)
 }
 
-// capacity prints every table of a report under its title.
-func (o *output) capacity(report *capacity.Report, slopes *capacity.Slopes) {
-	o.measured(slopes)
+// printCapacity prints every table of a report under its title.
+func (o *output) printCapacity(report *capacity.Report, slopes *capacity.Slopes) {
+	o.printMeasurement(slopes)
 	fmt.Fprintln(o.w, "A mark ! is a broken limit; sizes at which limits break are those of a fleet that grows evenly.")
 	for _, table := range report.Tables() {
 		fmt.Fprintf(o.w, "\n%s\n", table.Title)
-		o.table(table.Header, table.Rows)
+		o.printTable(table.Header, table.Rows)
 	}
 }
 
-// measured says when and where the slopes come from.
-func (o *output) measured(slopes *capacity.Slopes) {
+// printMeasurement says when and where the slopes come from.
+func (o *output) printMeasurement(slopes *capacity.Slopes) {
 	fmt.Fprintf(o.w, "Slopes measured at %s on %d cores, load %s before and %s after.\n",
 		slopes.MeasuredAt.Format(time.RFC3339), slopes.Cores, slopes.LoadBefore, slopes.LoadAfter)
 }
@@ -121,9 +121,9 @@
 		return err
 	}
 	return a.out.show(slopes, func() {
-		a.out.measured(slopes)
+		a.out.printMeasurement(slopes)
 		table := slopes.Table()
-		a.out.table(table.Header, table.Rows)
+		a.out.printTable(table.Header, table.Rows)
 	})
 }
 
@@ -133,7 +133,7 @@
 
 // Run measures, prints each slope as it comes and writes the file.
 func (c capacityMeasureCommand) Run(a *app) error {
-	slopes, err := capacity.Measure(a.ctx, a.out.slope)
+	slopes, err := capacity.Measure(a.ctx, a.out.printSlope)
 	if err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 	return os.WriteFile(c.Out, append(data, '\n'), 0o644)
 }
 
-func (o *output) slope(s capacity.Slope) {
+func (o *output) printSlope(s capacity.Slope) {
 	if o.json {
 		_ = json.NewEncoder(o.w).Encode(s)
 		return
--- a/cmd/figstile/internal/cli/capacity_test.go
+++ b/cmd/figstile/internal/cli/capacity_test.go
@@ -19,24 +19,24 @@
 
 const docsDir = "../../../../docs"
 
-// block is one table of the page, held to the output of a command.
-var block = regexp.MustCompile("(?s)<!-- output: figstile ([^\n]*) -->\n```\n.*?```\n")
+// outputBlock is one table of the page, held to the output of a command.
+var outputBlock = regexp.MustCompile("(?s)<!-- output: figstile ([^\n]*) -->\n```\n.*?```\n")
 
-// TestCapacityPage holds the tables of docs/CAPACITY.md to the tool; with
+// TestCapacityPageIsCurrent holds the tables of docs/CAPACITY.md to the tool; with
 // -update it writes them.
-func TestCapacityPage(t *testing.T) {
+func TestCapacityPageIsCurrent(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(docsDir, "CAPACITY.md"))
 	require.NoError(t, err)
-	require.Regexp(t, block, string(page))
-	current := block.ReplaceAllStringFunc(string(page), func(old string) string {
-		command := block.FindStringSubmatch(old)[1]
-		return "<!-- output: figstile " + command + " -->\n```\n" + runAlone(t, strings.Fields(command)...) + "```\n"
+	require.Regexp(t, outputBlock, string(page))
+	current := outputBlock.ReplaceAllStringFunc(string(page), func(old string) string {
+		command := outputBlock.FindStringSubmatch(old)[1]
+		return "<!-- output: figstile " + command + " -->\n```\n" + runWithoutRouter(t, strings.Fields(command)...) + "```\n"
 	})
 	goldie.New(t, goldie.WithFixtureDir(docsDir), goldie.WithNameSuffix(".md")).Assert(t, "CAPACITY", []byte(current))
 }
 
-// runAlone runs a command that needs no router.
-func runAlone(t *testing.T, args ...string) string {
+// runWithoutRouter runs a command that needs no router.
+func runWithoutRouter(t *testing.T, args ...string) string {
 	t.Helper()
 	var out, errs bytes.Buffer
 	code := cli.Main(context.Background(), cli.Environment{
@@ -48,7 +48,7 @@
 
 func TestCapacityFlagsReplaceTheProfile(t *testing.T) {
 	var report capacity.Report
-	out := runAlone(t, "capacity", "--profile=destination", "--routers=100", "--max-mb=64", "--output=json")
+	out := runWithoutRouter(t, "capacity", "--profile=destination", "--routers=100", "--max-mb=64", "--output=json")
 	require.NoError(t, json.Unmarshal([]byte(out), &report))
 	want := capacity.Destination()
 	want.Routers, want.MaxMB = 100, 64
--- a/cmd/figstile/internal/cli/cli.go
+++ b/cmd/figstile/internal/cli/cli.go
@@ -73,19 +73,19 @@
 	random func() string
 }
 
-// exited carries the exit code out of the parser, which ends the process for
+// exitPanic carries the exit code out of the parser, which ends the process for
 // --help and --version.
-type exited int
+type exitPanic int
 
 // Main runs one command line and returns the exit code.
 func Main(ctx context.Context, env Environment) (code int) {
 	defer func() {
-		switch left := recover().(type) {
+		switch recovered := recover().(type) {
 		case nil:
-		case exited:
-			code = int(left)
+		case exitPanic:
+			code = int(recovered)
 		default:
-			panic(left)
+			panic(recovered)
 		}
 	}()
 	env = env.withDefaults()
@@ -102,7 +102,7 @@
 		return exitUsage
 	}
 	err = parsed.Run(newApp(ctx, &cmds, env))
-	return report(env.Stderr, err)
+	return reportError(env.Stderr, err)
 }
 
 func (e Environment) withDefaults() Environment {
@@ -121,7 +121,7 @@
 		kong.Description(description),
 		kong.Vars{"version": env.Version},
 		kong.Writers(env.Stdout, env.Stderr),
-		kong.Exit(func(code int) { panic(exited(code)) }),
+		kong.Exit(func(code int) { panic(exitPanic(code)) }),
 	)
 }
 
@@ -129,23 +129,23 @@
 	return &app{
 		ctx: ctx,
 		client: &client{
-			base:  cmds.Server,
-			token: env.Getenv(tokenVariable),
-			http:  &http.Client{Timeout: requestTimeout},
-			sleep: env.Sleep,
-			id:    env.Random,
+			baseURL:    cmds.Server,
+			token:      env.Getenv(tokenVariable),
+			httpClient: &http.Client{Timeout: requestTimeout},
+			sleep:      env.Sleep,
+			newID:      env.Random,
 		},
 		out:    &output{w: env.Stdout, json: cmds.Output == "json"},
 		random: env.Random,
 	}
 }
 
-// report prints an error and returns its exit code.
-func report(w io.Writer, err error) int {
+// reportError prints an error and returns its exit code.
+func reportError(w io.Writer, err error) int {
 	if err == nil {
 		return exitOK
 	}
-	var coded coder
+	var coded exitCoder
 	if !errors.As(err, &coded) {
 		fmt.Fprintln(w, "figstile:", err)
 		return exitInternal
--- a/cmd/figstile/internal/cli/cli_test.go
+++ b/cmd/figstile/internal/cli/cli_test.go
@@ -29,23 +29,23 @@
 
 const operatorToken = "operator-token"
 
-// fleet is one router behind a connection that tests can break.
-type fleet struct {
+// testFleet is one router behind a connection that tests can break.
+type testFleet struct {
 	t     *testing.T
 	url   string
 	store *platform.Store
-	// loseAnswers drops so many answers after the router has worked.
-	loseAnswers atomic.Int32
-	ids         int
+	// answersToDrop drops so many answers after the router has worked.
+	answersToDrop atomic.Int32
+	idCount       int
 }
 
-func (f *fleet) Drain() {}
+func (f *testFleet) Drain() {}
 
-func (f *fleet) AdminPeers() []admin.Peer {
+func (f *testFleet) AdminPeers() []admin.Peer {
 	return []admin.Peer{{Router: "router-2", URL: "http://127.0.0.1:0"}}
 }
 
-func (f *fleet) Status() admin.RouterStatus {
+func (f *testFleet) Status() admin.RouterStatus {
 	return admin.RouterStatus{
 		Router: "router-1", DataCentre: "sala-laredo", Ready: true, Started: time.Unix(1_700_000_000, 0).UTC(),
 		Upstreams:  []admin.UpstreamStatus{{Upstream: "engine-1", Service: "drafts", DataCentre: "sala-laredo", Owner: "router-1", Running: 3, Slots: 8, Usable: true}},
@@ -54,18 +54,18 @@
 	}
 }
 
-func newFleet(t *testing.T) *fleet {
+func newTestFleet(t *testing.T) *testFleet {
 	t.Helper()
-	f := &fleet{t: t, store: platform.NewStore(platform.StoreOptions{})}
+	f := &testFleet{t: t, store: platform.NewStore(platform.StoreOptions{})}
 	source := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop()})
 	writer := settings.NewWriter(settings.WriterOptions{Store: f.store, Source: source, Log: zerolog.Nop()})
 	handler := admin.New(admin.Options{
 		Source: source, Writer: writer, Status: f, Drain: f, Peers: f, Log: zerolog.Nop(),
-		Client: &http.Client{Transport: cutOff{}},
+		Client: &http.Client{Transport: unreachableTransport{}},
 		Now:    func() time.Time { return time.Unix(1_700_000_000, 0) },
 	})
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if f.loseAnswers.Add(-1) >= 0 {
+		if f.answersToDrop.Add(-1) >= 0 {
 			handler.ServeHTTP(httptest.NewRecorder(), r)
 			panic(http.ErrAbortHandler)
 		}
@@ -88,20 +88,20 @@
 	return f
 }
 
-// cutOff is the way to routers on the other side of a network partition.
-type cutOff struct{}
+// unreachableTransport is the way to routers on the other side of a network partition.
+type unreachableTransport struct{}
 
-func (cutOff) RoundTrip(*http.Request) (*http.Response, error) {
+func (unreachableTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return nil, errors.New("no route")
 }
 
 // run executes a command line, which must exit with the code.
-func (f *fleet) run(code int, args ...string) (stdout, stderr string) {
+func (f *testFleet) run(code int, args ...string) (stdout, stderr string) {
 	f.t.Helper()
-	return f.runWith(operatorToken, code, args...)
+	return f.runWithToken(operatorToken, code, args...)
 }
 
-func (f *fleet) runWith(token string, code int, args ...string) (stdout, stderr string) {
+func (f *testFleet) runWithToken(token string, code int, args ...string) (stdout, stderr string) {
 	f.t.Helper()
 	var out, errs bytes.Buffer
 	got := cli.Main(context.Background(), cli.Environment{
@@ -109,8 +109,8 @@
 		Getenv: func(string) string { return token },
 		Stdout: &out, Stderr: &errs, Version: "test",
 		Random: func() string {
-			f.ids++
-			return fmt.Sprintf("id-%013d", f.ids)
+			f.idCount++
+			return fmt.Sprintf("id-%013d", f.idCount)
 		},
 		Sleep: func(context.Context, time.Duration) {},
 	})
@@ -118,7 +118,7 @@
 	return out.String(), errs.String()
 }
 
-func (f *fleet) weight() float64 {
+func (f *testFleet) firstWorkspaceWeight() float64 {
 	f.t.Helper()
 	stdout, _ := f.run(0, "workspace", "list", "--output=json")
 	var list admin.WorkspaceList
@@ -126,7 +126,7 @@
 	return list.Workspaces[0].Weight
 }
 
-func (f *fleet) file(content string) string {
+func (f *testFleet) writeObjectFile(content string) string {
 	f.t.Helper()
 	path := filepath.Join(f.t.TempDir(), "object.json")
 	require.NoError(f.t, os.WriteFile(path, []byte(content), 0o600))
@@ -134,7 +134,7 @@
 }
 
 func TestTables(t *testing.T) {
-	f := newFleet(t)
+	f := newTestFleet(t)
 	golden := goldie.New(t)
 	f.run(0, "team", "create", "reservas", "--share=3", "--service=drafts")
 	f.run(0, "workspace", "create", "escorts", "--team=reservas")
@@ -153,12 +153,12 @@
 }
 
 func TestExitCodes(t *testing.T) {
-	f := newFleet(t)
+	f := newTestFleet(t)
 	f.run(0, "--version")
 	f.run(2, "nonsense")
 	f.run(2, "config", "apply", "root", "/nonexistent")
-	f.runWith("", 2, "team", "list")
-	f.runWith("wrong", 3, "team", "list")
+	f.runWithToken("", 2, "team", "list")
+	f.runWithToken("wrong", 3, "team", "list")
 	f.run(3, "workspace", "set-weight", "none", "1")
 	_, stderr := f.run(3, "workspace", "set-weight", "guides", "0")
 	require.Contains(t, stderr, "workspaces[0].weight")
@@ -175,54 +175,54 @@
 // finds that out by itself; if the answers go on being lost it says so, and
 // how to repeat it safely.
 func TestLostAnswers(t *testing.T) {
-	f := newFleet(t)
-	f.loseAnswers.Store(2)
+	f := newTestFleet(t)
+	f.answersToDrop.Store(2)
 	stdout, _ := f.run(0, "workspace", "set-weight", "guides", "3", "--team=turismo")
 	require.Contains(t, stdout, "version 3")
-	f.loseAnswers.Store(3)
+	f.answersToDrop.Store(3)
 	_, stderr := f.run(6, "workspace", "set-weight", "guides", "4", "--team=turismo", "--change-id=0123456789abcdef")
 	require.Contains(t, stderr, "--change-id=0123456789abcdef")
 	f.run(0, "workspace", "set-weight", "guides", "4", "--team=turismo", "--change-id=0123456789abcdef")
-	require.InDelta(t, 4, f.weight(), 0)
+	require.InDelta(t, 4, f.firstWorkspaceWeight(), 0)
 	require.Equal(t, objectstore.Version(4), f.store.Version())
-	f.loseAnswers.Store(100) // the HTTP client repeats reads by itself
+	f.answersToDrop.Store(100) // the HTTP client repeats reads by itself
 	_, stderr = f.run(5, "team", "list")
 	require.Contains(t, stderr, "nothing was changed")
 }
 
 // An operator saves an object, edits it over lunch and applies it. Another
 // has changed it meanwhile; applying must not undo that.
-func TestApplyNoticesAnOldCopy(t *testing.T) {
-	f := newFleet(t)
+func TestApplyRejectsStaleFile(t *testing.T) {
+	f := newTestFleet(t)
 	saved, _ := f.run(0, "config", "get", "teams/turismo")
-	edited := f.file(strings.Replace(saved, `"weight": 2`, `"weight": 7`, 1))
+	edited := f.writeObjectFile(strings.Replace(saved, `"weight": 2`, `"weight": 7`, 1))
 	f.run(0, "config", "validate", "teams/turismo", edited)
 	stdout, _ := f.run(7, "config", "diff", "teams/turismo", edited)
 	require.Equal(t, "~ workspaces[guides].weight: 2 -> 7\n", stdout)
 	f.run(0, "workspace", "set-weight", "guides", "3")
 	_, stderr := f.run(4, "config", "apply", "teams/turismo", edited)
 	require.Contains(t, stderr, "set weight of workspace guides to 3")
-	require.InDelta(t, 3, f.weight(), 0)
+	require.InDelta(t, 3, f.firstWorkspaceWeight(), 0)
 
-	f.run(2, "config", "apply", "teams/turismo", f.file(`{"team": "turismo", "workspaces": []}`))
+	f.run(2, "config", "apply", "teams/turismo", f.writeObjectFile(`{"team": "turismo", "workspaces": []}`))
 	f.run(4, "config", "apply", "teams/turismo", edited, "--create")
 	f.run(0, "config", "apply", "teams/turismo", edited, "--force")
 	f.run(0, "config", "diff", "teams/turismo", edited)
-	require.InDelta(t, 7, f.weight(), 0)
+	require.InDelta(t, 7, f.firstWorkspaceWeight(), 0)
 }
 
-func TestTokensAreMadeHere(t *testing.T) {
-	f := newFleet(t)
+func TestTokensAreGeneratedLocally(t *testing.T) {
+	f := newTestFleet(t)
 	stdout, _ := f.run(0, "workspace", "add-token", "guides", "--output=json")
-	var made struct{ Token, Digest string }
-	require.NoError(t, json.Unmarshal([]byte(stdout), &made))
-	require.Equal(t, config.DigestOf(made.Token).String(), made.Digest)
+	var created struct{ Token, Digest string }
+	require.NoError(t, json.Unmarshal([]byte(stdout), &created))
+	require.Equal(t, config.DigestOf(created.Token).String(), created.Digest)
 	object, err := f.store.Get(t.Context(), config.TeamKey("turismo"))
 	require.NoError(t, err)
-	require.Contains(t, string(object.Value), made.Digest)
-	require.NotContains(t, string(object.Value), made.Token)
-	f.runWith(made.Token, 3, "team", "list")
-	f.run(0, "workspace", "remove-token", "guides", made.Digest)
+	require.Contains(t, string(object.Value), created.Digest)
+	require.NotContains(t, string(object.Value), created.Token)
+	f.runWithToken(created.Token, 3, "team", "list")
+	f.run(0, "workspace", "remove-token", "guides", created.Digest)
 	f.run(0, "workspace", "delete", "guides")
 	f.run(0, "team", "add-token", "turismo")
 	f.run(0, "team", "set-share", "turismo", "2")
--- a/cmd/figstile/internal/cli/client.go
+++ b/cmd/figstile/internal/cli/client.go
@@ -20,22 +20,22 @@
 
 // Bounds on one command.
 const (
-	// changeAttempts bounds how often a change is sent while its outcome is
+	// maxChangeAttempts bounds how often a change is sent while its outcome is
 	// open.
-	changeAttempts = 3
-	// changePause lets a router that restarts come back.
-	changePause = time.Second
-	// answerBytes is above the status of 730 routers.
-	answerBytes = 256 << 20
+	maxChangeAttempts = 3
+	// changeRetryDelay lets a router that restarts come back.
+	changeRetryDelay = time.Second
+	// maxAnswerBytes is above the status of 730 routers.
+	maxAnswerBytes = 256 << 20
 )
 
 // client talks to one router's administration API.
 type client struct {
-	base  string
-	token string
-	http  *http.Client
-	sleep func(ctx context.Context, d time.Duration)
-	id    func() string
+	baseURL    string
+	token      string
+	httpClient *http.Client
+	sleep      func(ctx context.Context, d time.Duration)
+	newID      func() string
 }
 
 // expectFlag is shared by commands that change one object.
@@ -76,7 +76,7 @@
 func (f expectFlag) newChange(method, path string, body any) *change {
 	c := newChange(method, path, body)
 	if f.Expect != nil {
-		c.expect(*f.Expect)
+		c.requireVersion(*f.Expect)
 	}
 	return c
 }
@@ -89,9 +89,9 @@
 	return c
 }
 
-// expect makes the change depend on a version; zero means that the object
+// requireVersion makes the change depend on a version; zero means that the object
 // must not exist.
-func (c *change) expect(version uint64) {
+func (c *change) requireVersion(version uint64) {
 	if version == 0 {
 		c.header.Set("If-None-Match", "*")
 		return
@@ -99,8 +99,8 @@
 	c.header.Set("If-Match", fmt.Sprintf(`"%d"`, version))
 }
 
-// pathOf joins escaped segments.
-func pathOf(segments ...string) string {
+// escapedPath joins escaped segments.
+func escapedPath(segments ...string) string {
 	escaped := make([]string, len(segments))
 	for i, s := range segments {
 		escaped[i] = url.PathEscape(s)
@@ -111,9 +111,9 @@
 // get reads a document.
 func (c *client) get(ctx context.Context, path string, into any) error {
 	err := c.send(ctx, &change{method: http.MethodGet, path: path}, into)
-	var lost *lostError
+	var lost *lostAnswerError
 	if errors.As(err, &lost) {
-		return &unavailableError{server: c.base, err: lost.err}
+		return &unavailableError{server: c.baseURL, err: lost.err}
 	}
 	return err
 }
@@ -127,36 +127,36 @@
 // settles it: a refusal of the second may be due to the first.
 func (c *client) apply(ctx context.Context, ch *change, into any) error {
 	if ch.id == "" {
-		ch.id = c.id()
+		ch.id = c.newID()
 	}
 	ch.header.Set(admin.HeaderChangeID, ch.id)
 	err := c.send(ctx, ch, into)
-	if !isLost(err) {
+	if !outcomeMayBeUnknown(err) {
 		return err
 	}
-	for attempt := 1; attempt < changeAttempts && ctx.Err() == nil; attempt++ {
-		c.sleep(ctx, changePause)
-		next := c.send(ctx, ch, into)
-		if next == nil {
+	for attempt := 1; attempt < maxChangeAttempts && ctx.Err() == nil; attempt++ {
+		c.sleep(ctx, changeRetryDelay)
+		retryErr := c.send(ctx, ch, into)
+		if retryErr == nil {
 			return nil
 		}
-		err = next
+		err = retryErr
 	}
-	return &unknownError{changeID: ch.id, repeatable: ch.repeatable, err: err}
+	return &unknownOutcomeError{changeID: ch.id, repeatable: ch.repeatable, err: err}
 }
 
-// lostError says that a request went out and no answer of a router came.
-type lostError struct {
+// lostAnswerError says that a request went out and no answer of a router came.
+type lostAnswerError struct {
 	err error
 }
 
-func (e *lostError) Error() string { return e.err.Error() }
+func (e *lostAnswerError) Error() string { return e.err.Error() }
 
-func (e *lostError) Unwrap() error { return e.err }
+func (e *lostAnswerError) Unwrap() error { return e.err }
 
-// isLost tells whether an error leaves open what a change did.
-func isLost(err error) bool {
-	var lost *lostError
+// outcomeMayBeUnknown tells whether an error leaves open what a change did.
+func outcomeMayBeUnknown(err error) bool {
+	var lost *lostAnswerError
 	if errors.As(err, &lost) {
 		return true
 	}
@@ -170,37 +170,37 @@
 	if err != nil {
 		return err
 	}
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	switch {
 	case neverSent(err):
-		return &unavailableError{server: c.base, err: err}
+		return &unavailableError{server: c.baseURL, err: err}
 	case err != nil:
-		return &lostError{err: err}
+		return &lostAnswerError{err: err}
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, answerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return &lostError{err: err}
+		return &lostAnswerError{err: err}
 	}
-	return decode(response, data, into)
+	return decodeAnswer(response, data, into)
 }
 
 // neverSent tells whether a request failed before it could go out.
 func neverSent(err error) bool {
-	var broken *net.OpError
-	if errors.As(err, &broken) && broken.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return true
 	}
-	var untrusted *tls.CertificateVerificationError
-	return errors.As(err, &untrusted)
+	var certErr *tls.CertificateVerificationError
+	return errors.As(err, &certErr)
 }
 
 func (c *client) request(ctx context.Context, ch *change) (*http.Request, error) {
-	body, err := encode(ch.body)
+	body, err := encodeBody(ch.body)
 	if err != nil {
 		return nil, usageError(err.Error())
 	}
-	target := strings.TrimSuffix(c.base, "/") + admin.Prefix + ch.path
+	target := strings.TrimSuffix(c.baseURL, "/") + admin.Prefix + ch.path
 	if len(ch.query) > 0 {
 		target += "?" + ch.query.Encode()
 	}
@@ -218,7 +218,7 @@
 	return request, nil
 }
 
-func encode(body any) (io.Reader, error) {
+func encodeBody(body any) (io.Reader, error) {
 	if body == nil {
 		return http.NoBody, nil
 	}
@@ -230,18 +230,18 @@
 	return bytes.NewReader(data), err
 }
 
-// decode reads an answer. One that is no router's, as from a balancer between,
+// decodeAnswer reads an answer. One that is no router's, as from a balancer between,
 // tells nothing of what a router did.
-func decode(response *http.Response, data []byte, into any) error {
+func decodeAnswer(response *http.Response, data []byte, into any) error {
 	if response.StatusCode < http.StatusMultipleChoices {
 		if err := json.Unmarshal(data, into); err != nil {
-			return &lostError{err: fmt.Errorf("the answer is not understood: %w", err)}
+			return &lostAnswerError{err: fmt.Errorf("the answer is not understood: %w", err)}
 		}
 		return nil
 	}
 	var p admin.Problem
 	if err := json.Unmarshal(data, &p); err != nil || p.Code == 0 {
-		return &lostError{err: fmt.Errorf("%s, which is no router's answer", response.Status)}
+		return &lostAnswerError{err: fmt.Errorf("%s, which is no router's answer", response.Status)}
 	}
 	return &problemError{Problem: p}
 }
--- a/cmd/figstile/internal/cli/config.go
+++ b/cmd/figstile/internal/cli/config.go
@@ -26,19 +26,19 @@
 
 // path returns the object's path below a resource of the API.
 func (k objectKey) path(resource string) string {
-	short := strings.TrimPrefix(string(k), config.Prefix)
-	return pathOf(append([]string{resource}, strings.Split(short, "/")...)...)
+	relativeKey := strings.TrimPrefix(string(k), config.Prefix)
+	return escapedPath(append([]string{resource}, strings.Split(relativeKey, "/")...)...)
 }
 
-func (a *app) object(key objectKey) (admin.ObjectDocument, error) {
+func (a *app) getObject(key objectKey) (admin.ObjectDocument, error) {
 	var doc admin.ObjectDocument
 	err := a.client.get(a.ctx, key.path("config"), &doc)
 	return doc, err
 }
 
-// objectOrNone returns a document of version zero if there is no object.
-func (a *app) objectOrNone(key objectKey) (admin.ObjectDocument, error) {
-	doc, err := a.object(key)
+// getObjectOrEmpty returns a document of version zero if there is no object.
+func (a *app) getObjectOrEmpty(key objectKey) (admin.ObjectDocument, error) {
+	doc, err := a.getObject(key)
 	var problem *problemError
 	if errors.As(err, &problem) && result.Code(problem.Code) == result.NotFound {
 		return admin.ObjectDocument{Key: string(key), Value: json.RawMessage("{}")}, nil
@@ -54,7 +54,7 @@
 	if c.Key == "" {
 		return listVersions(a)
 	}
-	doc, err := a.object(c.Key)
+	doc, err := a.getObject(c.Key)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 		return err
 	}
 	return a.out.show(list, func() {
-		a.out.table([]string{"OBJECT", "VERSION", "CHANGED BY", "AT", "CHANGE"}, versionRows(list.Objects))
+		a.out.printTable([]string{"OBJECT", "VERSION", "CHANGED BY", "AT", "CHANGE"}, versionRows(list.Objects))
 		for _, r := range list.Refused {
 			fmt.Fprintf(a.out.w, "refused: %s version %d: %s\n", r.Key, r.Version, r.Reason)
 		}
@@ -82,11 +82,11 @@
 func versionRows(objects []admin.ObjectVersion) [][]string {
 	var rows [][]string
 	for _, o := range objects {
-		by := config.Change{}
+		lastChange := config.Change{}
 		if o.Change != nil {
-			by = *o.Change
+			lastChange = *o.Change
 		}
-		rows = append(rows, cells(o.Key, o.Version, by.By, by.At, by.Summary))
+		rows = append(rows, formatRow(o.Key, o.Version, lastChange.By, lastChange.At, lastChange.Summary))
 	}
 	return rows
 }
@@ -97,16 +97,16 @@
 	File string    `arg:"" help:"File with the whole object; - reads the standard input."`
 }
 
-func (f fileArgs) read() ([]byte, error) {
+func (f fileArgs) readFile() ([]byte, error) {
 	if f.File == "-" {
 		data, err := io.ReadAll(io.LimitReader(os.Stdin, config.MaxObjectBytes+1))
-		return data, asUsage(err)
+		return data, asUsageError(err)
 	}
 	data, err := os.ReadFile(f.File)
-	return data, asUsage(err)
+	return data, asUsageError(err)
 }
 
-func asUsage(err error) error {
+func asUsageError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -121,58 +121,58 @@
 }
 
 func (c configApply) Run(a *app) error {
-	data, err := c.read()
+	data, err := c.readFile()
 	if err != nil {
 		return err
 	}
 	ch := c.newChange("PUT", c.Key.path("config"), data)
 	if c.Expect == nil {
-		version, err := c.base(a, data)
+		version, err := c.baseVersion(a, data)
 		if err != nil {
 			return err
 		}
-		ch.expect(version)
+		ch.requireVersion(version)
 	}
-	return a.change(ch)
+	return a.applyChange(ch)
 }
 
-// base finds the version that the file was made from. The file names it by
+// baseVersion finds the version that the file was made from. The file names it by
 // the change id it was read with; if another change is in force by now, the
 // operator has edited an old copy and would undo what others did since.
-func (c configApply) base(a *app, data []byte) (uint64, error) {
+func (c configApply) baseVersion(a *app, data []byte) (uint64, error) {
 	if c.Create {
 		return 0, nil
 	}
-	present, err := a.objectOrNone(c.Key)
+	current, err := a.getObjectOrEmpty(c.Key)
 	if err != nil || c.Force {
-		return present.Version, err
+		return current.Version, err
 	}
-	read := changeIDOf(data)
-	if read == "" {
+	fileChangeID := changeIDOf(data)
+	if fileChangeID == "" {
 		return 0, usageError("the file has no change_id, so the version it replaces is not known: give --expect, --create or --force")
 	}
-	changes, _ := config.HistoryOf(present.Key, present.Value)
-	_, repeated := config.FindChange(changes, c.ChangeID)
-	if read == changeIDOf(present.Value) || repeated {
-		return present.Version, nil
+	changes, _ := config.HistoryOf(current.Key, current.Value)
+	_, alreadyApplied := config.FindChange(changes, c.ChangeID)
+	if fileChangeID == changeIDOf(current.Value) || alreadyApplied {
+		return current.Version, nil
 	}
-	return 0, staleFile(present, read)
+	return 0, newStaleFileError(current, fileChangeID)
 }
 
 func changeIDOf(value []byte) string {
-	var carrier struct {
+	var object struct {
 		ChangeID string `json:"change_id"`
 	}
-	_ = json.Unmarshal(value, &carrier)
-	return carrier.ChangeID
+	_ = json.Unmarshal(value, &object)
+	return object.ChangeID
 }
 
-// staleFile is the conflict that the router would report if it knew what the
+// newStaleFileError is the conflict that the router would report if it knew what the
 // file was made from.
-func staleFile(present admin.ObjectDocument, read string) error {
-	changes, _ := config.HistoryOf(present.Key, present.Value)
-	expected, _ := config.VersionOf(changes, read, present.Version)
-	conflict := &admin.Conflict{Key: present.Key, Expected: expected, Version: present.Version}
+func newStaleFileError(current admin.ObjectDocument, fileChangeID string) error {
+	changes, _ := config.HistoryOf(current.Key, current.Value)
+	expected, _ := config.VersionOf(changes, fileChangeID, current.Version)
+	conflict := &admin.Conflict{Key: current.Key, Expected: expected, Version: current.Version}
 	if len(changes) > 0 {
 		conflict.Winner = &changes[len(changes)-1]
 	}
@@ -183,13 +183,13 @@
 	}}
 }
 
-// withPresent returns the file's content and the object in force, if any.
-func (f fileArgs) withPresent(a *app) (data []byte, present admin.ObjectDocument, err error) {
-	if data, err = f.read(); err != nil {
-		return nil, present, err
+// readWithCurrent returns the file's content and the object in force, if any.
+func (f fileArgs) readWithCurrent(a *app) (data []byte, current admin.ObjectDocument, err error) {
+	if data, err = f.readFile(); err != nil {
+		return nil, current, err
 	}
-	present, err = a.objectOrNone(f.Key)
-	return data, present, err
+	current, err = a.getObjectOrEmpty(f.Key)
+	return data, current, err
 }
 
 type configValidate struct {
@@ -197,14 +197,14 @@
 }
 
 func (c configValidate) Run(a *app) error {
-	data, present, err := c.withPresent(a)
+	data, current, err := c.readWithCurrent(a)
 	if err != nil {
 		return err
 	}
 	ch := newChange("PUT", c.Key.path("config"), data)
-	ch.expect(present.Version)
+	ch.requireVersion(current.Version)
 	ch.query.Set("dry_run", "true")
-	return a.change(ch)
+	return a.applyChange(ch)
 }
 
 type configHistory struct {
@@ -219,8 +219,8 @@
 	return a.out.show(doc, func() {
 		var rows [][]string
 		for _, record := range doc.Changes {
-			rows = append(rows, cells(record.Version, record.At, record.By, record.Summary, record.ID))
+			rows = append(rows, formatRow(record.Version, record.At, record.By, record.Summary, record.ID))
 		}
-		a.out.table([]string{"VERSION", "AT", "BY", "CHANGE", "ID"}, rows)
+		a.out.printTable([]string{"VERSION", "AT", "BY", "CHANGE", "ID"}, rows)
 	})
 }
--- a/cmd/figstile/internal/cli/dev.go
+++ b/cmd/figstile/internal/cli/dev.go
@@ -26,12 +26,12 @@
 const (
 	// defaultLogLevel is that of the flag.
 	defaultLogLevel = "warn"
-	// defaultTrial is the length of the load of dev --once: the engine that
+	// defaultTrialDuration is the length of the load of dev --once: the engine that
 	// leaves is away for six seconds of it.
-	defaultTrial = 8 * time.Second
-	// defaultWorkload lets the fairness bound tell: in a shorter run even a
+	defaultTrialDuration = 8 * time.Second
+	// defaultWorkloadDuration lets the fairness bound tell: in a shorter run even a
 	// fleet that serves one workspace only stays within it.
-	defaultWorkload = 30 * time.Second
+	defaultWorkloadDuration = 30 * time.Second
 	// startTimeout bounds the start of a fleet, which takes a second.
 	startTimeout = 30 * time.Second
 )
@@ -45,34 +45,34 @@
 
 func (d devCommand) Run(a *app) error {
 	if d.Platform {
-		return d.onPlatform(a)
+		return d.runOnPlatform(a)
 	}
 	sample, err := devfleet.SampleByName(d.Sample)
 	if err != nil {
 		return usageError(err.Error())
 	}
 	if d.Workload != "" {
-		return writeJSON(d.Workload, sample.Workload(d.length(defaultWorkload), d.Load))
+		return writeJSON(d.Workload, sample.Workload(d.loadDuration(defaultWorkloadDuration), d.Load))
 	}
-	fleet, err := d.start(a, sample)
+	fleet, err := d.startFleet(a, sample)
 	if err != nil {
 		return err
 	}
 	defer fleet.Stop()
-	if err := d.describe(fleet); err != nil {
+	if err := d.writeDescription(fleet); err != nil {
 		return err
 	}
 	if d.Once {
-		return d.once(a, sample, fleet)
+		return d.runTrial(a, sample, fleet)
 	}
 	if err := fleet.WriteAddresses(a.out.w); err != nil {
 		return err
 	}
-	d.wait(a.ctx)
+	d.waitForEnd(a.ctx)
 	return nil
 }
 
-func (d devCommand) start(a *app, sample devfleet.Sample) (*devfleet.Fleet, error) {
+func (d devCommand) startFleet(a *app, sample devfleet.Sample) (*devfleet.Fleet, error) {
 	ctx, cancel := context.WithTimeout(a.ctx, startTimeout)
 	defer cancel()
 	return devfleet.Start(ctx, devfleet.Options{
@@ -82,31 +82,31 @@
 	})
 }
 
-func (d devCommand) describe(fleet *devfleet.Fleet) error {
+func (d devCommand) writeDescription(fleet *devfleet.Fleet) error {
 	if d.Describe == "" {
 		return nil
 	}
 	return writeJSON(d.Describe, fleet.Describe())
 }
 
-// length is how long a load lasts.
-func (d devCommand) length(usual time.Duration) time.Duration {
+// loadDuration is how long a load lasts.
+func (d devCommand) loadDuration(fallback time.Duration) time.Duration {
 	if d.Duration > 0 {
 		return d.Duration
 	}
-	return usual
+	return fallback
 }
 
-func (d devCommand) once(a *app, sample devfleet.Sample, fleet *devfleet.Fleet) error {
-	trial, err := fleet.Try(a.ctx, sample.Workload(d.length(defaultTrial), d.Load))
+func (d devCommand) runTrial(a *app, sample devfleet.Sample, fleet *devfleet.Fleet) error {
+	trial, err := fleet.Try(a.ctx, sample.Workload(d.loadDuration(defaultTrialDuration), d.Load))
 	if err != nil {
 		return err
 	}
 	return showTrial(a, trial)
 }
 
-// onPlatform starts routers on stand-ins of the users' platform.
-func (d devCommand) onPlatform(a *app) (err error) {
+// runOnPlatform starts routers on stand-ins of the users' platform.
+func (d devCommand) runOnPlatform(a *app) (err error) {
 	ctx, cancel := context.WithTimeout(a.ctx, startTimeout)
 	defer cancel()
 	level := d.LogLevel
@@ -119,18 +119,18 @@
 		return err
 	}
 	defer func() {
-		if stopped := fleet.Stop(); err == nil {
-			err = stopped
+		if stopErr := fleet.Stop(); err == nil {
+			err = stopErr
 		}
 	}()
 	if !d.Once {
 		if err := fleet.WriteAddresses(a.out.w); err != nil {
 			return err
 		}
-		d.wait(a.ctx)
+		d.waitForEnd(a.ctx)
 		return nil
 	}
-	trial, err := fleet.Try(a.ctx, d.length(defaultTrial))
+	trial, err := fleet.Try(a.ctx, d.loadDuration(defaultTrialDuration))
 	if err != nil {
 		return err
 	}
@@ -155,8 +155,8 @@
 	return writeErr
 }
 
-// wait ends with the command or after the given time.
-func (d devCommand) wait(ctx context.Context) {
+// waitForEnd ends with the command or after the given time.
+func (d devCommand) waitForEnd(ctx context.Context) {
 	if d.Duration > 0 {
 		limited, cancel := context.WithTimeout(ctx, d.Duration)
 		defer cancel()
--- a/cmd/figstile/internal/cli/diff.go
+++ b/cmd/figstile/internal/cli/diff.go
@@ -12,22 +12,22 @@
 }
 
 func (c configDiff) Run(a *app) error {
-	data, present, err := c.withPresent(a)
+	data, current, err := c.readWithCurrent(a)
 	if err != nil {
 		return err
 	}
-	before, _ := flatten(present.Value)
+	before, _ := flatten(current.Value)
 	after, err := flatten(data)
 	if err != nil {
 		return usageError(fmt.Sprintf("%s: %v", c.File, err))
 	}
-	found := compare(before, after)
-	err = a.out.show(found, func() {
-		for _, d := range found {
+	differences := diffValues(before, after)
+	err = a.out.show(differences, func() {
+		for _, d := range differences {
 			fmt.Fprintln(a.out.w, d)
 		}
 	})
-	if err != nil || len(found) == 0 {
+	if err != nil || len(differences) == 0 {
 		return err
 	}
 	return differsError{}
@@ -106,17 +106,17 @@
 	return fmt.Sprint(i)
 }
 
-func compare(before, after map[string]string) []difference {
-	all := maps.Clone(before)
-	if all == nil {
-		all = make(map[string]string)
+func diffValues(before, after map[string]string) []difference {
+	paths := maps.Clone(before)
+	if paths == nil {
+		paths = make(map[string]string)
 	}
-	maps.Copy(all, after)
-	found := make([]difference, 0)
-	for _, path := range slices.Sorted(maps.Keys(all)) {
+	maps.Copy(paths, after)
+	differences := make([]difference, 0)
+	for _, path := range slices.Sorted(maps.Keys(paths)) {
 		if before[path] != after[path] {
-			found = append(found, difference{Path: path, Before: before[path], After: after[path]})
+			differences = append(differences, difference{Path: path, Before: before[path], After: after[path]})
 		}
 	}
-	return found
+	return differences
 }
--- a/cmd/figstile/internal/cli/exit.go
+++ b/cmd/figstile/internal/cli/exit.go
@@ -24,8 +24,8 @@
 	exitDiffers     = 7
 )
 
-// coder is an error with an exit code of its own.
-type coder interface {
+// exitCoder is an error with an exit code of its own.
+type exitCoder interface {
 	error
 	exitCode() int
 }
@@ -60,15 +60,15 @@
 
 func (e *unavailableError) exitCode() int { return exitUnavailable }
 
-// unknownError says that a change was sent and that its outcome could not be
+// unknownOutcomeError says that a change was sent and that its outcome could not be
 // found out.
-type unknownError struct {
+type unknownOutcomeError struct {
 	changeID   string
 	repeatable bool
 	err        error
 }
 
-func (e *unknownError) Error() string {
+func (e *unknownOutcomeError) Error() string {
 	text := fmt.Sprintf("the change may or may not be in force: %v\n"+
 		"  figstile config history shows whether change %s is", e.err, e.changeID)
 	if e.repeatable {
@@ -77,9 +77,9 @@
 	return text
 }
 
-func (e *unknownError) Unwrap() error { return e.err }
+func (e *unknownOutcomeError) Unwrap() error { return e.err }
 
-func (e *unknownError) exitCode() int { return exitUnknown }
+func (e *unknownOutcomeError) exitCode() int { return exitUnknown }
 
 // problemError is a router's refusal.
 type problemError struct {
@@ -111,7 +111,7 @@
 		writeFaults(&b, e.Faults)
 	}
 	if e.Conflict != nil {
-		b.WriteString(winner(e.Conflict))
+		b.WriteString(describeWinner(e.Conflict))
 	}
 	return b.String()
 }
@@ -122,8 +122,8 @@
 	}
 }
 
-// winner describes what the loser of a race lost to.
-func winner(c *admin.Conflict) string {
+// describeWinner describes what the loser of a race lost to.
+func describeWinner(c *admin.Conflict) string {
 	text := fmt.Sprintf("\n  in force: %s version %d (expected %d)", c.Key, c.Version, c.Expected)
 	if c.Winner == nil {
 		return text
@@ -132,8 +132,8 @@
 		c.Winner.By, c.Winner.At.Format(time.RFC3339), c.Winner.Summary, c.Winner.ID)
 }
 
-// isUnknown tells whether an error leaves open what a change did.
-func isUnknown(err error) bool {
-	var unknown *unknownError
+// isUnknownOutcome tells whether an error leaves open what a change did.
+func isUnknownOutcome(err error) bool {
+	var unknown *unknownOutcomeError
 	return errors.As(err, &unknown)
 }
--- a/cmd/figstile/internal/cli/explain.go
+++ b/cmd/figstile/internal/cli/explain.go
@@ -24,9 +24,9 @@
 		defer file.Close()
 		logs[name] = file
 	}
-	story, err := logstory.Collect(c.ID, logs)
+	timeline, err := logstory.Collect(c.ID, logs)
 	if err != nil {
 		return err
 	}
-	return story.Write(a.out.w)
+	return timeline.Write(a.out.w)
 }
--- a/cmd/figstile/internal/cli/load_test.go
+++ b/cmd/figstile/internal/cli/load_test.go
@@ -11,8 +11,8 @@
 	"github.com/figstile/figstile/loadgen"
 )
 
-// runLocal runs a command that needs no router.
-func runLocal(t *testing.T, args ...string) (code int, stderr string) {
+// runWithoutRouter runs a command that needs no router.
+func runWithoutRouter(t *testing.T, args ...string) (code int, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
 	code = Main(t.Context(), Environment{Args: args, Getenv: func(string) string { return "" }, Stdout: &out, Stderr: &errs})
@@ -21,7 +21,7 @@
 
 func TestDevWritesWorkloadThatLoadReads(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "workload.json")
-	code, stderr := runLocal(t, "dev", "--sample", "aravena", "--load", "flood", "--duration", "3s", "--workload", file)
+	code, stderr := runWithoutRouter(t, "dev", "--sample", "aravena", "--load", "flood", "--duration", "3s", "--workload", file)
 	require.Zero(t, code, stderr)
 	data, err := os.ReadFile(file)
 	require.NoError(t, err)
@@ -32,18 +32,18 @@
 	require.Len(t, w.Workspaces, 16)
 }
 
-func TestLoadRefusesFaultyFlags(t *testing.T) {
+func TestLoadRejectsInvalidFlags(t *testing.T) {
 	workload := filepath.Join("..", "..", "..", "..", "docs", "workloads", "aravena-idle.json")
 	for want, args := range map[string][]string{
 		"is not SERVICE=URL": {"--upstreams", "http://127.0.0.1:1"},
 		"--admin names 1":    {"--admin", "http://127.0.0.1:1"},
 		"no such file":       {"--fleet", "missing.json"},
 	} {
-		code, stderr := runLocal(t, append([]string{"load", "--workload", workload}, args...)...)
+		code, stderr := runWithoutRouter(t, append([]string{"load", "--workload", workload}, args...)...)
 		require.Equal(t, exitUsage, code, stderr)
 		require.Contains(t, stderr, want)
 	}
-	code, stderr := runLocal(t, "dev", "--sample", "santander")
+	code, stderr := runWithoutRouter(t, "dev", "--sample", "santander")
 	require.Equal(t, exitUsage, code)
 	require.Contains(t, stderr, "cantabria")
 }
--- a/cmd/figstile/internal/cli/output.go
+++ b/cmd/figstile/internal/cli/output.go
@@ -18,9 +18,9 @@
 }
 
 // show prints v as JSON, or else calls table.
-func (o *output) show(v any, table func()) error {
+func (o *output) show(v any, writeText func()) error {
 	if !o.json {
-		table()
+		writeText()
 		return nil
 	}
 	encoder := json.NewEncoder(o.w)
@@ -28,8 +28,8 @@
 	return encoder.Encode(v)
 }
 
-// table prints rows in columns.
-func (o *output) table(header []string, rows [][]string) {
+// printTable prints rows in columns.
+func (o *output) printTable(header []string, rows [][]string) {
 	tw := tabwriter.NewWriter(o.w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, strings.Join(header, "\t"))
 	for _, row := range rows {
@@ -38,12 +38,12 @@
 	_ = tw.Flush()
 }
 
-// written prints what a change did.
-func (o *output) written(done admin.WriteResult) error {
-	return o.show(done, func() { fmt.Fprintln(o.w, writtenLine(done)) })
+// printWriteResult prints what a change did.
+func (o *output) printWriteResult(done admin.WriteResult) error {
+	return o.show(done, func() { fmt.Fprintln(o.w, writeResultLine(done)) })
 }
 
-func writtenLine(done admin.WriteResult) string {
+func writeResultLine(done admin.WriteResult) string {
 	switch {
 	case done.DryRun:
 		return fmt.Sprintf("%s: valid", done.Key)
@@ -54,9 +54,9 @@
 	}
 }
 
-// cell renders a value for a table; empty ones become a dash, so that columns
+// formatCell renders a value for a table; empty ones become a dash, so that columns
 // stay apart.
-func cell(v any) string {
+func formatCell(v any) string {
 	var text string
 	switch v := v.(type) {
 	case time.Time:
@@ -74,8 +74,8 @@
 	return text
 }
 
-// list renders names for one cell.
-func list[T ~string](names []T) string {
+// joinNames renders names for one cell.
+func joinNames[T ~string](names []T) string {
 	texts := make([]string, len(names))
 	for i, name := range names {
 		texts[i] = string(name)
@@ -83,11 +83,11 @@
 	return strings.Join(texts, ",")
 }
 
-// cells renders a row.
-func cells(values ...any) []string {
+// formatRow renders a row.
+func formatRow(values ...any) []string {
 	row := make([]string, len(values))
 	for i, v := range values {
-		row[i] = cell(v)
+		row[i] = formatCell(v)
 	}
 	return row
 }
--- a/cmd/figstile/internal/cli/replay.go
+++ b/cmd/figstile/internal/cli/replay.go
@@ -7,15 +7,15 @@
 	"github.com/figstile/figstile/replay"
 )
 
-// errReplay is returned once the report has been printed.
-var errReplay = errors.New("replay: a trace or an outcome failed")
+// errReplayFailed is returned once the report has been printed.
+var errReplayFailed = errors.New("replay: a trace or an outcome failed")
 
 type replayCommand struct {
 	Dir string `arg:"" help:"Directory of recorded traces." type:"existingdir"`
 }
 
 func (c replayCommand) Run(a *app) error {
-	report, err := replay.Dir(c.Dir)
+	report, err := replay.CheckDir(c.Dir)
 	if err != nil {
 		return err
 	}
@@ -23,7 +23,7 @@
 		return err
 	}
 	if report.Failed > 0 {
-		return errReplay
+		return errReplayFailed
 	}
 	return nil
 }
--- a/cmd/figstile/internal/cli/status.go
+++ b/cmd/figstile/internal/cli/status.go
@@ -17,43 +17,43 @@
 	if err := a.client.get(a.ctx, "/fleet", &fleet); err != nil {
 		return err
 	}
-	return a.out.show(fleet, func() { a.out.fleet(fleet) })
+	return a.out.show(fleet, func() { a.out.printFleet(fleet) })
 }
 
-// fleet prints one table for each question an operator has.
-func (o *output) fleet(fleet admin.FleetStatus) {
-	newest := newestVersions(fleet)
-	o.table([]string{"ROUTER", "DATA CENTRE", "READY", "DRAINING", "SETTINGS", "SINCE"}, routerRows(fleet, newest))
-	o.section([]string{"OBJECT", "VERSION", "ROUTERS", "CHANGED BY", "AT"}, objectRows(fleet, newest))
-	o.section([]string{"UPSTREAM", "SERVICE", "DATA CENTRE", "OWNER", "RUNNING", "SLOTS", "USABLE", "DRAINING"}, upstreamRows(fleet))
-	o.section([]string{"SERVICE", "WORKSPACE", "WAITING", "RUNNING", "SERVED"}, workspaceRows(fleet))
-	o.section([]string{"SERVICE", "FAIRNESS GAP"}, gapRows(fleet))
+// printFleet prints one table for each question an operator has.
+func (o *output) printFleet(printFleet admin.FleetStatus) {
+	newest := newestVersions(printFleet)
+	o.printTable([]string{"ROUTER", "DATA CENTRE", "READY", "DRAINING", "SETTINGS", "SINCE"}, routerRows(printFleet, newest))
+	o.printSection([]string{"OBJECT", "VERSION", "ROUTERS", "CHANGED BY", "AT"}, objectRows(printFleet, newest))
+	o.printSection([]string{"UPSTREAM", "SERVICE", "DATA CENTRE", "OWNER", "RUNNING", "SLOTS", "USABLE", "DRAINING"}, upstreamRows(printFleet))
+	o.printSection([]string{"SERVICE", "WORKSPACE", "WAITING", "RUNNING", "SERVED"}, workspaceRows(printFleet))
+	o.printSection([]string{"SERVICE", "FAIRNESS GAP"}, gapRows(printFleet))
 }
 
-// section prints a table after an empty line, unless it has no rows.
-func (o *output) section(header []string, rows [][]string) {
+// printSection prints a table after an empty line, unless it has no rows.
+func (o *output) printSection(header []string, rows [][]string) {
 	if len(rows) == 0 {
 		return
 	}
 	fmt.Fprintln(o.w)
-	o.table(header, rows)
+	o.printTable(header, rows)
 }
 
-// answered returns the status of the routers that answered.
-func answered(fleet admin.FleetStatus) []*admin.RouterStatus {
-	var found []*admin.RouterStatus
+// receivedStatuses returns the status of the routers that answered.
+func receivedStatuses(fleet admin.FleetStatus) []*admin.RouterStatus {
+	var statuses []*admin.RouterStatus
 	for _, r := range fleet.Routers {
 		if r.Status != nil {
-			found = append(found, r.Status)
+			statuses = append(statuses, r.Status)
 		}
 	}
-	return found
+	return statuses
 }
 
 // newestVersions returns the newest version of each object in the fleet.
 func newestVersions(fleet admin.FleetStatus) map[string]admin.ObjectVersion {
 	newest := make(map[string]admin.ObjectVersion)
-	for _, s := range answered(fleet) {
+	for _, s := range receivedStatuses(fleet) {
 		for _, o := range s.Config {
 			if o.Version > newest[o.Key].Version {
 				newest[o.Key] = o
@@ -68,27 +68,27 @@
 	var rows [][]string
 	for _, r := range fleet.Routers {
 		if r.Status == nil {
-			rows = append(rows, cells(r.Router, "", "no answer", "", r.Error, ""))
+			rows = append(rows, formatRow(r.Router, "", "no answer", "", r.Error, ""))
 			continue
 		}
 		s := r.Status
-		rows = append(rows, cells(r.Router, s.DataCentre, s.Ready, s.Draining, settingsState(s, newest), s.Started))
+		rows = append(rows, formatRow(r.Router, s.DataCentre, s.Ready, s.Draining, settingsState(s, newest), s.Started))
 	}
 	return rows
 }
 
 func settingsState(s *admin.RouterStatus, newest map[string]admin.ObjectVersion) string {
-	behind := len(newest)
+	outdated := len(newest)
 	for _, o := range s.Config {
 		if o.Version == newest[o.Key].Version {
-			behind--
+			outdated--
 		}
 	}
 	switch {
 	case len(s.Refused) > 0:
 		return fmt.Sprintf("%d refused", len(s.Refused))
-	case behind > 0:
-		return fmt.Sprintf("%d behind", behind)
+	case outdated > 0:
+		return fmt.Sprintf("%d behind", outdated)
 	default:
 		return "newest"
 	}
@@ -96,21 +96,21 @@
 
 // objectRows say how many routers have the newest version of each object.
 func objectRows(fleet admin.FleetStatus, newest map[string]admin.ObjectVersion) [][]string {
-	holders := make(map[string]int)
-	routers := answered(fleet)
+	upToDate := make(map[string]int)
+	routers := receivedStatuses(fleet)
 	for _, s := range routers {
 		for _, o := range s.Config {
 			if o.Version == newest[o.Key].Version {
-				holders[o.Key]++
+				upToDate[o.Key]++
 			}
 		}
 	}
 	var rows [][]string
 	for _, key := range slices.Sorted(maps.Keys(newest)) {
 		o := newest[key]
-		row := cells(key, o.Version, fmt.Sprintf("%d of %d", holders[key], len(routers)), "", "")
+		row := formatRow(key, o.Version, fmt.Sprintf("%d of %d", upToDate[key], len(routers)), "", "")
 		if o.Change != nil {
-			row[3], row[4] = cell(o.Change.By), cell(o.Change.At)
+			row[3], row[4] = formatCell(o.Change.By), formatCell(o.Change.At)
 		}
 		rows = append(rows, row)
 	}
@@ -122,7 +122,7 @@
 func upstreamRows(fleet admin.FleetStatus) [][]string {
 	running := make(map[state.Upstream]int)
 	views := make(map[state.Upstream]admin.UpstreamStatus)
-	for _, s := range answered(fleet) {
+	for _, s := range receivedStatuses(fleet) {
 		for _, u := range s.Upstreams {
 			running[u.Upstream] += u.Running
 			if _, known := views[u.Upstream]; !known || u.Owner == s.Router {
@@ -133,7 +133,7 @@
 	var rows [][]string
 	for _, name := range slices.Sorted(maps.Keys(views)) {
 		u := views[name]
-		rows = append(rows, cells(name, u.Service, u.DataCentre, u.Owner, running[name], u.Slots, u.Usable, u.Draining))
+		rows = append(rows, formatRow(name, u.Service, u.DataCentre, u.Owner, running[name], u.Slots, u.Usable, u.Draining))
 	}
 	return rows
 }
@@ -145,7 +145,7 @@
 		workspace state.Workspace
 	}
 	sums := make(map[pair]admin.WorkspaceStatus)
-	for _, s := range answered(fleet) {
+	for _, s := range receivedStatuses(fleet) {
 		for _, w := range s.Workspaces {
 			sum := sums[pair{w.Service, w.Workspace}]
 			sum.Waiting += w.Waiting
@@ -160,7 +160,7 @@
 	var rows [][]string
 	for _, key := range keys {
 		sum := sums[key]
-		rows = append(rows, cells(key.service, key.workspace, sum.Waiting, sum.Running, units(sum.Served)))
+		rows = append(rows, formatRow(key.service, key.workspace, sum.Waiting, sum.Running, formatUnits(sum.Served)))
 	}
 	return rows
 }
@@ -168,19 +168,19 @@
 // gapRows show the widest gap that any router sees.
 func gapRows(fleet admin.FleetStatus) [][]string {
 	gaps := make(map[state.Service]state.Cost)
-	for _, s := range answered(fleet) {
+	for _, s := range receivedStatuses(fleet) {
 		for _, service := range s.Services {
 			gaps[service.Service] = max(gaps[service.Service], service.Gap)
 		}
 	}
 	var rows [][]string
 	for _, name := range slices.Sorted(maps.Keys(gaps)) {
-		rows = append(rows, cells(name, units(gaps[name])))
+		rows = append(rows, formatRow(name, formatUnits(gaps[name])))
 	}
 	return rows
 }
 
-// units renders a cost in whole units.
-func units(c state.Cost) string {
+// formatUnits renders a cost in whole units.
+func formatUnits(c state.Cost) string {
 	return fmt.Sprintf("%.1f", float64(c)/float64(state.CostUnit))
 }
--- a/cmd/figstile/internal/cli/team.go
+++ b/cmd/figstile/internal/cli/team.go
@@ -24,9 +24,9 @@
 	return a.out.show(teams, func() {
 		var rows [][]string
 		for _, t := range teams.Teams {
-			rows = append(rows, cells(t.Name, t.Share, t.Workspaces, t.Tokens, list(t.Services)))
+			rows = append(rows, formatRow(t.Name, t.Share, t.Workspaces, t.Tokens, joinNames(t.Services)))
 		}
-		a.out.table([]string{"TEAM", "SHARE", "WORKSPACES", "TOKENS", "SERVICES"}, rows)
+		a.out.printTable([]string{"TEAM", "SHARE", "WORKSPACES", "TOKENS", "SERVICES"}, rows)
 	})
 }
 
@@ -42,7 +42,7 @@
 	for _, s := range t.Service {
 		body.Services = append(body.Services, state.Service(s))
 	}
-	return a.change(t.newChange("POST", "/teams", body))
+	return a.applyChange(t.newChange("POST", "/teams", body))
 }
 
 type teamSetShare struct {
@@ -52,7 +52,7 @@
 }
 
 func (t teamSetShare) Run(a *app) error {
-	return a.change(t.newChange("PUT", pathOf("teams", t.Name, "share"), admin.SetShare{Share: t.Share}))
+	return a.applyChange(t.newChange("PUT", escapedPath("teams", t.Name, "share"), admin.SetShare{Share: t.Share}))
 }
 
 type teamAddToken struct {
@@ -61,7 +61,7 @@
 }
 
 func (t teamAddToken) Run(a *app) error {
-	return a.addToken(t.expectFlag, pathOf("teams", t.Name, "tokens"))
+	return a.addToken(t.expectFlag, escapedPath("teams", t.Name, "tokens"))
 }
 
 type teamRemoveToken struct {
@@ -71,7 +71,7 @@
 }
 
 func (t teamRemoveToken) Run(a *app) error {
-	return a.change(t.newChange("DELETE", pathOf("teams", t.Name, "tokens", t.Digest), nil))
+	return a.applyChange(t.newChange("DELETE", escapedPath("teams", t.Name, "tokens", t.Digest), nil))
 }
 
 type teamDelete struct {
@@ -81,18 +81,18 @@
 }
 
 func (t teamDelete) Run(a *app) error {
-	c := changeFlags{idFlag: t.idFlag}.newChange("DELETE", pathOf("teams", t.Name), nil)
+	c := changeFlags{idFlag: t.idFlag}.newChange("DELETE", escapedPath("teams", t.Name), nil)
 	if t.Force {
 		c.query.Set("force", "true")
 	}
-	return a.change(c)
+	return a.applyChange(c)
 }
 
-// change applies c and prints what it did.
-func (a *app) change(c *change) error {
+// applyChange applies c and prints what it did.
+func (a *app) applyChange(c *change) error {
 	var done admin.WriteResult
 	if err := a.client.apply(a.ctx, c, &done); err != nil {
 		return err
 	}
-	return a.out.written(done)
+	return a.out.printWriteResult(done)
 }
--- a/cmd/figstile/internal/cli/token.go
+++ b/cmd/figstile/internal/cli/token.go
@@ -10,8 +10,8 @@
 // tokenPrefix lets scanners for leaked secrets recognise a token.
 const tokenPrefix = "figstile_"
 
-// newToken is what adding a token prints: the only time it is shown.
-type newToken struct {
+// createdToken is what adding a token prints: the only time it is shown.
+type createdToken struct {
 	admin.WriteResult
 	Token  string `json:"token"`
 	Digest string `json:"digest"`
@@ -24,13 +24,13 @@
 	digest := config.DigestOf(token).String()
 	var done admin.WriteResult
 	err := a.client.apply(a.ctx, flags.newChange("POST", path, admin.AddToken{Digest: digest}), &done)
-	if err != nil && !isUnknown(err) {
+	if err != nil && !isUnknownOutcome(err) {
 		return err
 	}
-	shown := newToken{WriteResult: done, Token: token, Digest: digest}
-	showErr := a.out.show(shown, func() {
+	created := createdToken{WriteResult: done, Token: token, Digest: digest}
+	showErr := a.out.show(created, func() {
 		if err == nil {
-			fmt.Fprintln(a.out.w, writtenLine(done))
+			fmt.Fprintln(a.out.w, writeResultLine(done))
 		}
 		fmt.Fprintf(a.out.w, "token:  %s\ndigest: %s\n", token, digest)
 	})
--- a/cmd/figstile/internal/cli/upstream.go
+++ b/cmd/figstile/internal/cli/upstream.go
@@ -18,14 +18,14 @@
 	return a.out.show(list, func() {
 		var rows [][]string
 		for _, u := range list.Upstreams {
-			rows = append(rows, cells(u.Name, u.Service, u.DataCentre, u.URL, slots(u.Slots), u.Draining))
+			rows = append(rows, formatRow(u.Name, u.Service, u.DataCentre, u.URL, formatSlots(u.Slots), u.Draining))
 		}
-		a.out.table([]string{"UPSTREAM", "SERVICE", "DATA CENTRE", "URL", "SLOTS", "DRAINING"}, rows)
+		a.out.printTable([]string{"UPSTREAM", "SERVICE", "DATA CENTRE", "URL", "SLOTS", "DRAINING"}, rows)
 	})
 }
 
-// slots renders a configured bound; without one the load report's holds.
-func slots(n int) any {
+// formatSlots renders a configured bound; without one the load report's holds.
+func formatSlots(n int) any {
 	if n == 0 {
 		return "reported"
 	}
@@ -38,7 +38,7 @@
 }
 
 func (u upstreamDrain) Run(a *app) error {
-	return a.change(u.newChange("POST", pathOf("upstreams", u.Name, "drain"), nil))
+	return a.applyChange(u.newChange("POST", escapedPath("upstreams", u.Name, "drain"), nil))
 }
 
 type upstreamResume struct {
@@ -47,5 +47,5 @@
 }
 
 func (u upstreamResume) Run(a *app) error {
-	return a.change(u.newChange("POST", pathOf("upstreams", u.Name, "resume"), nil))
+	return a.applyChange(u.newChange("POST", escapedPath("upstreams", u.Name, "resume"), nil))
 }
--- a/cmd/figstile/internal/cli/workspace.go
+++ b/cmd/figstile/internal/cli/workspace.go
@@ -42,13 +42,13 @@
 	return a.out.show(shown, func() {
 		var rows [][]string
 		for _, doc := range shown.Workspaces {
-			rows = append(rows, cells(doc.Name, doc.Team, doc.Weight, percent(doc.Share), len(doc.Tokens), list(doc.Services), list(doc.Models)))
+			rows = append(rows, formatRow(doc.Name, doc.Team, doc.Weight, formatPercent(doc.Share), len(doc.Tokens), joinNames(doc.Services), joinNames(doc.Models)))
 		}
-		a.out.table([]string{"WORKSPACE", "TEAM", "WEIGHT", "PART", "TOKENS", "SERVICES", "MODELS"}, rows)
+		a.out.printTable([]string{"WORKSPACE", "TEAM", "WEIGHT", "PART", "TOKENS", "SERVICES", "MODELS"}, rows)
 	})
 }
 
-func percent(part float64) string {
+func formatPercent(part float64) string {
 	return fmt.Sprintf("%.2f%%", 100*part)
 }
 
@@ -69,17 +69,17 @@
 	for _, m := range w.Model {
 		body.Models = append(body.Models, state.Model(m))
 	}
-	return a.change(w.newChange("POST", pathOf("teams", w.Team, "workspaces"), body))
+	return a.applyChange(w.newChange("POST", escapedPath("teams", w.Team, "workspaces"), body))
 }
 
-// existing names a workspace and finds its team.
-type existing struct {
+// existingWorkspace names a workspace and finds its team.
+type existingWorkspace struct {
 	Name string `arg:"" help:"Name of the workspace."`
 	Team string `help:"Its team; by default the one that it has on the asked router."`
 }
 
 // path returns the workspace's path followed by further segments.
-func (e existing) path(a *app, further ...string) (string, error) {
+func (e existingWorkspace) path(a *app, further ...string) (string, error) {
 	team := e.Team
 	if team == "" {
 		found, err := a.teamOf(e.Name)
@@ -88,7 +88,7 @@
 		}
 		team = found
 	}
-	return pathOf(append([]string{"teams", team, "workspaces", e.Name}, further...)...), nil
+	return escapedPath(append([]string{"teams", team, "workspaces", e.Name}, further...)...), nil
 }
 
 func (a *app) teamOf(workspace string) (string, error) {
@@ -101,21 +101,21 @@
 			return string(doc.Team), nil
 		}
 	}
-	return "", notKnownError(workspace)
+	return "", unknownWorkspaceError(workspace)
 }
 
-// notKnownError names a workspace that the asked router does not show.
-type notKnownError string
+// unknownWorkspaceError names a workspace that the asked router does not show.
+type unknownWorkspaceError string
 
-func (e notKnownError) Error() string {
+func (e unknownWorkspaceError) Error() string {
 	return fmt.Sprintf("the router knows no workspace %s; if it is new, give --team", string(e))
 }
 
-func (e notKnownError) exitCode() int { return exitRefused }
+func (e unknownWorkspaceError) exitCode() int { return exitRefused }
 
 type workspaceSetWeight struct {
 	changeFlags
-	existing
+	existingWorkspace
 	Weight float64 `arg:"" help:"The new weight."`
 }
 
@@ -124,12 +124,12 @@
 	if err != nil {
 		return err
 	}
-	return a.change(w.newChange("PUT", path, admin.SetWeight{Weight: w.Weight}))
+	return a.applyChange(w.newChange("PUT", path, admin.SetWeight{Weight: w.Weight}))
 }
 
 type workspaceAddToken struct {
 	expectFlag
-	existing
+	existingWorkspace
 }
 
 func (w workspaceAddToken) Run(a *app) error {
@@ -142,7 +142,7 @@
 
 type workspaceRemoveToken struct {
 	changeFlags
-	existing
+	existingWorkspace
 	Digest string `arg:"" help:"SHA-256 digest of the token."`
 }
 
@@ -151,12 +151,12 @@
 	if err != nil {
 		return err
 	}
-	return a.change(w.newChange("DELETE", path, nil))
+	return a.applyChange(w.newChange("DELETE", path, nil))
 }
 
 type workspaceDelete struct {
 	changeFlags
-	existing
+	existingWorkspace
 }
 
 func (w workspaceDelete) Run(a *app) error {
@@ -164,5 +164,5 @@
 	if err != nil {
 		return err
 	}
-	return a.change(w.newChange("DELETE", path, nil))
+	return a.applyChange(w.newChange("DELETE", path, nil))
 }
--- a/cmd/figstiled/edge.go
+++ b/cmd/figstiled/edge.go
@@ -16,9 +16,9 @@
 	"github.com/figstile/figstile/transport/logging"
 )
 
-// settingsPoll is how often the settings file is looked at: it may change
+// settingsPollInterval is how often the settings file is looked at: it may change
 // without a signal.
-const settingsPoll = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // edgeCommand runs a router on the users' platform.
 type edgeCommand struct {
@@ -38,14 +38,14 @@
 	output := logging.NewAsyncWriter(os.Stdout)
 	defer output.Close()
 	log := logging.New(output, c.LogLevel)
-	ctx := untilStopped()
-	store := platform.NewStore(settings.Store, edge.NewDialer().DialContext)
+	ctx := contextUntilSignal()
+	store := platform.NewStore(settings.StoreAddress, edge.NewDialer().DialContext)
 	router, err := edge.New(settings.Settings, platform.New(store), log)
 	if err != nil {
 		log.Error().Err(err).Msg("start failed")
 		return exitFailure
 	}
-	go followSettings(ctx, c.Settings, router, log)
+	go reloadSeeds(ctx, c.Settings, router, log)
 	if err := router.Run(ctx); err != nil && !errors.Is(err, context.Canceled) {
 		log.Error().Err(err).Msg("stopped")
 		return exitFailure
@@ -53,25 +53,25 @@
 	return 0
 }
 
-// followSettings takes new seeds from the settings file at SIGHUP and when the
+// reloadSeeds takes new seeds from the settings file at SIGHUP and when the
 // file has changed. Unusable settings leave the old ones in force.
-func followSettings(ctx context.Context, path string, router *edge.Router, log zerolog.Logger) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	ticker := time.NewTicker(settingsPoll)
+func reloadSeeds(ctx context.Context, path string, router *edge.Router, log zerolog.Logger) {
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	seen := modified(path)
+	lastModTime := modTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hangups:
+		case <-reloadSignals:
 		case <-ticker.C:
-			if modified(path).Equal(seen) {
+			if modTime(path).Equal(lastModTime) {
 				continue
 			}
 		}
-		seen = modified(path)
+		lastModTime = modTime(path)
 		settings, err := platform.ReadSettings(path)
 		if err != nil {
 			log.Error().Err(err).Msg("reload failed; the old settings stay in force")
@@ -82,7 +82,7 @@
 	}
 }
 
-func modified(path string) time.Time {
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/cmd/figstiled/main.go
+++ b/cmd/figstiled/main.go
@@ -69,7 +69,7 @@
 		return exitUsage
 	}
 	log := logging.New(os.Stderr, c.LogLevel)
-	ctx := untilStopped()
+	ctx := contextUntilSignal()
 	d, err := daemon.New(c.Options, log)
 	if err != nil {
 		log.Error().Err(err).Msg("start failed")
@@ -83,11 +83,11 @@
 	return 0
 }
 
-// untilStopped returns a context that ends with the order to stop. The process
+// contextUntilSignal returns a context that ends with the order to stop. The process
 // goes on to listen for orders until it is gone: a further one would otherwise
 // end it by the signal, before its last log lines are written and with an exit
 // code that tells of a failure.
-func untilStopped() context.Context {
+func contextUntilSignal() context.Context {
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	return ctx
 }
--- a/devfleet/edge.go
+++ b/devfleet/edge.go
@@ -274,7 +274,7 @@
 		return err
 	}
 	call := make(http.Header)
-	platform.SetCall(call, platform.Call{Attempt: "a1", Key: edgeKey("tours"), Deadline: 10 * time.Second})
+	platform.SetCallerHeaders(call, platform.CallerHeaders{Attempt: "a1", Key: edgeKey("tours"), Deadline: 10 * time.Second})
 	fmt.Fprintf(w, "\ncurl -N -X POST -H 'Host: %s'", edgeHost)
 	for name := range call {
 		fmt.Fprintf(w, " \\\n  -H '%s: %s'", name, call.Get(name))
--- a/devfleet/edge_trial.go
+++ b/devfleet/edge_trial.go
@@ -189,7 +189,7 @@
 		return record
 	}
 	request.Host, request.Close = edgeHost, true
-	platform.SetCall(request.Header, l.describe(record))
+	platform.SetCallerHeaders(request.Header, l.describe(record))
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		record.broken = err.Error()
@@ -202,8 +202,8 @@
 	return record
 }
 
-func (l *edgeLoad) describe(r edgeRecord) platform.Call {
-	call := platform.Call{Attempt: r.attempt, Key: edgeKey(r.workspace), Deadline: callDeadline}
+func (l *edgeLoad) describe(r edgeRecord) platform.CallerHeaders {
+	call := platform.CallerHeaders{Attempt: r.attempt, Key: edgeKey(r.workspace), Deadline: callDeadline}
 	if r.path == draftsPath || r.path == server.HeldPath {
 		call.Prompt = []prefix.Part{{ID: rand.Uint64N(sharedParts), Tokens: sharedTokens}, {ID: rand.Uint64(), Tokens: draftTokens}}
 		call.MaxOutput = draftOutput
--- a/logstory/line.go
+++ b/logstory/line.go
@@ -24,15 +24,15 @@
 	rest := text
 	for rest = skipToPair(rest); rest != ""; rest = skipToPair(rest) {
 		key, after, _ := strings.Cut(rest, "=")
-		value, left, ok := takeValue(after)
+		value, remaining, ok := parseValue(after)
 		if !ok {
 			return Line{}, false
 		}
 		line.Fields[key] = value
-		rest = left
+		rest = remaining
 	}
-	if at, err := time.Parse(time.RFC3339Nano, line.Fields["time"]); err == nil {
-		line.Time = at
+	if timestamp, err := time.Parse(time.RFC3339Nano, line.Fields["time"]); err == nil {
+		line.Time = timestamp
 	}
 	return line, line.Fields["event"] != ""
 }
@@ -50,9 +50,9 @@
 	return ""
 }
 
-// takeValue reads a bare or quoted value and returns what follows it. A quoted
+// parseValue reads a bare or quoted value and returns what follows it. A quoted
 // one without its end is no value: the line was cut.
-func takeValue(text string) (value, rest string, ok bool) {
+func parseValue(text string) (value, rest string, ok bool) {
 	if !strings.HasPrefix(text, `"`) {
 		value, rest, _ = strings.Cut(text, " ")
 		return value, rest, true
--- a/logstory/story.go
+++ b/logstory/story.go
@@ -11,44 +11,44 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// maxLine bounds a line; longer ones are counted as damaged.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line; longer ones are counted as damaged.
+const maxLineBytes = 1 << 20
 
-// Story is what the logs say of one request.
-type Story struct {
+// Timeline is what the logs say of one request.
+type Timeline struct {
 	ID string
 	// Lines are those of the request, in order of time.
 	Lines []Line
-	// Read counts all lines, Damaged those that could not be read.
-	Read, Damaged int
+	// TotalLines counts all lines, Damaged those that could not be read.
+	TotalLines, MalformedLines int
 }
 
 // Collect reads logs by name and returns the story of a request.
-func Collect(id string, logs map[string]io.Reader) (Story, error) {
-	story := Story{ID: id}
+func Collect(id string, logs map[string]io.Reader) (Timeline, error) {
+	timeline := Timeline{ID: id}
 	names := make([]string, 0, len(logs))
 	for name := range logs {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if err := story.read(name, logs[name]); err != nil {
-			return Story{}, fmt.Errorf("%s: %w", name, err)
+		if err := timeline.readLog(name, logs[name]); err != nil {
+			return Timeline{}, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	slices.SortStableFunc(story.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	return story, nil
+	slices.SortStableFunc(timeline.Lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
+	return timeline, nil
 }
 
-func (s *Story) read(name string, log io.Reader) error {
+func (s *Timeline) readLog(name string, log io.Reader) error {
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
-		s.Read++
+		s.TotalLines++
 		line, ok := ParseLine(name, scanner.Text())
 		switch {
 		case !ok:
-			s.Damaged++
+			s.MalformedLines++
 		case line.Fields["id"] == s.ID:
 			s.Lines = append(s.Lines, line)
 		}
@@ -57,33 +57,33 @@
 }
 
 // Write prints the story: a line per event, then what decided the end.
-func (s Story) Write(w io.Writer) error {
+func (s Timeline) Write(w io.Writer) error {
 	var b strings.Builder
 	for _, line := range s.Lines {
 		fmt.Fprintf(&b, "%s  %s  %s\n", line.Time.Format("15:04:05.000"), line.File, describe(line))
 	}
-	fmt.Fprintf(&b, "%s\n", s.Verdict())
-	if s.Damaged > 0 {
-		fmt.Fprintf(&b, "%d of %d lines could not be read.\n", s.Damaged, s.Read)
+	fmt.Fprintf(&b, "%s\n", s.Explanation())
+	if s.MalformedLines > 0 {
+		fmt.Fprintf(&b, "%d of %d lines could not be read.\n", s.MalformedLines, s.TotalLines)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
 func describe(line Line) string {
-	f := line.Fields
-	switch f["event"] {
+	fields := line.Fields
+	switch fields["event"] {
 	case "request":
-		return fmt.Sprintf("ended with %s after %s ms, %s attempt(s), upstream %s", named(f["code"]), f["total_ms"], f["attempts"], orNone(f["upstream"]))
+		return fmt.Sprintf("ended with %s after %s ms, %s attempt(s), upstream %s", codeName(fields["code"]), fields["total_ms"], fields["attempts"], orNone(fields["upstream"]))
 	case "attempt ended":
-		return fmt.Sprintf("attempt %s at %s ended: %s", f["attempt"], f["upstream"], f["cause"])
+		return fmt.Sprintf("attempt %s at %s ended: %s", fields["attempt"], fields["upstream"], fields["cause"])
 	default:
-		return f["event"]
+		return fields["event"]
 	}
 }
 
-// Verdict says in a sentence or two what decided the request's end.
-func (s Story) Verdict() string {
+// Explanation says in a sentence or two what decided the request's end.
+func (s Timeline) Explanation() string {
 	i := slices.IndexFunc(s.Lines, func(l Line) bool { return l.Fields["event"] == "request" })
 	if len(s.Lines) == 0 {
 		return fmt.Sprintf("No line bears the id %q: the request reached none of these routers, or its lines were dropped.", s.ID)
@@ -91,44 +91,44 @@
 	if i < 0 {
 		return "The request has no final line: its router stopped first, or still runs it."
 	}
-	f := s.Lines[i].Fields
-	verdict := reason(f)
-	if f["abandoned"] == "true" {
-		verdict += " Its caller had left by then."
+	fields := s.Lines[i].Fields
+	explanation := explainResult(fields)
+	if fields["abandoned"] == "true" {
+		explanation += " Its caller had left by then."
 	}
-	if f["ran"] == "unknown" {
-		verdict += " Nobody can tell whether it ran."
+	if fields["ran"] == "unknown" {
+		explanation += " Nobody can tell whether it ran."
 	}
-	return verdict
+	return explanation
 }
 
-// reason explains a final line by the figures that decided.
-func reason(f map[string]string) string {
-	code, _ := strconv.Atoi(f["code"])
+// explainResult explains a final line by the figures that decided.
+func explainResult(fields map[string]string) string {
+	code, _ := strconv.Atoi(fields["code"])
 	switch result.Code(code) {
 	case result.OK:
-		return fmt.Sprintf("Served: first byte after %s ms; expected %s ms of waiting and %s ms of its own.", f["first_ms"], f["wait_ms"], f["own_ms"])
+		return fmt.Sprintf("Served: first byte after %s ms; expected %s ms of waiting and %s ms of its own.", fields["first_ms"], fields["wait_ms"], fields["own_ms"])
 	case result.Overloaded:
-		return fmt.Sprintf("Refused: the best upstream %s would have begun after %s ms, and %s ms was the limit for an answer in time.", f["upstream"], f["wait_ms"], f["limit_ms"])
+		return fmt.Sprintf("Refused: the best upstream %s would have begun after %s ms, and %s ms was the limit for an answer in time.", fields["upstream"], fields["wait_ms"], fields["limit_ms"])
 	case result.OverShare:
-		return overShare(f)
+		return explainOverShare(fields)
 	default:
-		return fmt.Sprintf("Ended with %s. %s %s", named(f["code"]), result.Lookup(result.Code(code)).Meaning, f["detail"])
+		return fmt.Sprintf("Ended with %s. %s %s", codeName(fields["code"]), result.Lookup(result.Code(code)).Meaning, fields["detail"])
 	}
 }
 
-// overShare tells whether the wait decided, or that the workspace has so much that
+// explainOverShare tells whether the wait decided, or that the workspace has so much that
 // no engine is for it however idle.
-func overShare(f map[string]string) string {
-	wait, _ := strconv.Atoi(f["wait_ms"])
-	limit, _ := strconv.Atoi(f["limit_ms"])
+func explainOverShare(fields map[string]string) string {
+	wait, _ := strconv.Atoi(fields["wait_ms"])
+	limit, _ := strconv.Atoi(fields["limit_ms"])
 	if wait <= limit {
-		return fmt.Sprintf("Refused: workspace %s had %s of its fair share, and %s of it here, too much for an idle engine.", f["workspace"], f["share_used"], f["share_here"])
+		return fmt.Sprintf("Refused: workspace %s had %s of its fair share, and %s of it here, too much for an idle engine.", fields["workspace"], fields["share_used"], fields["share_here"])
 	}
-	return fmt.Sprintf("Refused: workspace %s had %s of its fair share, and the wait of %s ms was above its limit of %s ms.", f["workspace"], f["share_used"], f["wait_ms"], f["limit_ms"])
+	return fmt.Sprintf("Refused: workspace %s had %s of its fair share, and the wait of %s ms was above its limit of %s ms.", fields["workspace"], fields["share_used"], fields["wait_ms"], fields["limit_ms"])
 }
 
-func named(code string) string {
+func codeName(code string) string {
 	number, err := strconv.Atoi(code)
 	if err != nil {
 		return "an unknown code"
--- a/oncall_test.go
+++ b/oncall_test.go
@@ -15,27 +15,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// edgeLoggers are the packages whose lines the page's table of a router on the
+// edgeLogPaths are the packages whose lines the page's table of a router on the
 // platform lists.
-var edgeLoggers = []string{"transport/edge", "transport/ingress", "cmd/figstiled/edge.go"}
+var edgeLogPaths = []string{"transport/edge", "transport/ingress", "cmd/figstiled/edge.go"}
 
-// sharedLoggers also log there, for all kinds of routers.
-var sharedLoggers = []string{"transport/peer", "transport/logging"}
+// sharedLogPaths also log there, for all kinds of routers.
+var sharedLogPaths = []string{"transport/peer", "transport/logging"}
 
 // An engineer follows the page at night to a field that no line has any more.
 // The page's table names the events and fields that the code writes, and each
 // event of the code.
-func TestOperationsPageNamesTheLogFields(t *testing.T) {
-	own, all := loggedEvents(t, edgeLoggers), loggedEvents(t, append(edgeLoggers, sharedLoggers...))
+func TestOperationsPageListsLogFields(t *testing.T) {
+	edgeEvents, allEvents := loggedEvents(t, edgeLogPaths), loggedEvents(t, append(edgeLogPaths, sharedLogPaths...))
 	page := pageEvents(t)
 	require.NotEmpty(t, page)
 	for event, fields := range page {
-		require.Contains(t, all, event, "the page names an event that is not logged")
+		require.Contains(t, allEvents, event, "the page names an event that is not logged")
 		for _, field := range fields {
-			require.True(t, all[event][field], "event %q has no field %q", event, field)
+			require.True(t, allEvents[event][field], "event %q has no field %q", event, field)
 		}
 	}
-	for event := range own {
+	for event := range edgeEvents {
 		require.Contains(t, page, event, "the page lacks an event")
 	}
 }
@@ -51,16 +51,16 @@
 	_, table, found := strings.Cut(section, "| event |")
 	require.True(t, found)
 	table, _, _ = strings.Cut(table, "\n\n")
-	marked := regexp.MustCompile("`([^`]+)`")
+	codeSpan := regexp.MustCompile("`([^`]+)`")
 	events := make(map[string][]string)
 	for line := range strings.Lines(table) {
 		cells := strings.Split(line, "|")
 		if len(cells) != 5 || !strings.Contains(cells[1], "`") {
 			continue
 		}
-		for _, event := range marked.FindAllStringSubmatch(cells[1], -1) {
+		for _, event := range codeSpan.FindAllStringSubmatch(cells[1], -1) {
 			events[event[1]] = nil
-			for _, field := range marked.FindAllStringSubmatch(cells[3], -1) {
+			for _, field := range codeSpan.FindAllStringSubmatch(cells[3], -1) {
 				events[event[1]] = append(events[event[1]], field[1])
 			}
 		}
@@ -94,7 +94,7 @@
 // collectEvents adds the events of a function. Fields that are set before the
 // chain that ends with the event count for all its events.
 func collectEvents(function ast.Node, events map[string]map[string]bool) {
-	var names []string
+	var eventNames []string
 	fields := make(map[string]bool)
 	ast.Inspect(function, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
@@ -113,13 +113,13 @@
 		case method.Sel.Name == "Err":
 			fields["error"] = true
 		case method.Sel.Name == "Msg" && literal:
-			names = append(names, text)
+			eventNames = append(eventNames, text)
 		case literal && len(call.Args) == 2:
 			fields[text] = true
 		}
 		return true
 	})
-	for _, name := range names {
+	for _, name := range eventNames {
 		if events[name] == nil {
 			events[name] = make(map[string]bool)
 		}
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -48,9 +48,9 @@
 	r.Lines = append(r.Lines, fmt.Sprintf("%s %s: %s", verdict, name, detail))
 }
 
-// Dir replays every trace of a directory and checks the outcomes over all of
+// CheckDir replays every trace of a directory and checks the outcomes over all of
 // them. The error is one of reading.
-func Dir(dir string) (Report, error) {
+func CheckDir(dir string) (Report, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*"+daemon.TraceSuffix))
 	if err != nil {
 		return Report{}, err
@@ -60,16 +60,16 @@
 	}
 	var report Report
 	for _, file := range files {
-		if err := report.replay(file); err != nil {
+		if err := report.replayTrace(file); err != nil {
 			return report, fmt.Errorf("%s: %w", file, err)
 		}
 	}
-	return report, report.check(files)
+	return report, report.checkOutcomes(files)
 }
 
-// replay feeds one trace to today's scheduler. A trace of callers or
+// replayTrace feeds one trace to today's scheduler. A trace of callers or
 // upstreams has no steps.
-func (r *Report) replay(file string) error {
+func (r *Report) replayTrace(file string) error {
 	options, err := readOptions(strings.TrimSuffix(file, daemon.TraceSuffix) + daemon.TraceOptionsSuffix)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -82,13 +82,13 @@
 		return err
 	}
 	defer in.Close()
-	found, err := trace.Replay(in, func(state.Router, state.Incarnation) trace.Stepper {
+	comparison, err := trace.Replay(in, func(state.Router, state.Incarnation) trace.Stepper {
 		return scheduler.New(options)
 	})
 	if err != nil {
 		return err
 	}
-	r.add(filepath.Base(file), found.Exact() && found.Steps > 0, found.String())
+	r.add(filepath.Base(file), comparison.Exact() && comparison.Steps > 0, comparison.String())
 	return nil
 }
 
@@ -101,8 +101,8 @@
 	return options, json.Unmarshal(encoded, &options)
 }
 
-// check verifies the stated outcomes over the records of all files.
-func (r *Report) check(files []string) error {
+// checkOutcomes verifies the stated outcomes over the records of all files.
+func (r *Report) checkOutcomes(files []string) error {
 	var readers []io.Reader
 	for _, file := range files {
 		in, err := os.Open(file)
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -10,19 +10,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// traces are recorded runs of real processes under failure. They are recorded
+// tracesDir are recorded runs of real processes under failure. They are recorded
 // anew, by the command in docs/PROOFS.md, when a decision changes on purpose.
-const traces = "../testdata/traces"
+const tracesDir = "../testdata/traces"
 
-// TestRecordedRuns replays every kept run: today's deciders must decide as the
+// TestRecordedTracesPass replays every kept run: today's deciders must decide as the
 // recorded ones did, and every stated outcome must hold over all records.
-func TestRecordedRuns(t *testing.T) {
-	dirs, err := filepath.Glob(filepath.Join(traces, "*"))
+func TestRecordedTracesPass(t *testing.T) {
+	dirs, err := filepath.Glob(filepath.Join(tracesDir, "*"))
 	require.NoError(t, err)
 	require.NotEmpty(t, dirs)
 	for _, dir := range dirs {
 		t.Run(filepath.Base(dir), func(t *testing.T) {
-			report, err := Dir(dir)
+			report, err := CheckDir(dir)
 			require.NoError(t, err)
 			require.Zero(t, report.Failed, report.String())
 			goldie.New(t).Assert(t, filepath.Base(dir), []byte(report.String()))
@@ -32,7 +32,7 @@
 
 // Replaying must be able to fail, or the kept runs prove nothing. Each case
 // damages one line of a kept run as a fault of the fleet would have written it.
-func TestDamagedRunsFail(t *testing.T) {
+func TestDamagedTracesFail(t *testing.T) {
 	cases := map[string]struct {
 		run, file, old, new string
 		want                string
@@ -60,11 +60,11 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			dir := damagedCopy(t, filepath.Join(traces, c.run), c.file, c.old, c.new)
-			report, err := Dir(dir)
+			dir := damagedCopy(t, filepath.Join(tracesDir, c.run), c.file, c.old, c.new)
+			report, err := CheckDir(dir)
 			require.NoError(t, err)
 			require.Positive(t, report.Failed)
-			require.Contains(t, failures(report), c.want)
+			require.Contains(t, failedLines(report), c.want)
 		})
 	}
 }
@@ -89,7 +89,7 @@
 	return dir
 }
 
-func failures(r Report) string {
+func failedLines(r Report) string {
 	var failed []string
 	for _, line := range r.Lines {
 		if strings.HasPrefix(line, "FAILED") {
@@ -100,6 +100,6 @@
 }
 
 func TestNoTrace(t *testing.T) {
-	_, err := Dir(t.TempDir())
+	_, err := CheckDir(t.TempDir())
 	require.ErrorIs(t, err, ErrNoTrace)
 }
--- a/standin/objects/objects.go
+++ b/standin/objects/objects.go
@@ -68,14 +68,14 @@
 
 // ServeHTTP answers lists and watches.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	kind, ok := platform.KindOf(r.URL.Path)
+	kind, ok := platform.KindFromPath(r.URL.Path)
 	if !ok {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	after, wait, watches := platform.WatchOf(r.URL.Query())
+	after, wait, watches := platform.ParseWatchQuery(r.URL.Query())
 	if watches {
 		s.awaitChange(after, wait)
 	}
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -94,7 +94,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	attempt := platform.ReadAttempt(r.Header)
 	if attempt.Upstream != s.ID {
-		platform.SetNotRun(w.Header(), attempt.ID)
+		platform.SetNotRunHeaders(w.Header(), attempt.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -102,7 +102,7 @@
 	case s.queue <- struct{}{}:
 		defer func() { <-s.queue }()
 	default:
-		platform.SetNotRun(w.Header(), attempt.ID)
+		platform.SetNotRunHeaders(w.Header(), attempt.ID)
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -133,7 +133,7 @@
 	if !s.pause(r, s.Work) {
 		return false
 	}
-	platform.SetAnswer(w.Header(), attempt, "signed by "+string(s.ID))
+	platform.SetAnswerHeaders(w.Header(), attempt, "signed by "+string(s.ID))
 	if s.Events == 0 {
 		_, err := fmt.Fprint(w, Page(attempt))
 		return err == nil
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	require.NoError(t, err)
-	platform.SetCall(request.Header, platform.Call{Attempt: attempt, Deadline: time.Second})
+	platform.SetCallerHeaders(request.Header, platform.CallerHeaders{Attempt: attempt, Deadline: time.Second})
 	platform.Dialect{}.Outbound(request.Header, to)
 	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
