--- a/coordination/membership/doc.go
+++ b/coordination/membership/doc.go
@@ -1,12 +1,14 @@
-// Package membership decides which routers of the fleet are live, which
-// session a pair of routers keeps, and when to dial. It does no I/O: the host
-// feeds it what happened on the sessions and performs its actions.
+// Package membership decides which routers of the fleet are live, which session
+// two routers keep, and when to dial. It does no I/O: the host reports events
+// on the sessions to the state machine and performs the actions that it
+// returns.
 //
-// A member is live while it has a session on which something was heard
-// lately, suspect after its session has closed until SessionGrace ends, and
-// gone after that. Suspect members are still published, so that a broken
-// connection which is replaced at once moves no ownership of upstreams.
+// A member is live while it has a session that received a message within
+// SessionTimeout. When the session closes, the member is suspect until
+// ReconnectGrace ends, and departed after that. Suspect members are still
+// published, so a broken connection that is replaced at once does not change
+// the ownership of upstreams.
 //
-// All limits are measured in the time for which this process was seen to run,
-// not on the clock; see runClock.
+// All time limits are measured in the time during which this process was
+// running, not in wall-clock time; see runClock.
 package membership
--- a/coordination/membership/member.go
+++ b/coordination/membership/member.go
@@ -6,34 +6,35 @@
 	"github.com/figstile/figstile/state"
 )
 
-// session is an accepted session with a member.
+// session is an accepted session with a member. Its times are readings of the
+// machine's runClock.
 type session struct {
 	id SessionID
-	// dialledLocally says that this router dialled.
+	// dialledLocally is set if this router dialled, and false if the peer did.
 	dialledLocally bool
-	// lastReceived is when anything last arrived.
+	// lastReceived is when the latest message arrived.
 	lastReceived time.Duration
-	// nextHeartbeat is when the next heartbeat is due.
+	// nextHeartbeat is when this router sends its next heartbeat.
 	nextHeartbeat time.Duration
 }
 
-// member is a router that is or was live.
+// member is a router that is live or was live earlier.
 type member struct {
 	Member
 	draining bool
-	// session is nil while the member is suspect or gone.
+	// session is nil while the member is suspect or departed.
 	session *session
-	// sessionLostAt is when the last session closed.
+	// sessionLostAt is when the latest session closed.
 	sessionLostAt time.Duration
 	departed      bool
 }
 
 func (m *member) live() bool { return !m.departed }
 
-// Status tells how a member is seen.
+// Status is the state of a member as this router sees it.
 type Status string
 
-// The statuses of a member.
+// The states of a member.
 const (
 	StatusLive     Status = "live"
 	StatusSuspect  Status = "suspect"
@@ -51,23 +52,25 @@
 	}
 }
 
-// MemberView is a member as an operator sees it.
+// MemberView describes a member to operators.
 type MemberView struct {
 	Member
 	Draining bool
 	Status   Status
 }
 
-// isPreferredOver decides which of two sessions with the same incarnation of a peer
-// stays. Both sides must come to the same answer from what each of them knows,
-// or two simultaneous dials would close each other for ever.
+// isPreferredOver reports whether the existing session s is kept instead of a
+// new session with the same incarnation of the peer. Both routers must reach
+// the same decision from their own knowledge; otherwise two simultaneous dials
+// would close each other's sessions for ever.
 //
-// Sessions from the same dialler: the newer one, since a router dials only
-// after it has lost the one before. Sessions from different diallers: the one
-// that the router with the smaller name dialled. The exception is an old
-// session that has been silent for DoubtAfter: after a connection broke for
-// the peer alone, a router that dialled it first would otherwise defend the
-// dead session against the peer's new one until LostAfter.
+// Of two sessions from the same dialler, the newer one is kept, because a
+// router dials again only after it has lost its previous session. Of two
+// sessions from different diallers, the session dialled by the router with the
+// smaller name is kept. The exception is an old session that has been silent
+// for more than StaleSessionAfter. If a connection broke for the peer only, a
+// router that dialled it first would otherwise keep the dead session and refuse
+// the peer's new one until SessionTimeout.
 func (s *session) isPreferredOver(newDialledLocally bool, self, peer state.Router, now time.Duration) bool {
 	if s.dialledLocally == newDialledLocally || now-s.lastReceived > StaleSessionAfter {
 		return false
--- a/coordination/membership/membership.go
+++ b/coordination/membership/membership.go
@@ -10,13 +10,14 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Config is what a Machine knows from the start.
+// Config holds the initial settings of a Machine.
 type Config struct {
-	// Self is this router; Draining is ignored.
+	// Self describes this router. Self.Draining is ignored.
 	Self Hello
-	// Seed of the jitter.
+	// Seed is the seed of the jitter between dials.
 	Seed uint64
-	// SelectiveDialing machines dial only what Selected names, and spread no addresses.
+	// SelectiveDialing restricts dialling to the routers and seeds of the
+	// latest SelectionChanged and disables gossip.
 	SelectiveDialing bool
 }
 
@@ -28,19 +29,21 @@
 	members   map[state.Router]*member
 	sessions  map[SessionID]*member
 	addresses addressBook
-	// selectiveDialing is Config.Selective, selected the last Selected.
+	// selectiveDialing is Config.SelectiveDialing; selection is the latest
+	// SelectionChanged.
 	selectiveDialing bool
 	selection        selection
-	// nextGossip is when the next peer is told all members, told the last one.
+	// nextGossip is when the next peer receives the list of all members;
+	// lastGossipPeer is the peer that received it last.
 	nextGossip     time.Duration
 	lastGossipPeer state.Router
-	// peersChanged says that Peers may differ from published.
+	// peersChanged is set when Peers may differ from published.
 	peersChanged bool
 	published    []scheduler.Peer
 	actions      []Action
 }
 
-// New returns a machine that knows only its own router.
+// New returns a machine that knows only this router.
 func New(cfg Config) *Machine {
 	cfg.Self.Draining = false
 	return &Machine{
@@ -55,8 +58,8 @@
 	}
 }
 
-// Step takes one event and returns what the host must do. The returned slice
-// is the caller's.
+// Step processes one event and returns the actions for the host. The caller
+// owns the returned slice.
 func (m *Machine) Step(now time.Time, event Event) []Action {
 	m.actions = nil
 	if gap := m.clock.advance(now); gap > FreezeThreshold {
@@ -70,8 +73,9 @@
 	return m.actions
 }
 
-// mayDial is false for the events that come with every message: looking
-// through all addresses for each of them would cost more than the message.
+// mayDial reports whether the machine looks for due dials after an event. It
+// returns false for events that occur with every message, because scanning all
+// addresses for each message would cost more than processing the message.
 func mayDial(event Event) bool {
 	switch event.(type) {
 	case MessageReceived, HeartbeatReceived, DrainingChanged:
@@ -130,7 +134,8 @@
 	m.acceptSession(e)
 }
 
-// refusalFor returns why a greeted session is refused, if it is.
+// refusalFor returns the reason for refusing a session after its hello, or
+// RefusalNone.
 func (m *Machine) refusalFor(e HelloReceived) Refusal {
 	hello := e.Hello
 	switch {
@@ -143,15 +148,15 @@
 	case hello.Router == m.self.Router:
 		return RefusalSelf
 	}
-	known, ok := m.members[hello.Router]
+	peer, ok := m.members[hello.Router]
 	if !ok {
 		return RefusalNone
 	}
-	if hello.Incarnation < known.Incarnation {
+	if hello.Incarnation < peer.Incarnation {
 		return RefusalIncarnation
 	}
-	existing := known.session
-	if existing == nil || hello.Incarnation > known.Incarnation {
+	existing := peer.session
+	if existing == nil || hello.Incarnation > peer.Incarnation {
 		return RefusalNone
 	}
 	if existing.isPreferredOver(e.DialledAddress != "", m.self.Router, hello.Router, m.now()) {
@@ -160,48 +165,49 @@
 	return RefusalNone
 }
 
-// acceptSession makes a greeted session the one with its peer.
+// acceptSession makes a new session the current session with its peer.
 func (m *Machine) acceptSession(e HelloReceived) {
 	hello := e.Hello
-	known, ok := m.members[hello.Router]
+	peer, ok := m.members[hello.Router]
 	if !ok {
-		known = &member{}
-		m.members[hello.Router] = known
+		peer = &member{}
+		m.members[hello.Router] = peer
 	}
-	m.closeReplacedSession(known, hello.Incarnation)
-	known.Member = Member{
+	m.closeReplacedSession(peer, hello.Incarnation)
+	peer.Member = Member{
 		Router:      hello.Router,
 		DataCentre:  hello.DataCentre,
 		Incarnation: hello.Incarnation,
 		Address:     hello.Address,
 		Capacity:    hello.Capacity,
 	}
-	known.draining = hello.Draining
-	known.departed = false
-	known.session = &session{id: e.Session, dialledLocally: e.DialledAddress != "", lastReceived: m.now()}
-	m.sessions[e.Session] = known
+	peer.draining = hello.Draining
+	peer.departed = false
+	peer.session = &session{id: e.Session, dialledLocally: e.DialledAddress != "", lastReceived: m.now()}
+	m.sessions[e.Session] = peer
 	m.peersChanged = true
 	m.recordAddresses(e.DialledAddress, hello)
 	m.emit(AcceptSession{Session: e.Session})
-	m.sendHeartbeat(known, m.membersFor(known))
+	m.sendHeartbeat(peer, m.membersFor(peer))
 }
 
-// closeReplacedSession closes the session that a new one replaces.
-func (m *Machine) closeReplacedSession(known *member, incarnation state.Incarnation) {
-	if known.session == nil {
+// closeReplacedSession closes the member's current session, if any, in favour
+// of a new session of the given incarnation.
+func (m *Machine) closeReplacedSession(peer *member, incarnation state.Incarnation) {
+	if peer.session == nil {
 		return
 	}
 	reason := CloseReplaced
-	if incarnation > known.Incarnation {
+	if incarnation > peer.Incarnation {
 		reason = CloseRestarted
 	}
-	delete(m.sessions, known.session.id)
-	m.emit(CloseSession{Session: known.session.id, Reason: reason})
-	known.session = nil
+	delete(m.sessions, peer.session.id)
+	m.emit(CloseSession{Session: peer.session.id, Reason: reason})
+	peer.session = nil
 }
 
-// recordAddresses notes that the dialled address and the advertised one lead to the
-// peer.
+// recordAddresses records that both the dialled and the advertised address lead
+// to the peer.
 func (m *Machine) recordAddresses(dialledAddress string, hello Hello) {
 	for _, address := range []string{dialledAddress, hello.Address} {
 		if addr := m.addresses.findOrAdd(address, m.now()); addr != nil {
@@ -218,8 +224,8 @@
 	m.scheduleRedial(e.Address, router, e.Incarnation)
 }
 
-// scheduleRedial plans the next dial to an address that gave no session, and notes
-// which router of this fleet answered there, if any.
+// scheduleRedial schedules the next dial to an address after a dial that led to
+// no session. It records which router of this fleet answered there, if any.
 func (m *Machine) scheduleRedial(address string, router state.Router, incarnation state.Incarnation) {
 	addr, ok := m.addresses.byAddress[address]
 	if !ok {
@@ -233,43 +239,44 @@
 	addr.isSelf = router == m.self.Router && incarnation == m.self.Incarnation
 }
 
-// sessionClosed makes the member of a session suspect. A draining member needs no
-// grace: it said that it would go.
+// sessionClosed makes the member of a session suspect. A draining member
+// departs at once without ReconnectGrace, because it has announced that it will
+// stop.
 func (m *Machine) sessionClosed(id SessionID) {
-	known, ok := m.sessions[id]
+	peer, ok := m.sessions[id]
 	if !ok {
 		return
 	}
 	delete(m.sessions, id)
-	known.session = nil
-	known.sessionLostAt = m.now()
-	if known.draining {
-		m.markDeparted(known)
+	peer.session = nil
+	peer.sessionLostAt = m.now()
+	if peer.draining {
+		m.markDeparted(peer)
 	}
-	if m.self.Router > known.Router && !m.selectiveDialing {
-		m.addresses.postponeDials(known.Router, m.now()+DialDelay)
+	if m.self.Router > peer.Router && !m.selectiveDialing {
+		m.addresses.postponeDials(peer.Router, m.now()+DialDelay)
 	}
 }
 
-func (m *Machine) markDeparted(known *member) {
-	known.departed = true
+func (m *Machine) markDeparted(peer *member) {
+	peer.departed = true
 	m.peersChanged = true
 }
 
 func (m *Machine) messageReceived(id SessionID) {
-	if known, ok := m.sessions[id]; ok {
-		known.session.lastReceived = m.now()
+	if peer, ok := m.sessions[id]; ok {
+		peer.session.lastReceived = m.now()
 	}
 }
 
 func (m *Machine) heartbeatReceived(e HeartbeatReceived) {
-	known, ok := m.sessions[e.Session]
+	peer, ok := m.sessions[e.Session]
 	if !ok {
 		return
 	}
-	known.session.lastReceived = m.now()
-	if known.draining != e.Draining {
-		known.draining = e.Draining
+	peer.session.lastReceived = m.now()
+	if peer.draining != e.Draining {
+		peer.draining = e.Draining
 		m.peersChanged = true
 	}
 	for _, gossiped := range e.Members {
@@ -277,19 +284,20 @@
 	}
 }
 
-// addGossipedAddress takes an address from gossip. Gossip alone makes nobody live: only a
-// session of our own does, so a peer cut off from us is not ours to grant to.
+// addGossipedAddress adds an address that a peer gossiped. Gossip alone makes
+// no router live; that takes a session with this router. A router that only
+// other routers can reach must not receive grants from this one.
 func (m *Machine) addGossipedAddress(gossiped Member) {
 	if m.selectiveDialing || gossiped.Router == m.self.Router || gossiped.Address == m.self.Address {
 		return
 	}
-	_, known := m.addresses.byAddress[gossiped.Address]
+	_, exists := m.addresses.byAddress[gossiped.Address]
 	addr := m.addresses.findOrAdd(gossiped.Address, m.now())
 	if addr == nil {
 		return
 	}
 	addr.lastUseful = m.now()
-	if known {
+	if exists {
 		return
 	}
 	addr.router = gossiped.Router
@@ -298,65 +306,68 @@
 	}
 }
 
-// setDraining announces the change at once: peers stop granting to and owning
-// through a router that is about to go.
+// setDraining announces a change of the draining state at once, so that peers
+// stop sending grants to this router and stop counting it as an owner before it
+// stops.
 func (m *Machine) setDraining(draining bool) {
 	if m.self.Draining == draining {
 		return
 	}
 	m.self.Draining = draining
 	m.peersChanged = true
-	for _, known := range m.membersByName() {
-		if known.session != nil {
-			m.sendHeartbeat(known, nil)
+	for _, peer := range m.membersByName() {
+		if peer.session != nil {
+			m.sendHeartbeat(peer, nil)
 		}
 	}
 }
 
 func (m *Machine) tick() {
-	for _, known := range m.membersByName() {
-		m.expire(known)
-		m.sendHeartbeatIfDue(known)
+	for _, peer := range m.membersByName() {
+		m.expire(peer)
+		m.sendHeartbeatIfDue(peer)
 	}
 	m.gossipIfDue()
 	m.addresses.removeExpired(m.now())
 }
 
-// expire gives up a silent session, buries a suspect member after its grace
-// and forgets one that has been gone for long.
-func (m *Machine) expire(known *member) {
-	if s := known.session; s != nil && m.now()-s.lastReceived >= SessionTimeout {
+// expire closes a session that has been silent for SessionTimeout, marks a
+// suspect member as departed after ReconnectGrace, and forgets a departed
+// member after ForgetAfter.
+func (m *Machine) expire(peer *member) {
+	if s := peer.session; s != nil && m.now()-s.lastReceived >= SessionTimeout {
 		delete(m.sessions, s.id)
 		m.emit(CloseSession{Session: s.id, Reason: CloseSilent})
-		known.session = nil
-		known.sessionLostAt = m.now()
-		m.markDeparted(known)
+		peer.session = nil
+		peer.sessionLostAt = m.now()
+		m.markDeparted(peer)
 		return
 	}
-	if known.session != nil {
+	if peer.session != nil {
 		return
 	}
-	silence := m.now() - known.sessionLostAt
-	if known.live() && silence >= ReconnectGrace {
-		m.markDeparted(known)
+	silence := m.now() - peer.sessionLostAt
+	if peer.live() && silence >= ReconnectGrace {
+		m.markDeparted(peer)
 	}
-	if known.departed && silence > ForgetAfter {
-		delete(m.members, known.Router)
+	if peer.departed && silence > ForgetAfter {
+		delete(m.members, peer.Router)
 	}
 }
 
-func (m *Machine) sendHeartbeatIfDue(known *member) {
-	if known.session != nil && m.now() >= known.session.nextHeartbeat {
-		m.sendHeartbeat(known, nil)
+func (m *Machine) sendHeartbeatIfDue(peer *member) {
+	if peer.session != nil && m.now() >= peer.session.nextHeartbeat {
+		m.sendHeartbeat(peer, nil)
 	}
 }
 
-func (m *Machine) sendHeartbeat(known *member, members []Member) {
-	known.session.nextHeartbeat = m.now() + HeartbeatInterval
-	m.emit(SendHeartbeat{Session: known.session.id, Members: members})
+func (m *Machine) sendHeartbeat(peer *member, members []Member) {
+	peer.session.nextHeartbeat = m.now() + HeartbeatInterval
+	m.emit(SendHeartbeat{Session: peer.session.id, Members: members})
 }
 
-// gossipIfDue tells the next peer in the order of names all members.
+// gossipIfDue sends the list of all members to one peer every GossipInterval.
+// Peers take turns in the order of their names.
 func (m *Machine) gossipIfDue() {
 	if m.now() < m.nextGossip {
 		return
@@ -372,38 +383,39 @@
 
 func (m *Machine) nextGossipPeer() *member {
 	var first *member
-	for _, known := range m.membersByName() {
-		if known.session == nil {
+	for _, peer := range m.membersByName() {
+		if peer.session == nil {
 			continue
 		}
-		if known.Router > m.lastGossipPeer {
-			return known
+		if peer.Router > m.lastGossipPeer {
+			return peer
 		}
 		if first == nil {
-			first = known
+			first = peer
 		}
 	}
 	return first
 }
 
-// membersFor lists the members with a session, except the receiver. A router
-// that joins is told them on each new session. Any two routers that share a
-// neighbour therefore learn of each other: the later of the two to reach it
-// hears of the earlier one.
+// membersFor lists the members with a session, except the receiver. A joining
+// router receives this list on each new session. Any two routers with a common
+// neighbour therefore learn about each other: the router that reaches the
+// neighbour later receives the address of the earlier one.
 func (m *Machine) membersFor(receiver *member) []Member {
 	if m.selectiveDialing {
 		return nil
 	}
 	var list []Member
-	for _, known := range m.membersByName() {
-		if known != receiver && known.session != nil {
-			list = append(list, known.Member)
+	for _, peer := range m.membersByName() {
+		if peer != receiver && peer.session != nil {
+			list = append(list, peer.Member)
 		}
 	}
 	return list
 }
 
-// dialDueAddresses dials every address that is due and leads to nobody we talk to.
+// dialDueAddresses dials every address whose next dial is due, unless it leads
+// to a router that already has a session or is being dialled.
 func (m *Machine) dialDueAddresses() {
 	for _, addr := range m.addresses.sortedByAddress() {
 		if addr.isSelf || addr.dialing || m.now() < addr.nextDial || addr.address == m.self.Address || !m.shouldDial(addr) {
@@ -418,13 +430,14 @@
 	}
 }
 
-// connectedOrDialling reports whether there is a session with the router, or a dial to it.
+// connectedOrDialling reports whether there is a session with the router or a
+// dial to it is under way.
 func (m *Machine) connectedOrDialling(router state.Router) bool {
 	if router == "" {
 		return false
 	}
-	known, ok := m.members[router]
-	return ok && known.session != nil || m.addresses.isDialling(router)
+	peer, ok := m.members[router]
+	return ok && peer.session != nil || m.addresses.isDialling(router)
 }
 
 func (m *Machine) publishIfChanged() {
@@ -440,7 +453,7 @@
 	m.emit(PublishPeers{Peers: slices.Clone(peers)})
 }
 
-// Peers returns the live routers, this one included, in the order of names.
+// Peers returns the live routers, including this one, ordered by name.
 func (m *Machine) Peers() []scheduler.Peer {
 	peers := []scheduler.Peer{{
 		Router:      m.self.Router,
@@ -448,26 +461,26 @@
 		Incarnation: m.self.Incarnation,
 		Draining:    m.self.Draining,
 	}}
-	for _, known := range m.members {
-		if !known.live() {
+	for _, peer := range m.members {
+		if !peer.live() {
 			continue
 		}
 		peers = append(peers, scheduler.Peer{
-			Router:      known.Router,
-			DataCentre:  known.DataCentre,
-			Incarnation: known.Incarnation,
-			Draining:    known.draining,
+			Router:      peer.Router,
+			DataCentre:  peer.DataCentre,
+			Incarnation: peer.Incarnation,
+			Draining:    peer.draining,
 		})
 	}
 	slices.SortFunc(peers, func(a, b scheduler.Peer) int { return cmp.Compare(a.Router, b.Router) })
 	return peers
 }
 
-// Members returns every member that is not forgotten, in the order of names.
+// Members returns every member that has not been forgotten, ordered by name.
 func (m *Machine) Members() []MemberView {
 	views := make([]MemberView, 0, len(m.members))
-	for _, known := range m.membersByName() {
-		views = append(views, MemberView{Member: known.Member, Draining: known.draining, Status: known.status()})
+	for _, peer := range m.membersByName() {
+		views = append(views, MemberView{Member: peer.Member, Draining: peer.draining, Status: peer.status()})
 	}
 	return views
 }
--- a/coordination/membership/membership_test.go
+++ b/coordination/membership/membership_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// VMs are replaced all day. A peer goes for good: its address is dialled with
-// back-off and forgotten in the end, while a seed is dialled for ever. Without
-// that, every router would dial every address the fleet ever had.
+// VMs are replaced often. The address of a departed peer must be dialled with
+// back-off and then forgotten, while a seed is dialled for ever. Otherwise
+// every router would go on dialling every address that the fleet ever had.
 func TestAddressesOfDepartedRoutersExpire(t *testing.T) {
 	m := New(Config{Self: Hello{Fleet: "f", Version: 1, Router: "a", Incarnation: 1, Address: "10.0.0.1:7"}, Seed: 1})
 	now := epoch
@@ -33,10 +33,11 @@
 	require.NotContains(t, m.addresses.byAddress, "10.0.0.2:7")
 	require.Empty(t, m.Members())
 	maxDials := int(ForgetAfter/(maxBackOff/2)) + 10
-	require.Less(t, dials["10.0.0.2:7"], maxDials, "dials back off")
+	require.Less(t, dials["10.0.0.2:7"], maxDials, "dials to a departed peer must back off")
 }
 
-// A faulty peer gossips addresses without end. They are bounded.
+// A faulty peer gossips an unlimited number of addresses. The machine must
+// store at most MaxAddresses.
 func TestGossipedAddressesAreBounded(t *testing.T) {
 	m := New(Config{Self: Hello{Fleet: "f", Version: 1, Router: "a", Incarnation: 1}, Seed: 1})
 	m.Step(epoch, HelloReceived{Session: 1, Hello: Hello{Fleet: "f", Version: 1, Router: "b", Incarnation: 1}})
--- a/coordination/membership/script_test.go
+++ b/coordination/membership/script_test.go
@@ -19,9 +19,10 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestScripts plays testdata/*.txt. A line is a comment (#), "self", or an
-// event with its time; indented lines are the actions that must follow. "run
-// D" sends ticks for D and leaves out plain heartbeats.
+// TestScripts runs the scripts in testdata/*.txt. A line is a comment (#),
+// "self" with this router's hello, or a time and an event; the indented lines
+// below an event are the expected actions. "run D" sends ticks for the duration
+// D and omits heartbeats without gossip from the output.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
@@ -81,7 +82,7 @@
 	}
 }
 
-// parseHello reads "router/incarnation data-centre address [key=value]".
+// parseHello parses "router/incarnation data-centre address [key=value]".
 func parseHello(t *testing.T, words []string) Hello {
 	name, number, _ := strings.Cut(words[0], "/")
 	incarnation, err := strconv.ParseUint(number, 10, 64)
--- a/coordination/membership/selection.go
+++ b/coordination/membership/selection.go
@@ -2,21 +2,23 @@
 
 import "github.com/figstile/figstile/state"
 
-// selection is what a selective machine dials.
+// selection holds the addresses that a machine with SelectiveDialing dials.
 type selection struct {
 	addresses map[string]bool
-	// dialSeeds says that seeds are dialled, but for those that lead to one of fleet.
+	// dialSeeds enables dialling of seeds, except those that lead to one of
+	// liveRouters.
 	dialSeeds   bool
 	liveRouters map[state.Router]bool
 }
 
-// setSelection replaces the selection.
+// setSelection replaces the selection and adds the addresses of its members to
+// the address book.
 func (m *Machine) setSelection(e SelectionChanged) {
 	m.selection = selection{addresses: make(map[string]bool), dialSeeds: e.DialSeeds, liveRouters: make(map[state.Router]bool)}
-	for _, wanted := range e.Members {
-		m.selection.addresses[wanted.Address] = true
-		if addr := m.addresses.findOrAdd(wanted.Address, m.now()); addr != nil {
-			addr.router = wanted.Router
+	for _, selected := range e.Members {
+		m.selection.addresses[selected.Address] = true
+		if addr := m.addresses.findOrAdd(selected.Address, m.now()); addr != nil {
+			addr.router = selected.Router
 			addr.lastUseful = m.now()
 		}
 	}
@@ -25,7 +27,7 @@
 	}
 }
 
-// shouldDial says whether an address is to be dialled.
+// shouldDial reports whether the selection allows dialling an address.
 func (m *Machine) shouldDial(addr *dialAddress) bool {
 	if !m.selectiveDialing || m.selection.addresses[addr.address] {
 		return true
@@ -33,16 +35,17 @@
 	return addr.isSeed && m.selection.dialSeeds && !m.selection.liveRouters[addr.router]
 }
 
-// closeUnneededSession ends the session with a peer that is not needed. The peer lives, but
-// not as a neighbour.
+// closeUnneededSession closes the session with a peer that is not needed and
+// marks the peer as departed. The peer is still running, but it is no longer a
+// neighbour of this router.
 func (m *Machine) closeUnneededSession(router state.Router) {
-	known, ok := m.members[router]
-	if !ok || known.session == nil {
+	peer, ok := m.members[router]
+	if !ok || peer.session == nil {
 		return
 	}
-	delete(m.sessions, known.session.id)
-	m.emit(CloseSession{Session: known.session.id, Reason: CloseSurplus})
-	known.session = nil
-	known.sessionLostAt = m.now()
-	m.markDeparted(known)
+	delete(m.sessions, peer.session.id)
+	m.emit(CloseSession{Session: peer.session.id, Reason: CloseSurplus})
+	peer.session = nil
+	peer.sessionLostAt = m.now()
+	m.markDeparted(peer)
 }
--- a/coordination/membership/target.go
+++ b/coordination/membership/target.go
@@ -11,24 +11,26 @@
 	"github.com/figstile/figstile/state"
 )
 
-// dialAddress is an address that may be dialled.
+// dialAddress is an address that this router may dial, with the state of its
+// dials.
 type dialAddress struct {
 	address string
-	// isSeed addresses are never forgotten.
+	// isSeed marks the address of a seed, which is never forgotten.
 	isSeed bool
-	// isSelf is set once the address proved to be this process.
+	// isSelf is set once a dial to the address reached this process.
 	isSelf bool
-	// router last seen behind the address; empty if unknown.
+	// router is the router that was last seen at the address; empty if unknown.
 	router  state.Router
 	dialing bool
-	// nextDial is when the address may be dialled again.
+	// nextDial is the earliest time of the next dial.
 	nextDial time.Duration
-	// lastUseful is when the address last proved useful or was learned.
+	// lastUseful is when the address last led to a router, was gossiped or was
+	// added.
 	lastUseful time.Duration
 	backOff    backoff.ExponentialBackOff
 }
 
-// addressBook holds the addresses by their text.
+// addressBook maps each address, as IP:port, to its dial state.
 type addressBook struct {
 	byAddress map[string]*dialAddress
 	random    *rand.Rand
@@ -41,28 +43,30 @@
 	}
 }
 
-// findOrAdd returns the target of an address, which it adds if there is room.
-func (t *addressBook) findOrAdd(address string, now time.Duration) *dialAddress {
-	if known, ok := t.byAddress[address]; ok {
-		return known
+// findOrAdd returns the entry of an address. It adds a missing entry, or
+// returns nil if the address is empty or the book already holds MaxAddresses.
+func (b *addressBook) findOrAdd(address string, now time.Duration) *dialAddress {
+	if existing, ok := b.byAddress[address]; ok {
+		return existing
 	}
-	if address == "" || len(t.byAddress) >= MaxAddresses {
+	if address == "" || len(b.byAddress) >= MaxAddresses {
 		return nil
 	}
 	added := &dialAddress{address: address, nextDial: now, lastUseful: now}
 	added.backOff.InitialInterval = minBackOff
 	added.backOff.Multiplier = backoff.DefaultMultiplier
 	added.backOff.MaxInterval = maxBackOff
-	t.byAddress[address] = added
+	b.byAddress[address] = added
 	return added
 }
 
-// scheduleRetry plans the next dial. The library's own jitter draws from a global
-// source, which would break replay, so the jitter is added here.
-func (t *addressBook) scheduleRetry(addr *dialAddress, now time.Duration) {
+// scheduleRetry sets the time of the next dial after a failed one. The jitter
+// is added here because the jitter of the backoff library draws from a global
+// random source, which would make replays differ.
+func (b *addressBook) scheduleRetry(addr *dialAddress, now time.Duration) {
 	addr.dialing = false
 	wait := addr.backOff.NextBackOff()
-	jitterFactor := 1 + backOffJitter*(2*t.random.Float64()-1)
+	jitterFactor := 1 + backOffJitter*(2*b.random.Float64()-1)
 	addr.nextDial = now + time.Duration(float64(wait)*jitterFactor)
 }
 
@@ -74,8 +78,8 @@
 }
 
 // isDialling reports whether a dial to the router is under way.
-func (t *addressBook) isDialling(router state.Router) bool {
-	for _, addr := range t.byAddress {
+func (b *addressBook) isDialling(router state.Router) bool {
+	for _, addr := range b.byAddress {
 		if addr.dialing && addr.router == router {
 			return true
 		}
@@ -83,29 +87,30 @@
 	return false
 }
 
-// postponeDials delays dials to a router until the given time.
-func (t *addressBook) postponeDials(router state.Router, until time.Duration) {
-	for _, addr := range t.byAddress {
+// postponeDials delays all dials to a router until the given time.
+func (b *addressBook) postponeDials(router state.Router, until time.Duration) {
+	for _, addr := range b.byAddress {
 		if addr.router == router {
 			addr.nextDial = max(addr.nextDial, until)
 		}
 	}
 }
 
-// removeExpired drops addresses that were dialled in vain for ForgetAfter.
-func (t *addressBook) removeExpired(now time.Duration) {
-	maps.DeleteFunc(t.byAddress, func(_ string, addr *dialAddress) bool {
+// removeExpired removes addresses that for ForgetAfter neither led to a router
+// nor were gossiped or added. Seeds and addresses that are being dialled stay.
+func (b *addressBook) removeExpired(now time.Duration) {
+	maps.DeleteFunc(b.byAddress, func(_ string, addr *dialAddress) bool {
 		return !addr.isSeed && !addr.dialing && now-addr.lastUseful > ForgetAfter
 	})
 }
 
-// sortedByAddress returns the targets in the order of their addresses, so that the
-// order of actions does not depend on the map.
-func (t *addressBook) sortedByAddress() []*dialAddress {
-	keys := slices.Sorted(maps.Keys(t.byAddress))
+// sortedByAddress returns the entries ordered by address, so that the order of
+// actions does not depend on map iteration.
+func (b *addressBook) sortedByAddress() []*dialAddress {
+	keys := slices.Sorted(maps.Keys(b.byAddress))
 	list := make([]*dialAddress, 0, len(keys))
 	for _, key := range keys {
-		list = append(list, t.byAddress[key])
+		list = append(list, b.byAddress[key])
 	}
 	return list
 }
