--- a/coordination/overlay/doc.go
+++ b/coordination/overlay/doc.go
@@ -1,13 +1,16 @@
 // Package overlay decides which routers of a fleet hold sessions with each
-// other. Up to DirectUpTo routers each holds one with every other. Above that
-// they form a tree of bounded degree: routers of a data centre below one of
-// them, and the first routers of the data centres below each other. What one
-// side of a link knows is told to the other side as a sum, so that neither the
-// sessions of a router nor what it receives grow with the fleet.
+// other. In a fleet of up to MaxFullMeshRouters routers, each router holds a
+// session with every other one. In a larger fleet the routers form a tree of
+// bounded degree: the routers of each data centre form a subtree, and the first
+// routers of the data centres form the top of the tree. Over a link of the
+// tree, each side sends the sum of the counters of all routers on its side, so
+// neither the number of sessions of a router nor the traffic it receives grows
+// with the fleet.
 //
-// A link always joins a router to one that precedes it in an order that all
-// routers compute alike. Links therefore never form a cycle, whatever the
-// routers believe of the fleet at the time, and nothing counts twice.
+// A link always connects a router to a parent that precedes it in a total
+// order, which all routers compute in the same way. Links therefore never form
+// a cycle, even while routers disagree about the members of the fleet, and no
+// counter is added twice.
 //
-// The package does no I/O and has no clock of its own.
+// The package does no I/O and reads no clock.
 package overlay
--- a/coordination/overlay/links.go
+++ b/coordination/overlay/links.go
@@ -43,7 +43,7 @@
 	o.emit(LinkEstablished{Router: from})
 }
 
-// addLink begins a link with what is on the peer's side.
+// addLink adds a link to a router, with the members on that router's side.
 func (o *Overlay) addLink(now time.Time, from state.Router, m Message) {
 	l := &link{reachable: make(map[state.Router]membership.Member), lastReceived: now}
 	for _, p := range m.Present {
@@ -54,7 +54,8 @@
 	o.markChanged()
 }
 
-// markChanged notes that the view has changed.
+// markChanged records that the view is out of date and that changes have to be
+// sent over the links.
 func (o *Overlay) markChanged() { o.viewStale, o.changesUnsent = true, true }
 
 func (o *Overlay) onChange(from state.Router, m Message) {
@@ -80,7 +81,8 @@
 	o.loseLink(now, from)
 }
 
-// loseLink ends a link that was lost, and looks elsewhere if it was the parent's.
+// loseLink ends a link that was lost. If it was the link to the parent, the
+// parent is excluded for a while so that another one is chosen.
 func (o *Overlay) loseLink(now time.Time, router state.Router) {
 	if o.links[router] == nil {
 		return
@@ -91,7 +93,8 @@
 	o.endLink(now, router)
 }
 
-// endLink ends a link. What was behind it counts as live for a while.
+// endLink ends a link. The routers behind it still count as live for
+// lostLinkGrace.
 func (o *Overlay) endLink(now time.Time, router state.Router) {
 	fromParent := router == o.parent
 	o.lostLinks = append(o.lostLinks, lostLink{via: router, fromParent: fromParent, reachable: o.links[router].reachable, expiresAt: now.Add(lostLinkGrace)})
@@ -103,7 +106,8 @@
 	o.emit(LinkEnded{Router: router})
 }
 
-// excludeParent passes over a router as parent for a while.
+// excludeParent excludes a router as parent for a while and stops waiting for
+// its answer.
 func (o *Overlay) excludeParent(now time.Time, router state.Router) {
 	o.excludedParents.exclude(now, router)
 	if router == o.requestedParent {
@@ -111,7 +115,7 @@
 	}
 }
 
-// sendAttach asks the target to be the parent.
+// sendAttach asks the requested router to become the parent.
 func (o *Overlay) sendAttach(now time.Time) {
 	o.requestedAt = now
 	o.offeredSubtree = o.subtree()
--- a/coordination/overlay/message.go
+++ b/coordination/overlay/message.go
@@ -5,68 +5,72 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Kind says what a Message is for. The numbers are those of the peer protocol.
+// Kind is the purpose of a Message. Its numbers are part of the peer protocol.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	// KindContacts are the live routers that the sender knows; it is the first
-	// message on every session.
+	// KindContacts lists the live routers that the sender knows. It is the
+	// first message on every session.
 	KindContacts Kind = iota
-	// KindAttach asks the receiver to be the sender's parent.
+	// KindAttach asks the receiver to become the sender's parent.
 	KindAttach
-	// KindAccept makes the sender the receiver's parent.
+	// KindAccept answers KindAttach: the sender becomes the receiver's parent.
 	KindAccept
-	// KindChange tells what changed on the sender's side of a link.
+	// KindChange reports the changes on the sender's side of a link.
 	KindChange
-	// KindDetach ends a link, or refuses one.
+	// KindDetach ends a link or rejects a KindAttach.
 	KindDetach
-	// KindIntroduction is Contacts from a router that knows of no parent. It is answered by
-	// Contacts.
+	// KindIntroduction has the content of KindContacts and comes from a router
+	// that knows no candidate for a parent. The receiver answers with
+	// KindContacts.
 	KindIntroduction
 )
 
-// Message is what two routers tell each other of the fleet. In Attach and
-// Accept, Present is everything on the sender's side of the link.
+// Message carries membership information between two routers. In KindAttach and
+// KindAccept, Present lists all routers on the sender's side of the link.
 type Message struct {
 	Kind    Kind
 	Present []membership.Member
-	// Removed are the routers that are no longer on the sender's side.
+	// Removed lists the routers that are no longer on the sender's side.
 	Removed []state.Router
-	// TreeMode says that the sender holds links instead of sessions with all.
+	// TreeMode is set if the sender uses links of a tree instead of sessions
+	// with all routers.
 	TreeMode bool
 }
 
-// Action is something the host must do. Actions are performed in order.
+// Action is something that the host must do. The host performs actions in
+// order.
 type Action interface{ action() }
 
-// Send queues a message for a peer with a session.
+// Send asks the host to queue a message for a peer that has a session.
 type Send struct {
 	To      state.Router
 	Message Message
 }
 
-// SelectPeers replaces the routers that sessions are wanted with.
+// SelectPeers replaces the routers with which this router needs sessions.
 type SelectPeers struct {
 	Members []membership.Member
-	// LiveRouters are the live routers: no seed that leads to one is dialled.
+	// LiveRouters are the live routers. Seeds that lead to one of them are not
+	// dialled.
 	LiveRouters []state.Router
-	// DialSeeds says that seeds are dialled.
+	// DialSeeds enables dialling of the other seeds.
 	DialSeeds bool
 }
 
-// DropSession closes the session with a peer.
+// DropSession asks the host to close the session with a peer.
 type DropSession struct {
 	Router state.Router
 }
 
-// LinkEstablished says that a link was established: the peer knows nothing of this
-// side's sums yet.
+// LinkEstablished reports a new link. The peer has not yet received the sums of
+// this router's side.
 type LinkEstablished struct {
 	Router state.Router
 }
 
-// LinkEnded says that a link ended: what came over it no longer counts.
+// LinkEnded reports the end of a link. Sums received over it no longer count.
 type LinkEnded struct {
 	Router state.Router
 }
--- a/coordination/overlay/order.go
+++ b/coordination/overlay/order.go
@@ -11,16 +11,17 @@
 	"github.com/figstile/figstile/state"
 )
 
-// fanOut is the number of routers on a level of a data centre's tree for each one
-// on the level above; centreFanOut is that of data centres. The first router of
-// a data centre has children of both kinds.
+// fanOut is the ratio between the number of routers on one level of a data
+// centre's tree and the number on the level above it. centreFanOut is the same
+// ratio for the tree of data centres. The first router of a data centre has
+// children of both kinds.
 const (
 	fanOut       = 8
 	centreFanOut = 4
 )
 
-// precedes says whether a comes before b in the order of the whole fleet, by
-// data centre first.
+// precedes reports whether a comes before b in the total order of the fleet,
+// which sorts by data centre first.
 func precedes(a, b membership.Member) bool {
 	return cmp.Or(compareCentres(a.DataCentre, b.DataCentre), compareRouters(a, b)) < 0
 }
@@ -29,9 +30,11 @@
 	return cmp.Or(cmp.Compare(hash(string(a)), hash(string(b))), cmp.Compare(a, b))
 }
 
-// compareRouters orders the routers of a data centre. The largest VMs come first,
-// since those high up in the tree have most to pass on. Among equals a hash keeps
-// names of one scheme from putting the same few first everywhere.
+// compareRouters orders the routers of one data centre. The largest VMs come
+// first, because routers near the root forward the most traffic. Routers of
+// equal capacity are ordered by a hash of their names, so that a naming scheme
+// shared by all data centres does not put the same few routers first
+// everywhere.
 func compareRouters(a, b membership.Member) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity),
 		cmp.Compare(hash(string(a.Router)), hash(string(b.Router))), cmp.Compare(a.Router, b.Router))
@@ -39,9 +42,9 @@
 
 func hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// parentCandidates returns the routers that may be the parent of one, the preferred
-// first, without those that are passed over. All of them precede it. The list is
-// empty for the first router of the fleet.
+// parentCandidates returns the routers that may become the parent of self, in
+// order of preference and without excluded routers. All of them precede self.
+// The list is empty for the first router of the fleet.
 func parentCandidates(self membership.Member, fleet []membership.Member, excluded func(state.Router) bool) []state.Router {
 	var sameCentre []membership.Member
 	otherCentres := make(map[state.DataCentre][]membership.Member)
@@ -57,10 +60,10 @@
 	slices.SortFunc(sameCentre, compareRouters)
 	sameCentre = orderByLevel(sameCentre, fanOut, string(self.Router), func(m membership.Member) string { return string(m.Router) })
 
-	order := slices.SortedFunc(maps.Keys(otherCentres), compareCentres)
-	order = orderByLevel(order, centreFanOut, string(self.DataCentre), func(dc state.DataCentre) string { return string(dc) })
+	centreOrder := slices.SortedFunc(maps.Keys(otherCentres), compareCentres)
+	centreOrder = orderByLevel(centreOrder, centreFanOut, string(self.DataCentre), func(dc state.DataCentre) string { return string(dc) })
 	var list []state.Router
-	for _, m := range append(sameCentre, interleaveCentres(order, otherCentres)...) {
+	for _, m := range append(sameCentre, interleaveCentres(centreOrder, otherCentres)...) {
 		if !excluded(m.Router) {
 			list = append(list, m.Router)
 		}
@@ -68,8 +71,9 @@
 	return list
 }
 
-// interleaveCentres lists the first router of each data centre, then the second of
-// each, and so on: a data centre that is cut off as a whole costs one attempt.
+// interleaveCentres lists the first router of each data centre, then the second
+// of each, and so on. A data centre that is cut off as a whole then costs only
+// one failed attempt before the next data centre is tried.
 func interleaveCentres(order []state.DataCentre, centres map[state.DataCentre][]membership.Member) []membership.Member {
 	var list []membership.Member
 	for _, dc := range order {
@@ -85,10 +89,11 @@
 	return list
 }
 
-// orderByLevel orders those before an element, sorted, for the choice of its parent:
-// the level just above it first, each level by a rendezvous hash, which spreads
-// the children and moves few of them when the fleet changes. Those before it on
-// its own level come last.
+// orderByLevel orders the sorted predecessors of an element by preference as
+// its parent. The level directly above the element comes first, then the higher
+// levels. Within a level, a rendezvous hash spreads the children over the
+// parents and moves few of them when the fleet changes. Predecessors on the
+// element's own level come last.
 func orderByLevel[T any](predecessors []T, degree int, self string, name func(T) string) []T {
 	var list []T
 	_, ownLevelStart := levelAbove(len(predecessors), degree)
@@ -104,9 +109,9 @@
 	return append(list, predecessors[min(ownLevelStart, len(predecessors)):]...)
 }
 
-// levelAbove returns the bounds of the level above the one that an index is on.
-// Level 0 is index 0 alone; each level holds degree times as many as the one
-// above it.
+// levelAbove returns the bounds of the level above the level of an index. Level
+// 0 contains only index 0; each further level holds degree times as many
+// indexes as the level above it.
 func levelAbove(index, degree int) (first, last int) {
 	size, end := 1, 1
 	for index >= end+size*degree {
--- a/coordination/overlay/overlay.go
+++ b/coordination/overlay/overlay.go
@@ -11,50 +11,57 @@
 	"github.com/figstile/figstile/state"
 )
 
-// MaxFullMeshRouters is the size of the fleet up to which each router holds a session
-// with every other.
+// MaxFullMeshRouters is the largest fleet size at which each router holds a
+// session with every other router.
 const MaxFullMeshRouters = 16
 
 const (
-	// maxChildren bounds the links that a router accepts.
+	// maxChildren bounds the number of child links that a router accepts.
 	maxChildren = 14
-	// parentTimeout and childSilence are how long a link may be silent before
-	// it is given up. Children look for another parent first.
+	// parentTimeout and childTimeout are how long a link to the parent or to a
+	// child may be silent before it is ended. The shorter timeout is the
+	// parent's, so that a child looks for another parent before its old parent
+	// gives it up.
 	parentTimeout = 1200 * time.Millisecond
 	childTimeout  = 2500 * time.Millisecond
-	// lostLinkGrace is how long routers behind a lost link count as live: most are
-	// back within some round trips, over another link.
+	// lostLinkGrace is how long routers behind a lost link still count as live.
+	// Most of them return over another link within a few round trips.
 	lostLinkGrace = time.Second
-	// parentSwitchDelay is how long another parent must have been preferable before a
-	// router moves to it.
+	// parentSwitchDelay is how long another router must stay preferable to the
+	// current parent before a router switches to it.
 	parentSwitchDelay = 500 * time.Millisecond
-	// reviewInterval is the period at which the parent is compared with others.
+	// reviewInterval is the period at which a router compares its parent with
+	// other candidates.
 	reviewInterval = 250 * time.Millisecond
-	// attachTimeout is how long a session or the answer to Attach may take.
+	// attachTimeout is the limit for opening a session to the requested parent
+	// and for its answer to KindAttach.
 	attachTimeout = 400 * time.Millisecond
-	// introductionTimeout is how long a visited router may take to join.
+	// introductionTimeout is how long a router that received an introduction
+	// may take to appear in the live view.
 	introductionTimeout = 300 * time.Millisecond
-	// dialledSessionLimit is how long a session is kept that is no link, by the side that
-	// dialled; the other one keeps it for acceptFor.
+	// dialledSessionLimit is how long the dialling router keeps a session that
+	// has not become a link; acceptedSessionLimit is the limit for the other
+	// router.
 	dialledSessionLimit  = time.Second
 	acceptedSessionLimit = 5 * time.Second
-	// contactLifetime is how long a router that is no longer live is looked for.
+	// contactLifetime is how long this router keeps trying to reach a router
+	// that is no longer live.
 	contactLifetime = 10 * time.Minute
-	// stallThreshold is the time between two ticks from which this process itself
-	// counts as having stood still.
+	// stallThreshold is the time between two ticks above which this process is
+	// considered to have stalled.
 	stallThreshold = 500 * time.Millisecond
 )
 
 // link is an established link of the tree.
 type link struct {
-	// reachable are the routers on the peer's side, sent those that were last sent
-	// to the peer of this side.
+	// reachable holds the routers on the peer's side of the link. sentMembers
+	// holds the routers on this side as last sent to the peer.
 	reachable    map[state.Router]membership.Member
 	sentMembers  map[state.Router]membership.Member
 	lastReceived time.Time
 }
 
-// session is an open session, of a link or not.
+// session is an open session, whether or not it is used as a link.
 type session struct {
 	openedAt time.Time
 	dialled  bool
@@ -66,50 +73,57 @@
 	lastSeen time.Time
 }
 
-// lostLink is what was behind a lost link.
+// lostLink holds the routers that were behind a lost link.
 type lostLink struct {
 	via state.Router
-	// fromParent is set for what was on a parent's side. It is never told to another
-	// parent, which knows it better.
+	// fromParent is set if the routers were on the parent's side. They are
+	// never sent to another parent, which has newer information about them.
 	fromParent bool
 	reachable  map[state.Router]membership.Member
 	expiresAt  time.Time
 }
 
-// Overlay is the state machine of one router. It is not safe for concurrent
-// use.
+// Overlay is the state machine of one router that decides about its links and
+// sessions. It is not safe for concurrent use.
 type Overlay struct {
 	self     membership.Member
 	treeMode bool
 	sessions map[state.Router]session
-	// neighbours are the live routers while sessions are held with all.
+	// neighbours are the live routers while each router holds a session with
+	// every other one.
 	neighbours      []scheduler.Peer
 	links           map[state.Router]*link
 	lostLinks       []lostLink
 	contacts        map[state.Router]contact
 	excludedParents exclusions
 
-	// parent is the router above, empty if there is none; target the one that
-	// is being asked to be that, since requested.
+	// parent is the router at the upper end of this router's link towards the
+	// root; empty if there is none. requestedParent is the router that was
+	// asked to become the parent, at requestedAt.
 	parent          state.Router
 	requestedParent state.Router
 	requestedAt     time.Time
-	// offeredSubtree is what was sent to the target of this side.
+	// offeredSubtree holds the members that were sent to requestedParent in
+	// KindAttach.
 	offeredSubtree map[state.Router]membership.Member
-	// preferredParent is a better parent than the present one, since when.
+	// preferredParent is a better parent than the current one, since the time
+	// preferredSince.
 	preferredParent state.Router
 	preferredSince  time.Time
-	// parentReviewedAt is when the present parent was last compared with others.
+	// parentReviewedAt is when the current parent was last compared with other
+	// candidates.
 	parentReviewedAt time.Time
-	// introducedTo is a router of another part of the fleet that a session is held
-	// with so that it learns of this one, since at.
+	// introducedTo is a router of another part of the fleet. This router
+	// introduces its own part to it, since the time introducedAt.
+	// introductionExclusions holds the routers that did not join after an
+	// introduction.
 	introducedTo           state.Router
 	introducedAt           time.Time
 	introductionExclusions exclusions
 
 	lastTick time.Time
-	// viewStale is set while the view is out of date, unsent while a change has not
-	// been sent over the links.
+	// viewStale is set while the view is out of date; changesUnsent is set
+	// while a change has not been sent over the links.
 	viewStale     bool
 	changesUnsent bool
 	view          map[state.Router]membership.Member
@@ -117,7 +131,7 @@
 	actions       []Action
 }
 
-// New returns the overlay of a router that knows nobody.
+// New returns the overlay of a router that knows no other router.
 func New(self membership.Member) *Overlay {
 	o := &Overlay{
 		self:                   self,
@@ -132,7 +146,7 @@
 	return o
 }
 
-// Actions returns what is to be done since the last call.
+// Actions returns the actions since the previous call.
 func (o *Overlay) Actions() []Action {
 	actions := o.actions
 	o.actions = nil
@@ -141,13 +155,14 @@
 
 func (o *Overlay) emit(a Action) { o.actions = append(o.actions, a) }
 
-// TreeMode says whether the router holds links instead of sessions with all.
+// TreeMode reports whether this router uses links of a tree instead of sessions
+// with all routers.
 func (o *Overlay) TreeMode() bool { return o.treeMode }
 
-// Links returns the peers with a link, in the order of names.
+// Links returns the peers with a link, ordered by name.
 func (o *Overlay) Links() []state.Router { return slices.Sorted(maps.Keys(o.links)) }
 
-// LiveRouters returns the live routers, this one included, in the order of names.
+// LiveRouters returns the live routers, including this one, ordered by name.
 func (o *Overlay) LiveRouters() []scheduler.Peer {
 	if !o.treeMode {
 		return slices.Clone(o.neighbours)
@@ -161,7 +176,7 @@
 	return live
 }
 
-// Sessions returns the peers with a session, in the order of names.
+// Sessions returns the peers with an open session, ordered by name.
 func (o *Overlay) Sessions() []scheduler.Peer {
 	peers := make([]scheduler.Peer, 0, len(o.sessions))
 	for _, router := range slices.Sorted(maps.Keys(o.sessions)) {
@@ -172,15 +187,15 @@
 	return peers
 }
 
-// DataCentre returns that of a router, if it is known.
+// DataCentre returns the data centre of a router, if it is known.
 func (o *Overlay) DataCentre(router state.Router) (state.DataCentre, bool) {
 	c, ok := o.contacts[router]
 	return c.DataCentre, ok
 }
 
-// NextHop returns the peer whose side of a link a router is on. A router that has
-// moved is behind its former link as well until that is given up; of the two the
-// one that was heard last counts.
+// NextHop returns the peer over whose link a router can be reached. A router
+// that has moved in the tree appears behind its former link until that link is
+// ended; in that case the link that received a message last is used.
 func (o *Overlay) NextHop(to state.Router) (state.Router, bool) {
 	var next state.Router
 	var lastReceived time.Time
@@ -196,11 +211,12 @@
 	return next, next != ""
 }
 
-// SetNeighbours takes the routers with a session, this one included.
+// SetNeighbours replaces the list of routers with a session, which includes
+// this router.
 func (o *Overlay) SetNeighbours(peers []scheduler.Peer) { o.neighbours = peers }
 
-// SessionOpened takes a new session; dialled says that this router opened it.
-// What a session before it carried is void.
+// SessionOpened processes a new session; dialled is set if this router dialled.
+// A link over an earlier session with the peer is lost.
 func (o *Overlay) SessionOpened(now time.Time, peer membership.Member, dialled bool) {
 	router := peer.Router
 	o.loseLink(now, router)
@@ -216,7 +232,7 @@
 	o.updateParentAndSessions(now)
 }
 
-// SessionClosed takes the end of a session.
+// SessionClosed processes the end of a session.
 func (o *Overlay) SessionClosed(now time.Time, router state.Router) {
 	delete(o.sessions, router)
 	o.loseLink(now, router)
@@ -226,14 +242,16 @@
 	o.updateParentAndSessions(now)
 }
 
-// MarkAlive notes that a message came over a session.
+// MarkAlive records that a message arrived from a peer, which keeps a link to
+// it alive.
 func (o *Overlay) MarkAlive(now time.Time, from state.Router) {
 	if l := o.links[from]; l != nil {
 		l.lastReceived = now
 	}
 }
 
-// Receive takes a peer's message.
+// Receive processes a peer's message. Messages from peers without a session are
+// ignored.
 func (o *Overlay) Receive(now time.Time, from state.Router, m Message) {
 	if _, open := o.sessions[from]; !open {
 		return
@@ -259,7 +277,8 @@
 	o.updateParentAndSessions(now)
 }
 
-// addContacts keeps the addresses of routers.
+// addContacts stores the addresses of routers, unless a later incarnation is
+// already known.
 func (o *Overlay) addContacts(now time.Time, members []membership.Member) {
 	for _, m := range members {
 		existing, ok := o.contacts[m.Router]
@@ -273,8 +292,9 @@
 	}
 }
 
-// switchToTree goes over from sessions with all to a tree. A fleet that shrinks stays
-// one: routers that disagree would hear of some work twice.
+// switchToTree changes from sessions with all routers to a tree. A fleet that
+// shrinks afterwards keeps the tree, because routers that disagree about the
+// mode would receive some counters twice.
 func (o *Overlay) switchToTree(now time.Time) {
 	if o.treeMode {
 		return
@@ -294,7 +314,8 @@
 	}
 }
 
-// Tick lets time pass. The host calls it about ten times a second.
+// Tick processes the passing of time. The host calls it about ten times a
+// second.
 func (o *Overlay) Tick(now time.Time) {
 	o.compensateStall(now)
 	if o.treeMode {
@@ -305,8 +326,9 @@
 	o.sendChanges()
 }
 
-// compensateStall takes the time that this process stood still off the silence of
-// its peers: what they sent meanwhile has yet to be read.
+// compensateStall subtracts the time during which this process stalled from the
+// silence of its peers, because messages that arrived meanwhile have not been
+// read yet.
 func (o *Overlay) compensateStall(now time.Time) {
 	gap := now.Sub(o.lastTick)
 	if !o.lastTick.IsZero() && gap > stallThreshold {
@@ -349,7 +371,8 @@
 	o.introductionExclusions.removeExpired(now)
 }
 
-// dropUnlinkedSessions closes the sessions that are neither links nor about to be.
+// dropUnlinkedSessions closes sessions that are not links and whose time limit
+// has passed, except the session with the requested parent.
 func (o *Overlay) dropUnlinkedSessions(now time.Time) {
 	for _, router := range slices.Sorted(maps.Keys(o.sessions)) {
 		s := o.sessions[router]
--- a/coordination/overlay/overlay_test.go
+++ b/coordination/overlay/overlay_test.go
@@ -15,13 +15,16 @@
 
 const (
 	step = 20 * time.Millisecond
-	// maxSessions is what a router may hold at rest.
+	// maxSessions is the number of sessions that a router may hold once the
+	// fleet has settled.
 	maxSessions = 16
-	// convergeLimit is how long a change of the fleet may take to reach everybody.
+	// convergeLimit is how long a change of the fleet may take to reach every
+	// router.
 	convergeLimit = 5 * time.Second
 )
 
-// simFleet is a fleet in memory: sessions open after a step, messages take one.
+// simFleet is a simulated fleet. A session opens within one step, and a message
+// arrives one step after it was sent.
 type simFleet struct {
 	t      *testing.T
 	now    time.Time
@@ -29,7 +32,8 @@
 	nodes  map[state.Router]*node
 	order  []state.Router
 	seeds  []state.Router
-	// cutCentre is a data centre that reaches no other.
+	// cutCentre is the data centre that is cut off from all others; empty if
+	// there is none.
 	cutCentre       state.DataCentre
 	queued          []func()
 	maxSessionsSeen int
@@ -42,62 +46,62 @@
 	silent   bool
 	selected SelectPeers
 	sessions map[state.Router]bool
-	// dialled are the sessions that this node opened.
+	// dialled holds the peers of the sessions that this node dialled.
 	dialled map[state.Router]bool
 	links   map[state.Router]bool
 }
 
 func newSimFleet(t *testing.T, routers, centres int, seed uint64) *simFleet {
-	w := &simFleet{t: t, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, seed)), nodes: make(map[state.Router]*node)}
+	f := &simFleet{t: t, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, seed)), nodes: make(map[state.Router]*node)}
 	for i := range routers {
 		name := state.Router(fmt.Sprintf("r%03d", i))
-		w.order = append(w.order, name)
-		w.start(name, state.DataCentre(fmt.Sprintf("dc%d", i%centres)))
+		f.order = append(f.order, name)
+		f.start(name, state.DataCentre(fmt.Sprintf("dc%d", i%centres)))
 	}
-	w.seeds = w.order[:min(3, len(w.order))]
-	return w
+	f.seeds = f.order[:min(3, len(f.order))]
+	return f
 }
 
-func (w *simFleet) start(name state.Router, dc state.DataCentre) {
+func (f *simFleet) start(name state.Router, dc state.DataCentre) {
 	incarnation := state.Incarnation(1)
-	if previous := w.nodes[name]; previous != nil {
+	if previous := f.nodes[name]; previous != nil {
 		incarnation = previous.self.Incarnation + 1
 	}
 	self := membership.Member{Router: name, DataCentre: dc, Incarnation: incarnation, Address: string(name) + ":1"}
-	w.nodes[name] = &node{
-		Overlay: New(self), fleet: w, alive: true, selected: SelectPeers{DialSeeds: true},
+	f.nodes[name] = &node{
+		Overlay: New(self), fleet: f, alive: true, selected: SelectPeers{DialSeeds: true},
 		sessions: make(map[state.Router]bool), dialled: make(map[state.Router]bool), links: make(map[state.Router]bool),
 	}
 }
 
-func (w *simFleet) canReach(a, b *node) bool {
-	crosses := a.self.DataCentre != b.self.DataCentre && (a.self.DataCentre == w.cutCentre || b.self.DataCentre == w.cutCentre)
+func (f *simFleet) canReach(a, b *node) bool {
+	crosses := a.self.DataCentre != b.self.DataCentre && (a.self.DataCentre == f.cutCentre || b.self.DataCentre == f.cutCentre)
 	return a.alive && b.alive && !a.silent && !b.silent && !crosses
 }
 
-func (w *simFleet) run(d time.Duration) {
+func (f *simFleet) run(d time.Duration) {
 	for range d / step {
-		w.now = w.now.Add(step)
-		queued := w.queued
-		w.queued = nil
+		f.now = f.now.Add(step)
+		queued := f.queued
+		f.queued = nil
 		for _, deliver := range queued {
 			deliver()
 		}
-		for _, name := range w.order {
-			if n := w.nodes[name]; n.alive && !n.silent {
+		for _, name := range f.order {
+			if n := f.nodes[name]; n.alive && !n.silent {
 				n.closeBroken()
 				n.dial()
 				n.keepAlive()
 				n.reportNeighbours()
-				n.Tick(w.now)
+				n.Tick(f.now)
 				n.perform()
 			}
 		}
 	}
 }
 
-// closeBroken ends the sessions with dead peers at once, those behind a cut
-// stay open and silent.
+// closeBroken closes the sessions with dead peers at once. Sessions across a
+// cut stay open and silent.
 func (n *node) closeBroken() {
 	for _, name := range n.fleet.order {
 		if peer := n.fleet.nodes[name]; n.sessions[name] && (!peer.alive || !peer.sessions[n.self.Router]) {
@@ -147,7 +151,8 @@
 	n.fleet.maxSessionsSeen = max(n.fleet.maxSessionsSeen, len(n.sessions))
 }
 
-// reportNeighbours tells the overlay which peers the node has sessions with.
+// reportNeighbours reports to the overlay with which peers the node has
+// sessions.
 func (n *node) reportNeighbours() {
 	live := []scheduler.Peer{{Router: n.self.Router, DataCentre: n.self.DataCentre, Incarnation: n.self.Incarnation}}
 	for _, name := range n.fleet.order {
@@ -159,7 +164,8 @@
 	n.SetNeighbours(live)
 }
 
-// keepAlive stands for the loads that are told over links all the time.
+// keepAlive stands for the load messages that routers continually send over
+// links.
 func (n *node) keepAlive() {
 	for _, peer := range n.Links() {
 		n.deliver(peer, func(to *node) { to.MarkAlive(n.fleet.now, n.self.Router) })
@@ -197,7 +203,7 @@
 				}
 			}
 		case LinkEstablished:
-			require.False(n.fleet.t, n.links[a.Router], "%s linked twice to %s", n.self.Router, a.Router)
+			require.False(n.fleet.t, n.links[a.Router], "%s must not link to %s twice", n.self.Router, a.Router)
 			n.links[a.Router] = true
 		case LinkEnded:
 			delete(n.links, a.Router)
@@ -205,45 +211,46 @@
 	}
 }
 
-// checkSettled says whether every reachable router knows exactly the others, over
-// links that reach each once.
-func (w *simFleet) checkSettled() error {
-	for _, name := range w.order {
-		n := w.nodes[name]
+// checkSettled returns an error unless every running router sees exactly the
+// routers it can reach as live, over links that lead to each router once.
+func (f *simFleet) checkSettled() error {
+	for _, name := range f.order {
+		n := f.nodes[name]
 		if !n.alive || n.silent {
 			continue
 		}
 		want := make(map[state.Router]bool)
-		for _, other := range w.order {
-			if w.canReach(n, w.nodes[other]) || other == name {
+		for _, other := range f.order {
+			if f.canReach(n, f.nodes[other]) || other == name {
 				want[other] = true
 			}
 		}
 		for _, p := range n.LiveRouters() {
-			if !want[p.Router] || p.Incarnation != w.nodes[p.Router].self.Incarnation {
-				return fmt.Errorf("%s counts %s as live", name, p.Router)
+			if !want[p.Router] || p.Incarnation != f.nodes[p.Router].self.Incarnation {
+				return fmt.Errorf("%s wrongly counts %s as live", name, p.Router)
 			}
 			delete(want, p.Router)
 		}
 		if len(want) > 0 {
-			return fmt.Errorf("%s misses %d: %v", name, len(want), want)
+			return fmt.Errorf("%s does not see %d live routers: %v", name, len(want), want)
 		}
 		if n.TreeMode() && len(n.sessions) > maxSessions {
-			return fmt.Errorf("%s holds %d sessions", name, len(n.sessions))
+			return fmt.Errorf("%s has %d sessions, more than it may", name, len(n.sessions))
 		}
 		for peer := range n.links {
-			if !w.nodes[peer].links[name] {
-				return fmt.Errorf("%s is linked to %s alone", name, peer)
+			if !f.nodes[peer].links[name] {
+				return fmt.Errorf("%s has a link to %s, which has none back", name, peer)
 			}
 		}
 	}
-	return w.checkReachedOnce()
+	return f.checkReachedOnce()
 }
 
-// checkReachedOnce walks the links from each router.
-func (w *simFleet) checkReachedOnce() error {
-	for _, name := range w.order {
-		n := w.nodes[name]
+// checkReachedOnce follows the links from each router and returns an error if
+// another router is reached more than once.
+func (f *simFleet) checkReachedOnce() error {
+	for _, name := range f.order {
+		n := f.nodes[name]
 		if !n.alive || n.silent || !n.TreeMode() {
 			continue
 		}
@@ -254,7 +261,7 @@
 			if seen[at] > 1 {
 				return
 			}
-			for _, next := range w.nodes[at].Links() {
+			for _, next := range f.nodes[at].Links() {
 				if next != from {
 					walk(next, at)
 				}
@@ -270,144 +277,149 @@
 	return nil
 }
 
-func (w *simFleet) requireSettles(description string) time.Duration {
-	w.t.Helper()
-	begin := w.now
+func (f *simFleet) requireSettles(description string) time.Duration {
+	f.t.Helper()
+	begin := f.now
 	var err error
-	for w.now.Sub(begin) < convergeLimit {
-		if err = w.checkSettled(); err == nil {
-			return w.now.Sub(begin)
+	for f.now.Sub(begin) < convergeLimit {
+		if err = f.checkSettled(); err == nil {
+			return f.now.Sub(begin)
 		}
-		w.run(step)
+		f.run(step)
 	}
-	for _, name := range w.order {
-		n := w.nodes[name]
+	for _, name := range f.order {
+		n := f.nodes[name]
 		if n.alive && n.parent == "" {
-			w.t.Logf("root %s %s target %q visited %q contacts %d view %d excluded %v sessions %v links %v", name, n.self.DataCentre, n.requestedParent, n.introducedTo, len(n.contacts), len(n.view), n.excludedParents, n.sessions, n.Links())
+			f.t.Logf("root %s %s requested parent %q introduced to %q contacts %d view %d excluded %v sessions %v links %v", name, n.self.DataCentre, n.requestedParent, n.introducedTo, len(n.contacts), len(n.view), n.excludedParents, n.sessions, n.Links())
 		}
 	}
-	require.NoError(w.t, err, description)
+	require.NoError(f.t, err, description)
 	return 0
 }
 
-func (w *simFleet) kill(names ...state.Router) {
+func (f *simFleet) kill(names ...state.Router) {
 	for _, name := range names {
-		w.nodes[name].alive = false
-		clear(w.nodes[name].sessions)
+		f.nodes[name].alive = false
+		clear(f.nodes[name].sessions)
 	}
 }
 
 var sizes = []struct{ routers, centres int }{{1, 1}, {8, 4}, {16, 4}, {17, 4}, {19, 6}, {40, 1}, {66, 3}, {100, 1}, {295, 6}}
 
-// A whole fleet starts at once, knowing only its seeds.
+// All routers of a fleet start at once and know only the seeds. Each must find
+// all others, within the limit on sessions.
 func TestFleetForms(t *testing.T) {
 	for _, size := range sizes {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
-			w := newSimFleet(t, size.routers, size.centres, 1)
-			took := w.requireSettles("start")
-			w.run(3 * time.Second)
+			f := newSimFleet(t, size.routers, size.centres, 1)
+			took := f.requireSettles("start")
+			f.run(3 * time.Second)
 			maxAtRest := 0
-			for _, n := range w.nodes {
+			for _, n := range f.nodes {
 				maxAtRest = max(maxAtRest, len(n.sessions))
 			}
 			t.Logf("settled after %s, sessions at rest %d at most", took, maxAtRest)
-			require.NoError(t, w.checkSettled())
+			require.NoError(t, f.checkSettled())
 		})
 	}
 }
 
-// Routers stop or are killed, one after another and together, and come back.
+// Routers stop or are killed, one or several at a time, and come back. The
+// fleet must converge after each change.
 func TestFleetHealsAfterKills(t *testing.T) {
 	for seed := range uint64(3) {
-		w := newSimFleet(t, 60, 4, seed)
-		w.requireSettles("start")
-		w.run(3 * time.Second)
+		f := newSimFleet(t, 60, 4, seed)
+		f.requireSettles("start")
+		f.run(3 * time.Second)
 		for round := range 6 {
 			var killed []state.Router
-			for range 1 + w.random.IntN(8) {
-				killed = append(killed, w.order[w.random.IntN(len(w.order))])
+			for range 1 + f.random.IntN(8) {
+				killed = append(killed, f.order[f.random.IntN(len(f.order))])
 			}
-			w.kill(killed...)
-			w.requireSettles(fmt.Sprintf("seed %d round %d: killed %v", seed, round, killed))
+			f.kill(killed...)
+			f.requireSettles(fmt.Sprintf("seed %d round %d: killed %v", seed, round, killed))
 			for _, name := range killed {
-				w.start(name, w.nodes[name].self.DataCentre)
+				f.start(name, f.nodes[name].self.DataCentre)
 			}
-			w.requireSettles(fmt.Sprintf("seed %d round %d: restarted %v", seed, round, killed))
+			f.requireSettles(fmt.Sprintf("seed %d round %d: restarted %v", seed, round, killed))
 		}
 	}
 }
 
-// The router that all others hang below is lost, without a word or with one.
+// The root of the tree fails, either with its sessions closed or by falling
+// silent. The other routers must agree on a new root.
 func TestRootIsReplaced(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		w := newSimFleet(t, 60, 4, 7)
-		w.requireSettles("start")
-		w.run(3 * time.Second)
-		root := w.root()
+		f := newSimFleet(t, 60, 4, 7)
+		f.requireSettles("start")
+		f.run(3 * time.Second)
+		root := f.root()
 		if silent {
-			w.nodes[root].silent = true
+			f.nodes[root].silent = true
 		} else {
-			w.kill(root)
+			f.kill(root)
 		}
-		took := w.requireSettles("root lost")
+		took := f.requireSettles("root lost")
 		t.Logf("silent %v: settled after %s", silent, took)
 	}
 }
 
-func (w *simFleet) root() state.Router {
-	for _, name := range w.order {
-		if w.nodes[name].alive && w.nodes[name].parent == "" {
+func (f *simFleet) root() state.Router {
+	for _, name := range f.order {
+		if f.nodes[name].alive && f.nodes[name].parent == "" {
 			return name
 		}
 	}
 	return ""
 }
 
-// Each data centre in turn is cut off. Both sides go on with what they reach,
-// and join again afterwards.
+// Each data centre in turn is cut off. The routers on both sides must keep the
+// routers they reach, and join again once the cut has healed.
 func TestCutDataCentreKeepsItsOwnView(t *testing.T) {
-	w := newSimFleet(t, 60, 4, 3)
-	w.requireSettles("start")
+	f := newSimFleet(t, 60, 4, 3)
+	f.requireSettles("start")
 	for i := range 4 {
-		w.cutCentre = state.DataCentre(fmt.Sprintf("dc%d", i))
-		w.requireSettles("cut " + string(w.cutCentre))
-		w.run(7 * time.Second)
-		require.NoError(t, w.checkSettled())
-		w.cutCentre = ""
-		took := w.requireSettles(fmt.Sprintf("healed dc%d", i))
+		f.cutCentre = state.DataCentre(fmt.Sprintf("dc%d", i))
+		f.requireSettles("cut " + string(f.cutCentre))
+		f.run(7 * time.Second)
+		require.NoError(t, f.checkSettled())
+		f.cutCentre = ""
+		took := f.requireSettles(fmt.Sprintf("healed dc%d", i))
 		t.Logf("dc%d joined after %s", i, took)
 	}
 }
 
-// All processes of a large fleet are killed and start again.
+// All processes of a large fleet are killed and start again. The new fleet must
+// settle.
 func TestWholeFleetRestarts(t *testing.T) {
-	w := newSimFleet(t, 100, 6, 5)
-	w.requireSettles("start")
-	w.kill(w.order...)
-	w.run(time.Second)
-	for _, name := range w.order {
-		w.start(name, w.nodes[name].self.DataCentre)
+	f := newSimFleet(t, 100, 6, 5)
+	f.requireSettles("start")
+	f.kill(f.order...)
+	f.run(time.Second)
+	for _, name := range f.order {
+		f.start(name, f.nodes[name].self.DataCentre)
 	}
-	t.Logf("settled after %s", w.requireSettles("restart"))
+	t.Logf("settled after %s", f.requireSettles("restart"))
 }
 
-// A fleet grows past the size at which all hold sessions with all.
+// A fleet grows beyond the size at which each router holds a session with every
+// other one, and must switch to a tree.
 func TestFleetGrowsIntoATree(t *testing.T) {
-	w := newSimFleet(t, 24, 3, 9)
-	w.kill(w.order[14:]...)
-	w.requireSettles("small")
-	for _, n := range w.nodes {
+	f := newSimFleet(t, 24, 3, 9)
+	f.kill(f.order[14:]...)
+	f.requireSettles("small")
+	for _, n := range f.nodes {
 		require.False(t, n.alive && n.TreeMode())
 	}
-	for _, name := range w.order[14:] {
-		w.start(name, w.nodes[name].self.DataCentre)
-		w.run(100 * time.Millisecond)
+	for _, name := range f.order[14:] {
+		f.start(name, f.nodes[name].self.DataCentre)
+		f.run(100 * time.Millisecond)
 	}
-	w.requireSettles("grown")
+	f.requireSettles("grown")
 }
 
-// Guards against messages that are lost for seconds because their router was found
-// behind the silent link that it had moved from.
+// A router moves in the tree, and its former link is silent but not yet ended.
+// Messages to it were lost for seconds because NextHop chose the former link.
 func TestNextHopFollowsARouterThatMoved(t *testing.T) {
 	moved := membership.Member{Router: "moved", DataCentre: "dc"}
 	o := New(membership.Member{Router: "self", DataCentre: "dc"})
--- a/coordination/overlay/seek.go
+++ b/coordination/overlay/seek.go
@@ -9,8 +9,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// updateParentAndSessions looks for a parent, or a better one, and says which sessions are
-// wanted.
+// updateParentAndSessions looks for a parent, or for a better one, and updates
+// the selection of sessions.
 func (o *Overlay) updateParentAndSessions(now time.Time) {
 	if o.treeMode {
 		o.refreshView()
@@ -23,25 +23,29 @@
 	o.updateSelection()
 }
 
-// findParent chooses a parent among the live routers, or if none precedes this one,
-// among those that were live or that others know.
+// findParent requests a parent among the live routers. If no live router
+// precedes this one, it also considers routers that were live earlier or that
+// other routers reported. If there is no candidate at all, it introduces this
+// part of the fleet to another part.
 func (o *Overlay) findParent(now time.Time) {
 	if o.requestedParent != "" {
 		return
 	}
-	everyone := o.fleetMembers(true)
-	for _, fleet := range [][]membership.Member{o.fleetMembers(false), everyone} {
+	allKnown := o.fleetMembers(true)
+	for _, fleet := range [][]membership.Member{o.fleetMembers(false), allKnown} {
 		if list := parentCandidates(o.self, fleet, o.excludedAt(now)); len(list) > 0 {
 			o.requestParent(now, list[0])
 			return
 		}
 	}
-	o.startIntroduction(now, everyone)
+	o.startIntroduction(now, allKnown)
 }
 
-// startIntroduction makes the first router of another part of the fleet known to this one,
-// which precedes all routers that it knows. Parts that were cut off from each
-// other, or began from different seeds, join so.
+// startIntroduction chooses the first router that is known but not live and
+// introduces this part of the fleet to it. It is called when this router has no
+// candidate for a parent, because it precedes all routers that it knows or the
+// others are excluded. Parts of the fleet that were cut off from each other, or
+// that started from different seeds, join in this way.
 func (o *Overlay) startIntroduction(now time.Time, fleet []membership.Member) {
 	if o.introducedTo != "" {
 		return
@@ -65,13 +69,14 @@
 	}
 }
 
-// sendIntroduction makes this router's part of the fleet known to the visited router,
-// and asks for what that one knows.
+// sendIntroduction sends the known members of this router's part of the fleet
+// to the chosen router and asks for the members that it knows.
 func (o *Overlay) sendIntroduction() {
 	o.emit(Send{To: o.introducedTo, Message: Message{Kind: KindIntroduction, Present: o.knownMembers(), TreeMode: true}})
 }
 
-// reviewParent moves to another parent once that has been preferable for long.
+// reviewParent requests another parent once that router has been preferable for
+// parentSwitchDelay.
 func (o *Overlay) reviewParent(now time.Time) {
 	if o.requestedParent != "" || now.Sub(o.parentReviewedAt) < reviewInterval {
 		return
@@ -81,14 +86,14 @@
 	if len(list) == 0 {
 		return
 	}
-	best := list[0]
+	candidate := list[0]
 	switch {
-	case best == o.parent:
+	case candidate == o.parent:
 		o.preferredParent = ""
-	case best != o.preferredParent:
-		o.preferredParent, o.preferredSince = best, now
+	case candidate != o.preferredParent:
+		o.preferredParent, o.preferredSince = candidate, now
 	case now.Sub(o.preferredSince) >= parentSwitchDelay:
-		o.requestParent(now, best)
+		o.requestParent(now, candidate)
 	}
 }
 
@@ -99,13 +104,14 @@
 	}
 }
 
-// excludedAt says which routers are not to be asked now.
+// excludedAt returns a function that reports whether a router is excluded as
+// parent at the given time.
 func (o *Overlay) excludedAt(now time.Time) func(state.Router) bool {
 	return func(router state.Router) bool { return o.excludedParents.isExcluded(now, router) }
 }
 
-// fleetMembers returns the routers to choose a parent from: the live ones, and those
-// that were if all is true.
+// fleetMembers returns the live routers and, if includeContacts is set, also
+// the known routers that are not live.
 func (o *Overlay) fleetMembers(includeContacts bool) []membership.Member {
 	fleet := slices.Collect(maps.Values(o.view))
 	if !includeContacts {
@@ -119,29 +125,29 @@
 	return fleet
 }
 
-// updateSelection says which sessions are wanted, if that changed.
+// updateSelection emits SelectPeers if the needed sessions have changed.
 func (o *Overlay) updateSelection() {
-	var wanted SelectPeers
+	var needed SelectPeers
 	if o.treeMode {
 		for _, router := range []state.Router{o.requestedParent, o.introducedTo} {
 			if c, ok := o.contacts[router]; ok {
-				wanted.Members = append(wanted.Members, c.Member)
+				needed.Members = append(needed.Members, c.Member)
 			}
 		}
-		if wanted.DialSeeds = o.parent == ""; wanted.DialSeeds {
-			wanted.LiveRouters = slices.Sorted(maps.Keys(o.view))
+		if needed.DialSeeds = o.parent == ""; needed.DialSeeds {
+			needed.LiveRouters = slices.Sorted(maps.Keys(o.view))
 		}
 	} else {
 		for _, router := range slices.Sorted(maps.Keys(o.contacts)) {
-			wanted.Members = append(wanted.Members, o.contacts[router].Member)
+			needed.Members = append(needed.Members, o.contacts[router].Member)
 		}
-		wanted.DialSeeds = true
+		needed.DialSeeds = true
 	}
-	if wanted.equal(o.selection) {
+	if needed.equal(o.selection) {
 		return
 	}
-	o.selection = wanted
-	o.emit(wanted)
+	o.selection = needed
+	o.emit(needed)
 }
 
 func (s SelectPeers) equal(other SelectPeers) bool {
--- a/coordination/overlay/view.go
+++ b/coordination/overlay/view.go
@@ -9,7 +9,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-// refreshView brings the view up to date.
+// refreshView recomputes the view of live routers if it is out of date.
 func (o *Overlay) refreshView() {
 	if o.viewStale || o.view == nil {
 		o.view = o.membersOnThisSide("")
@@ -17,8 +17,8 @@
 	}
 }
 
-// membersOnThisSide returns the routers on this side of the link with a peer, this one
-// included; all live ones for no peer.
+// membersOnThisSide returns the routers on this side of the link with a peer,
+// including this one. For an empty peer it returns all live routers.
 func (o *Overlay) membersOnThisSide(peer state.Router) map[state.Router]membership.Member {
 	if peer != "" && peer == o.parent {
 		return o.subtree()
@@ -26,13 +26,13 @@
 	return o.collectMembers(func(via state.Router, _ bool) bool { return peer == "" || via != peer })
 }
 
-// subtree returns this router and those of its subtree.
+// subtree returns this router and the routers below it in the tree.
 func (o *Overlay) subtree() map[state.Router]membership.Member {
 	return o.collectMembers(func(_ state.Router, above bool) bool { return !above })
 }
 
-// collectMembers merges the sides of links, present and lost, that a condition holds
-// for.
+// collectMembers merges the members behind those current and lost links for
+// which include returns true, and adds this router.
 func (o *Overlay) collectMembers(include func(via state.Router, above bool) bool) map[state.Router]membership.Member {
 	members := make(map[state.Router]membership.Member)
 	for _, side := range o.lostLinks {
@@ -49,7 +49,8 @@
 	return members
 }
 
-// merge adds members; of two runs of one router the later counts.
+// merge adds members to a map. Of two incarnations of a router, the later one
+// is kept.
 func merge(into, from map[state.Router]membership.Member) {
 	for router, m := range from {
 		if existing, ok := into[router]; !ok || existing.Incarnation <= m.Incarnation {
@@ -58,8 +59,9 @@
 	}
 }
 
-// knownMembers returns the live routers and those with a session, in the order of
-// names. While a fleet starts, few are linked yet.
+// knownMembers returns the live routers and the routers with a session, ordered
+// by name. Sessions count because few routers have links yet while a fleet
+// starts.
 func (o *Overlay) knownMembers() []membership.Member {
 	members := make(map[state.Router]membership.Member)
 	for router := range o.sessions {
@@ -75,7 +77,8 @@
 	return sortedByName(members)
 }
 
-// snapshot returns everything on this side of a link, to be sent to its peer.
+// snapshot returns all routers on this side of a link and records them as sent
+// to the peer.
 func (o *Overlay) snapshot(peer state.Router) []membership.Member {
 	o.links[peer].sentMembers = o.membersOnThisSide(peer)
 	return sortedByName(o.links[peer].sentMembers)
@@ -85,8 +88,8 @@
 	return slices.SortedFunc(maps.Values(members), func(a, b membership.Member) int { return cmp.Compare(a.Router, b.Router) })
 }
 
-// sendChanges sends over each link what changed on this side since the last
-// time.
+// sendChanges sends the changes on this side since the previous call over each
+// link.
 func (o *Overlay) sendChanges() {
 	if !o.changesUnsent {
 		return
