--- a/coordination/exchange/catchup.go
+++ b/coordination/exchange/catchup.go
@@ -12,78 +12,84 @@
 )
 
 const (
-	// answerTimeout is how long a peer may take to tell all that it holds. It
-	// is a few milliseconds' work; a busy VM takes some hundred.
+	// answerTimeout is how long a peer may take to send all its objects.
+	// Sending takes a few milliseconds, and some hundred milliseconds on a
+	// loaded VM.
 	answerTimeout = time.Second
-	// emptyRetryDelay is the pause after a peer that holds nothing: while a whole
-	// fleet starts, nobody does until the first has read the store.
+	// emptyRetryDelay is the wait after a peer answered that it has no objects.
+	// While a whole fleet starts, no router has any until the first one has
+	// read the store.
 	emptyRetryDelay = 300 * time.Millisecond
-	// steadyDifferenceDelay is how long something may be missing here that a peer holds
-	// which follows the store, before that peer is asked. Changes need some
-	// tens of milliseconds from router to router, and configurations must be
-	// in force within two seconds.
+	// steadyDifferenceDelay is how long an unchanged difference to a reader (a
+	// peer that reads the store) may last before this router asks that reader.
+	// Changes take some tens of milliseconds from router to router, and a new
+	// configuration must be in force within two seconds.
 	steadyDifferenceDelay = 300 * time.Millisecond
-	// changingDifferenceDelay is the same while upstreams come and go all the time, so that
-	// two routers are hardly ever seen to hold the same. It is too long for a
-	// router that was cut off: requests go on to an upstream that left
-	// meanwhile, while others that come back change what is held again and
-	// again. For as long after a peer was out of reach any difference of
-	// lacksFor counts.
+	// changingDifferenceDelay is the same limit while upstreams continually
+	// come and go, so that two routers rarely have equal state at the moment
+	// they compare it. This limit is too long for a router that was cut off: it
+	// would go on sending requests to an upstream that left meanwhile, while
+	// returning upstreams keep changing the state. For this long after a peer
+	// was unreachable, a changing difference is therefore limited by
+	// steadyDifferenceDelay instead.
 	changingDifferenceDelay = 2 * time.Second
 )
 
-// CatchUp decides when a router has to be told all objects by a peer, and by
-// which. Changes are told as they happen, so that only a router that has just
-// started, or was cut off from a peer, may lack some; and one peer is enough to
-// learn them from. While each peer told all at the start of each session, the
-// start of 85 routers took 32 MB more between data centres.
+// CatchUp decides when a router must fetch all objects from a peer, and from
+// which peer. Changes are sent as they happen, so only a router that has just
+// started or was cut off from a peer may lack objects, and fetching them from
+// one peer is enough. When every peer sent all objects at the start of each
+// session, starting 85 routers transferred 32 MB more between data centres.
 //
-// The zero value is a router that has just started. It is not safe for
-// concurrent use.
+// The zero value represents a router that has just started. A CatchUp is not
+// safe for concurrent use.
 type CatchUp struct {
-	// complete is set while nothing can be missing.
+	// complete is set while this router cannot lack any object.
 	complete bool
-	// missedAt is when something may last have been missed; rejoined is when a peer
-	// that was out of reach was last back.
+	// missedAt is the latest time at which this router may have missed a
+	// change. rejoinedAt is when a peer that was unreachable last returned.
 	missedAt, rejoinedAt time.Time
-	// knownIncarnations are the runs of the peers that sessions were held with.
+	// knownIncarnations holds the latest incarnation of each peer with which
+	// there was a session.
 	knownIncarnations map[state.Router]state.Incarnation
-	// askedPeer is the peer asked last, empty once it has answered; at is when,
-	// and retry the earliest time for the next.
+	// askedPeer is the peer that was asked last, at askedAt; empty once it has
+	// answered. nextAsk is the earliest time to ask again.
 	askedPeer state.Router
 	askedAt   time.Time
 	nextAsk   time.Time
-	// triedPeers are the peers that were asked in vain.
+	// triedPeers holds the peers that were asked without success.
 	triedPeers map[state.Router]bool
-	// differences are those to the peers that follow the store.
+	// differences holds the current differences to readers.
 	differences map[state.Router]difference
-	// holder is a peer that holds what is missing here, empty if none is known;
-	// sure is set while the peer asked is such a one.
+	// holder is a peer that has objects which this router lacks; empty if none
+	// is known. askedHolder is set while the asked peer is such a holder.
 	holder      state.Router
 	askedHolder bool
-	// consultedPeers are the peers asked of upstreams that may be gone.
+	// consultedPeers holds the readers that were asked about suspected
+	// upstreams.
 	consultedPeers map[state.Router]bool
 }
 
-// StateSummary recognises what a router holds.
+// StateSummary identifies the state that a router has stored.
 type StateSummary struct {
-	// ConfigRevision is the configuration's revision.
+	// ConfigRevision is the revision of the configuration; 0 if there is none.
 	ConfigRevision uint64
-	// UpstreamsDigest is a digest of the upstreams.
+	// UpstreamsDigest is a digest of all upstream entries.
 	UpstreamsDigest uint64
 }
 
-// difference is one that was seen between two routers.
+// difference is an observed difference between the states of two routers.
 type difference struct {
 	remote, local StateSummary
-	// firstSeen is when it began, steady since when both hold the same as now.
+	// firstSeen is when the difference began. unchangedSince is since when both
+	// states have been the same as now.
 	firstSeen, unchangedSince time.Time
 }
 
-// SummaryReceived takes what any peer holds beside what is held here. A router that has
-// nothing yet asks the first that has something: while it asked its neighbours
-// in turn, who had just started as well, a fleet that had lost power as a whole
-// took 0.7 s longer to serve.
+// SummaryReceived compares the state of any peer with the local state. A router
+// without a configuration asks the first peer that has one. When it asked its
+// neighbours in turn, which had just started as well, a fleet that had lost
+// power as a whole took 0.7 s longer to serve requests.
 func (c *CatchUp) SummaryReceived(now time.Time, from state.Router, remote, local StateSummary) {
 	if c.complete || local.ConfigRevision > 0 || remote.ConfigRevision == 0 || c.askedHolder && now.Sub(c.askedAt) < answerTimeout {
 		return
@@ -91,9 +97,10 @@
 	c.holder = from
 }
 
-// CompareWithReader takes what a peer holds that follows the store beside what is held
-// here. A change that was lost on its way, as with a router that stopped while
-// it passed it on, shows as a difference that stays.
+// CompareWithReader compares the state of a reader, which is a peer that reads
+// the store, with the local state. A change that was lost, for example because
+// a router stopped while it forwarded the change, shows as a lasting
+// difference.
 func (c *CatchUp) CompareWithReader(now time.Time, from state.Router, remote, local StateSummary) {
 	if c.differences == nil {
 		c.differences = make(map[state.Router]difference)
@@ -117,7 +124,8 @@
 	}
 }
 
-// differenceLimit is how long a difference may last that goes on to change.
+// differenceLimit returns how long a difference may last while the states keep
+// changing.
 func (c *CatchUp) differenceLimit(now time.Time) time.Duration {
 	if now.Sub(c.rejoinedAt) < changingDifferenceDelay {
 		return steadyDifferenceDelay
@@ -125,9 +133,10 @@
 	return changingDifferenceDelay
 }
 
-// SessionOpened notes a new session. A peer's run that was known before was out of
-// reach for a while, and what it told meanwhile is missing; a new run has
-// nothing to tell that its peers lack.
+// SessionOpened processes a new session. If the peer's incarnation is already
+// known, the peer was unreachable for a while and this router has missed the
+// changes that it sent meanwhile. A new incarnation has no changes that the
+// other peers lack.
 func (c *CatchUp) SessionOpened(now time.Time, p scheduler.Peer) {
 	if c.knownIncarnations == nil {
 		c.knownIncarnations = make(map[state.Router]state.Incarnation)
@@ -140,21 +149,23 @@
 	c.knownIncarnations[p.Router] = p.Incarnation
 }
 
-// MarkRejoined notes that a part of the fleet that was out of reach may be back, so
-// that differences to peers that follow the store are soon asked about.
+// MarkRejoined records that an unreachable part of the fleet may be back, so
+// that differences to readers lead to a request sooner.
 func (c *CatchUp) MarkRejoined(now time.Time) {
 	c.rejoinedAt = now
 	clear(c.triedPeers)
 	clear(c.consultedPeers)
 }
 
-// SuspectUpstreams takes that upstreams may be gone that are still used here, and the
-// peers that follow the store and hold other upstreams. One that reached
-// the store all the time knows, and told of it when this router was cut
-// off. A lasting difference shows that too late: upstreams that were cut off as
-// well come back one after the other, and meanwhile requests go to one that is
-// gone. So each of these peers is asked at once, one at a time and each once.
-// Those of other data centres come first, for a cut mostly takes a whole one.
+// SuspectUpstreams reports that upstreams which this router still uses may have
+// been removed; readers are the peers that read the store and have other
+// upstreams. A reader that could reach the store all the time knows of the
+// removal and announced it while this router was cut off. Waiting for a lasting
+// difference takes too long: upstreams that were also cut off return one by one
+// and keep changing the state, and meanwhile requests go to a removed upstream.
+// So each reader is asked without delay, one at a time and each of them once.
+// Readers in other data centres come first, because a network cut usually
+// affects a whole data centre.
 func (c *CatchUp) SuspectUpstreams(now time.Time, self scheduler.Peer, readers []scheduler.Peer) {
 	if c.holder != "" || c.askedHolder && now.Sub(c.askedAt) < answerTimeout {
 		return
@@ -165,19 +176,20 @@
 	if len(candidates) == 0 {
 		return
 	}
-	best := pickPeer(self, candidates, func(p scheduler.Peer) bool { return p.DataCentre != self.DataCentre })
+	reader := pickPeer(self, candidates, func(p scheduler.Peer) bool { return p.DataCentre != self.DataCentre })
 	if c.consultedPeers == nil {
 		c.consultedPeers = make(map[state.Router]bool)
 	}
-	c.consultedPeers[best.Router] = true
-	c.complete, c.missedAt, c.holder = false, now, best.Router
+	c.consultedPeers[reader.Router] = true
+	c.complete, c.missedAt, c.holder = false, now, reader.Router
 }
 
-// ClearSuspicion takes that no upstream is in doubt.
+// ClearSuspicion reports that no upstream is suspected any more.
 func (c *CatchUp) ClearSuspicion() { clear(c.consultedPeers) }
 
-// NextPeer returns the peer to ask now, if any: those of the own data centre first,
-// in an order that differs from router to router.
+// NextPeer returns the peer to ask now, if any. Peers of this router's data
+// centre come first. Each router uses a different order, which spreads the
+// requests.
 func (c *CatchUp) NextPeer(now time.Time, self scheduler.Peer, live []scheduler.Peer) (state.Router, bool) {
 	if c.complete {
 		return "", false
@@ -197,22 +209,23 @@
 		c.nextAsk = now.Add(emptyRetryDelay)
 		return "", false
 	}
-	best := pickPeer(self, candidates, func(p scheduler.Peer) bool { return p.DataCentre == self.DataCentre })
+	peer := pickPeer(self, candidates, func(p scheduler.Peer) bool { return p.DataCentre == self.DataCentre })
 	if c.triedPeers == nil {
 		c.triedPeers = make(map[state.Router]bool)
 	}
-	c.triedPeers[best.Router] = true
-	c.askedPeer, c.askedAt, c.askedHolder = best.Router, now, false
-	return best.Router, true
+	c.triedPeers[peer.Router] = true
+	c.askedPeer, c.askedAt, c.askedHolder = peer.Router, now, false
+	return peer.Router, true
 }
 
-// AwaitingAnswer says whether a peer was asked that may still answer.
+// AwaitingAnswer reports whether a peer was asked and its time to answer has
+// not passed.
 func (c *CatchUp) AwaitingAnswer(now time.Time) bool {
 	return c.askedPeer != "" && now.Sub(c.askedAt) < answerTimeout
 }
 
-// Answered notes that a peer has told all that it holds; holds is false if that
-// is nothing.
+// Answered records that a peer has sent all its objects; hasState is false if
+// it had none.
 func (c *CatchUp) Answered(now time.Time, from state.Router, hasState bool) {
 	if from != c.askedPeer {
 		return
@@ -223,18 +236,18 @@
 		c.nextAsk = now.Add(emptyRetryDelay / time.Duration(max(len(c.triedPeers), 1)))
 		return
 	}
-	// What was missed after the question was asked may not be in the answer.
+	// The answer may lack changes that were missed after the request was sent.
 	c.complete = !c.missedAt.After(c.askedAt)
 	clear(c.triedPeers)
-	// A neighbour may have been cut off together with this router, and its
-	// answer says nothing of what readers hold.
+	// A neighbour may have been cut off together with this router, so its
+	// answer does not resolve differences to readers.
 	if fromHolder {
 		clear(c.differences)
 	}
 }
 
-// pickPeer returns one of the candidates, a preferred one if there is any, in an
-// order that differs from router to router.
+// pickPeer returns one of the candidates, and a preferred one if there is any.
+// A hash of both names makes the choice differ between routers.
 func pickPeer(self scheduler.Peer, candidates []scheduler.Peer, prefer func(scheduler.Peer) bool) scheduler.Peer {
 	preferred := slices.DeleteFunc(slices.Clone(candidates), func(p scheduler.Peer) bool { return !prefer(p) })
 	if len(preferred) > 0 {
--- a/coordination/exchange/catchup_test.go
+++ b/coordination/exchange/catchup_test.go
@@ -15,7 +15,7 @@
 
 func after(d time.Duration) time.Time { return start.Add(d) }
 
-// fleet returns routers in turn over data centres.
+// fleet returns peers that are assigned to data centres in turn.
 func fleet(routers, dataCentres int) []scheduler.Peer {
 	var peers []scheduler.Peer
 	for i := range routers {
@@ -27,7 +27,7 @@
 	return peers
 }
 
-// runningFleet returns a fleet's peers with their first runs.
+// runningFleet returns peers with incarnation 1.
 func runningFleet(routers, dataCentres int) []scheduler.Peer {
 	live := fleet(routers, dataCentres)
 	for i := range live {
@@ -36,8 +36,8 @@
 	return live
 }
 
-// A router starts in a running fleet. It asks one peer of its data centre, and
-// no other once that has answered, however many sessions open meanwhile.
+// A router starts in a running fleet. It must ask one peer of its data centre,
+// and no other peer after the answer, however many sessions open meanwhile.
 func TestNewRouterAsksOnePeer(t *testing.T) {
 	live := runningFleet(20, 4)
 	var c CatchUp
@@ -63,8 +63,8 @@
 	return scheduler.Peer{}
 }
 
-// The peer that was asked falls silent, the next one holds nothing itself. The
-// router must go on to one that can tell.
+// The first asked peer does not answer and the second has no objects. The
+// router must go on to a third peer.
 func TestSilentAndEmptyPeersAreSkipped(t *testing.T) {
 	live := runningFleet(4, 2)
 	var c CatchUp
@@ -81,14 +81,14 @@
 	require.NotContains(t, []state.Router{silent, empty}, last)
 	c.Answered(after(answerTimeout+emptyRetryDelay), silent, true)
 	_, ok = c.NextPeer(after(3*answerTimeout), live[0], live)
-	require.False(t, ok, "all were tried; a late answer of another one does not count")
+	require.False(t, ok, "all peers were tried, and a late answer from another peer must not count")
 	_, ok = c.NextPeer(after(3*answerTimeout+emptyRetryDelay), live[0], live)
 	require.True(t, ok)
 }
 
-// A partition ends: the sessions with peers whose runs were known open anew.
-// What they told meanwhile is missing here, so one of them is asked. A peer
-// that comes back as a new run holds nothing that this router lacks.
+// A partition ends and sessions open again with peers whose incarnations were
+// known. Changes that they sent meanwhile were missed, so one of them is asked.
+// A peer with a new incarnation has nothing that this router lacks.
 func TestReconnectToAKnownRunTriggersCatchUp(t *testing.T) {
 	live := runningFleet(3, 1)
 	var c CatchUp
@@ -110,10 +110,10 @@
 	c.SessionOpened(after(2*time.Second+1), restarted)
 	c.Answered(after(2*time.Second+2), router, true)
 	_, ok = c.NextPeer(after(2*time.Second+2), live[0], live)
-	require.True(t, ok, "a second partition ended after the question")
+	require.True(t, ok, "a second partition ended after the request was sent")
 }
 
-// newCaughtUp returns a router that lacks nothing.
+// newCaughtUp returns a CatchUp that lacks no object.
 func newCaughtUp(t *testing.T, live []scheduler.Peer) *CatchUp {
 	t.Helper()
 	var c CatchUp
@@ -123,8 +123,8 @@
 	return &c
 }
 
-// A change is lost between two routers. What the reader holds goes on to differ
-// from what is held here, and the reader is asked.
+// A change is lost between two routers, so a reader's state keeps differing
+// from the local state. The router must ask that reader.
 func TestLastingDifferenceAsksTheReader(t *testing.T) {
 	live := runningFleet(9, 3)
 	for name, remote := range map[string]StateSummary{"configuration": {ConfigRevision: 4, UpstreamsDigest: 7}, "upstreams": {ConfigRevision: 3, UpstreamsDigest: 8}} {
@@ -141,8 +141,9 @@
 	}
 }
 
-// Upstreams come and go all the time, and each look finds another change on its
-// way. That asks nobody unless the two are never seen to hold the same.
+// Upstreams come and go continually, so each comparison finds another change in
+// flight. This must trigger no request unless the two states are never seen to
+// be equal.
 func TestChangesInFlightTriggerNoRequest(t *testing.T) {
 	live := runningFleet(9, 3)
 	c := newCaughtUp(t, live)
@@ -161,12 +162,12 @@
 			return
 		}
 	}
-	t.Fatal("a lasting difference was never asked about")
+	t.Fatal("a lasting difference triggered no request")
 }
 
-// A whole fleet starts. The neighbours that were asked first hold nothing; as
-// soon as any peer says that it holds something, that one is asked, and no
-// second one while it may still answer.
+// A whole fleet starts. The neighbours that were asked first have no objects.
+// As soon as any peer reports that it has some, the router must ask that peer,
+// and no second one while the first may still answer.
 func TestStartingRouterAsksAPeerWithState(t *testing.T) {
 	live := runningFleet(9, 3)
 	var c CatchUp
@@ -189,8 +190,8 @@
 	require.False(t, ok)
 }
 
-// A router that reads less than the others holds an older configuration. That
-// is its own to mend.
+// A peer that has fallen behind has an older configuration. The peer has to
+// fetch the newer one; this router must not ask it.
 func TestOlderRemoteConfigurationTriggersNoRequest(t *testing.T) {
 	live := runningFleet(9, 3)
 	c := newCaughtUp(t, live)
@@ -201,9 +202,9 @@
 	require.False(t, ok)
 }
 
-// A cut has healed, and an upstream may be gone that is still used. Whoever
-// follows the store is asked at once and once, other data centres first, and
-// the next one only when the first has answered or stays silent.
+// A cut has healed, and an upstream that is still used may have been removed.
+// Each reader must be asked once and without delay, other data centres first,
+// and the next one only after an answer or a timeout.
 func TestSuspectUpstreamsAsksEachReaderOnce(t *testing.T) {
 	live := runningFleet(8, 4)
 	c, self := newCaughtUp(t, live), live[0]
@@ -216,21 +217,22 @@
 	require.True(t, ok)
 	require.NotEqualValues(t, "r004", first)
 	_, ok = ask(after(answerTimeout - 1))
-	require.False(t, ok, "it may still answer")
+	require.False(t, ok, "the first reader may still answer")
 	second, ok := ask(after(answerTimeout))
 	require.True(t, ok)
 	require.NotContains(t, []state.Router{first, "r004"}, second)
 	c.Answered(after(answerTimeout+1), second, true)
 	third, ok := ask(after(answerTimeout + 2))
 	require.True(t, ok)
-	require.EqualValues(t, "r004", third, "its data centre may not have been cut off as a whole")
+	require.EqualValues(t, "r004", third, "the reader in the same data centre comes last")
 	c.Answered(after(answerTimeout+3), third, true)
 	_, ok = ask(after(3 * answerTimeout))
-	require.False(t, ok, "all have been asked; what they learn later they tell")
+	require.False(t, ok, "all readers were asked, and they announce later changes themselves")
 }
 
-// A peer that was asked was cut off again, and what it told meanwhile is
-// missing. It is asked anew, as are all once another upstream is in doubt.
+// A reader that was asked is cut off again, so changes it sent meanwhile are
+// missing. It must be asked again, and so must all readers once another
+// upstream is suspected.
 func TestSuspectUpstreamsAsksAgainAfterASession(t *testing.T) {
 	live := runningFleet(8, 4)
 	c, self := newCaughtUp(t, live), live[0]
@@ -254,10 +256,10 @@
 	requireAsked(after(3))
 }
 
-// A data centre is back after a cut. Its routers ask each other first, who have
-// all missed the same, while upstreams that were cut off as well come back one
-// by one. A reader that goes on to hold something else is asked without waiting
-// for the changes to end.
+// A data centre returns after a cut. Its routers, which have all missed the
+// same changes, ask each other first, while upstreams that were cut off too
+// return one by one. A reader with a lasting difference must be asked before
+// these changes end.
 func TestReaderIsAskedAfterANeighbourWithTheSameGap(t *testing.T) {
 	live := runningFleet(8, 4)
 	c, reader := newCaughtUp(t, live), findPeer(live, "r001")
--- a/coordination/exchange/fetch.go
+++ b/coordination/exchange/fetch.go
@@ -9,22 +9,24 @@
 	"github.com/figstile/figstile/state"
 )
 
-// fetchTimeout is how long a peer may take to send an object that it announced,
-// before another one is asked.
+// fetchTimeout is how long a peer may take to send an object that it announced
+// before another peer is asked.
 const fetchTimeout = 600 * time.Millisecond
 
-// Fetch decides from which peer a large object is fetched that several announce,
-// so that it crosses the links of a router once. The zero value is usable. It is
-// not safe for concurrent use.
+// Fetch decides from which peer to fetch a large object that several peers
+// announce, so that it crosses the router's network links only once. The zero
+// value is ready to use. A Fetch is not safe for concurrent use.
 type Fetch struct {
-	// offeredRevisions are the newest revisions that peers announced.
+	// offeredRevisions holds the newest revision that each peer announced.
 	offeredRevisions map[state.Router]uint64
-	// askedPeer is the peer that was asked last, empty once it has answered.
+	// askedPeer is the peer that was asked last, at askedAt; empty once a
+	// revision has arrived.
 	askedPeer state.Router
 	askedAt   time.Time
 }
 
-// Announced takes that a peer holds a revision.
+// Announced records that a peer announced a revision, unless it is not newer
+// than the stored revision.
 func (f *Fetch) Announced(from state.Router, revision, storedRevision uint64) {
 	if revision <= storedRevision || revision <= f.offeredRevisions[from] {
 		return
@@ -35,8 +37,8 @@
 	f.offeredRevisions[from] = revision
 }
 
-// NextPeer returns the peer to ask now, if any: one that announced the newest
-// revision.
+// NextPeer returns the peer to ask now, if any. It chooses a peer that
+// announced the newest revision.
 func (f *Fetch) NextPeer(now time.Time, storedRevision uint64) (state.Router, bool) {
 	if f.askedPeer != "" {
 		if now.Sub(f.askedAt) < fetchTimeout {
@@ -56,7 +58,8 @@
 	return f.askedPeer, true
 }
 
-// ExpectedRevision returns the revision that was asked for, 0 if none was.
+// ExpectedRevision returns the revision that was requested, or 0 if none is
+// pending.
 func (f *Fetch) ExpectedRevision() uint64 {
 	if f.askedPeer == "" {
 		return 0
@@ -64,7 +67,7 @@
 	return f.offeredRevisions[f.askedPeer]
 }
 
-// RevisionReceived notes that a revision was received.
+// RevisionReceived records that a revision was received.
 func (f *Fetch) RevisionReceived(revision uint64) {
 	f.askedPeer = ""
 	maps.DeleteFunc(f.offeredRevisions, func(_ state.Router, offered uint64) bool { return offered <= revision })
--- a/coordination/exchange/fetch_test.go
+++ b/coordination/exchange/fetch_test.go
@@ -8,8 +8,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Three peers announce a large object; each sending it would take the link three
-// times.
+// Three peers announce a large object. It must be requested from one of them;
+// if each sent it, it would cross the router's network link three times.
 func TestObjectIsFetchedFromOnePeer(t *testing.T) {
 	var f Fetch
 	for _, peer := range []state.Router{"a", "b", "c"} {
@@ -24,7 +24,8 @@
 	require.False(t, ok)
 }
 
-// The peer that was asked is gone: another one that announced the object is asked.
+// The asked peer does not answer. Another peer that announced the object must
+// be asked.
 func TestSilentPeerIsReplaced(t *testing.T) {
 	var f Fetch
 	f.Announced("a", 5, 4)
@@ -34,10 +35,11 @@
 	require.True(t, ok)
 	require.NotEqual(t, first, second)
 	_, ok = f.NextPeer(after(2*fetchTimeout), 4)
-	require.False(t, ok, "both were asked in vain")
+	require.False(t, ok, "both peers were asked without an answer")
 }
 
-// Versions come in quick succession: those between are skipped.
+// Several revisions are announced in quick succession. Only the newest one must
+// be fetched next; the revisions between are skipped.
 func TestNewestVersionIsFetched(t *testing.T) {
 	var f Fetch
 	f.Announced("a", 5, 4)
