--- a/coordination/fencing/backoff.go
+++ b/coordination/fencing/backoff.go
@@ -6,25 +6,28 @@
 	"time"
 )
 
-// orderAttempts remembers the orders that were given and did not show their effect
-// yet. Each order backs off on its own: a model that cannot be loaded must
-// neither be loaded over and over, which uses up the weight store's rate, nor
-// hold up the orders behind it.
+// orderAttempts remembers the orders that were sent and whose effect no report
+// has shown yet. Each order backs off separately: a model that cannot be loaded
+// must not be loaded again and again, which would use up the rate limit of the
+// weight store, and it must not delay the orders behind it.
 type orderAttempts struct {
 	timing  Timing
 	byOrder map[Order]orderAttempt
 }
 
-// orderAttempt is how often an order was given and when it may be given again.
+// orderAttempt counts how often an order was sent and holds the earliest time
+// to send it again.
 type orderAttempt struct {
 	count     int
 	notBefore time.Duration
 }
 
-// maxDoublings keeps the shift far from overflow.
+// maxDoublings limits the doublings of the delay so that the shift cannot
+// overflow.
 const maxDoublings = 10
 
-// orderEnded notes the end of an order.
+// orderEnded records that an order has ended and doubles the delay before the
+// same order may be sent again, up to Timing.MaxBackoff.
 func (a *orderAttempts) orderEnded(order Order, now time.Duration) {
 	order.Number = 0
 	previous := a.byOrder[order]
@@ -32,8 +35,8 @@
 	a.byOrder[order] = orderAttempt{count: previous.count + 1, notBefore: now + min(delay, a.timing.MaxBackoff)}
 }
 
-// nextDue returns the first of the missing orders that may be given now, and
-// forgets those that are no longer missing.
+// nextDue returns the first missing order that may be sent now. It forgets the
+// attempts of orders that are no longer missing.
 func (a *orderAttempts) nextDue(missing []Order, now time.Duration) (Order, bool) {
 	maps.DeleteFunc(a.byOrder, func(order Order, _ orderAttempt) bool { return !slices.Contains(missing, order) })
 	for _, order := range missing {
--- a/coordination/fencing/event.go
+++ b/coordination/fencing/event.go
@@ -2,21 +2,21 @@
 
 import "github.com/figstile/figstile/state"
 
-// Event is something that happened. Events are plain data.
+// Event is something that happened. Events contain only data.
 type Event interface{ event() }
 
-// DesiredChanged replaces what the engine is to hold; nil if this router has no say
-// over it any more.
+// DesiredChanged replaces the desired state of the engine. Desired is nil if
+// this router no longer controls the engine.
 type DesiredChanged struct {
 	Desired *DesiredState
 }
 
-// ReportReceived is a load report as it was read just now.
+// ReportReceived is a load report that was read just now.
 type ReportReceived struct {
 	Report state.LoadReport
 }
 
-// Tick comes at a steady pace, well below Timing.Jump.
+// Tick must occur at a regular interval that is well below Timing.MaxStepGap.
 type Tick struct{}
 
 // LeaseRead answers ReadLease. Version is zero if there is no lease object.
@@ -30,25 +30,26 @@
 	Version uint64
 }
 
-// LeaseConflict answers WriteLease: another write came first.
+// LeaseConflict answers WriteLease: the object no longer had the expected
+// version, so nothing was written.
 type LeaseConflict struct{}
 
-// LeaseFailed answers ReadLease and WriteLease: the store gave no answer, and
-// a write may have taken effect.
+// LeaseFailed answers ReadLease and WriteLease: the store did not answer. A
+// write may still have taken effect.
 type LeaseFailed struct{}
 
-// OrderDone answers SendOrder: the engine says that it obeyed.
+// OrderDone answers SendOrder: the engine confirmed the order.
 type OrderDone struct{}
 
-// OrderStale answers SendOrder: the engine refused the fencing number.
+// OrderStale answers SendOrder: the engine rejected the fencing number.
 type OrderStale struct{}
 
-// OrderFailed answers SendOrder: the engine refused the order for another
-// reason or gave no answer. It may have obeyed.
+// OrderFailed answers SendOrder: the engine rejected the order for another
+// reason or did not answer. It may have carried out the order.
 type OrderFailed struct{}
 
-// OrderLate answers SendOrder: the host found the order late by its clock and
-// did not send it.
+// OrderLate answers SendOrder: according to the host's clock it was too late,
+// so the host did not send the order.
 type OrderLate struct{}
 
 func (DesiredChanged) event() {}
--- a/coordination/fencing/holder.go
+++ b/coordination/fencing/holder.go
@@ -6,78 +6,86 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Config sets up a Holder.
+// Config holds the settings of a Holder.
 type Config struct {
 	Self        state.Router
 	Incarnation state.Incarnation
-	// ChecksFencing says that the engine refuses orders with an old number.
+	// ChecksFencing is set if the engine rejects orders with an old fencing
+	// number.
 	ChecksFencing bool
 	Timing        Timing
 }
 
-// Holder decides on the orders of one router to one engine. It takes the lease
-// only while there is an order to give: renewing the leases of all engines all
-// the time would use up the platform's writes.
+// Holder decides on the orders that one router sends to one engine. It holds
+// the lease only while there is an order to send; renewing the leases of all
+// engines all the time would use up the platform's write capacity.
 type Holder struct {
 	config  Config
 	desired *DesiredState
 
-	// lastEvent is the instant of the latest event.
+	// lastEvent is the time of the latest event.
 	lastEvent Instant
-	// pendingCall is the call to the store that has not been answered.
+	// pendingCall is the call to the store that has not been answered yet.
 	pendingCall storeCall
-	// knownLease is the lease as last read or written; nil if it must be read.
+	// knownLease is the lease object as last read or written; nil if it must be
+	// read again.
 	knownLease *knownLease
-	// heldLease is the lease as far as it is this router's own; nil if it is not.
+	// heldLease is the lease while this router holds it; nil otherwise.
 	heldLease *heldLease
-	// nextStoreCall is when the store may be called again.
+	// nextStoreCall is the earliest time for the next read of the lease, or for
+	// the write that releases it.
 	nextStoreCall time.Duration
 
-	// pendingOrder is the order that has not been answered; nil if there is none.
+	// pendingOrder is the order that has not been answered yet; nil if there is
+	// none.
 	pendingOrder *sentOrder
 	attempts     orderAttempts
 
-	// report is the latest report that counts; nil after an order until a
-	// report shows what came of it.
+	// report is the latest load report to act on. It is nil after an order
+	// until a later report can show the order's effect.
 	report *state.LoadReport
-	// reportsValidFrom is the time from which reports count.
+	// reportsValidFrom is the time from which received reports can show the
+	// effect of the latest order.
 	reportsValidFrom time.Duration
 	confirmedRole    confirmedRole
 }
 
-// storeCall is a call to the store under way.
+// storeCall is a call to the store that is under way.
 type storeCall struct {
 	inFlight bool
-	// written is what is being written; nil for a read.
+	// written is the lease that the call writes; nil for a read.
 	written *Lease
 	sentAt  Instant
 	// beforePause is set if the process was paused after the call was made.
 	beforePause bool
 }
 
-// knownLease is the lease object as this router saw it.
+// knownLease is the lease object as this router last saw it.
 type knownLease struct {
 	lease   Lease
 	version uint64
-	// firstSeen is when this version was first seen.
+	// firstSeen is when this router first saw this version.
 	firstSeen Instant
 }
 
-// heldLease is a lease whose conditional write was answered.
+// heldLease is a lease that this router holds, because its conditional write
+// succeeded.
 type heldLease struct {
 	number uint64
-	// sentAt is when the write was sent. Others count from when they see the
-	// write, which is later, so that they never find the lease over first.
+	// sentAt is when the write was sent. Other routers count the duration from
+	// when they see the write, which is later, so they never consider the lease
+	// expired before its holder does.
 	sentAt Instant
 }
 
-// sentOrder is an order under way.
+// sentOrder is an order that was sent and not answered yet, with the boot id of
+// the engine that it was for.
 type sentOrder struct {
 	order Order
 	boot  string
 }
 
-// NewHolder returns a holder that wants nothing yet.
+// NewHolder returns a holder without a desired state.
 func NewHolder(config Config, now Instant) *Holder {
 	return &Holder{
 		config:    config,
@@ -86,7 +94,8 @@
 	}
 }
 
-// Number returns the fencing number held, or zero.
+// Number returns the fencing number of the held lease, or zero if there is
+// none.
 func (h *Holder) Number() uint64 {
 	if h.heldLease == nil {
 		return 0
@@ -94,7 +103,7 @@
 	return h.heldLease.number
 }
 
-// Step takes one event and returns what to do.
+// Step processes one event and returns the actions for the host.
 func (h *Holder) Step(now Instant, event Event) []Action {
 	h.detectPause(now)
 	switch e := event.(type) {
@@ -119,17 +128,18 @@
 	case OrderFailed:
 		h.orderEnded(now)
 	case OrderLate:
-		// Nothing was sent, so that the report still holds.
+		// Nothing was sent, so the report is still valid.
 		h.pendingOrder = nil
 		h.forgetLease()
 	}
 	return h.nextActions(now)
 }
 
-// detectPause drops the lease of a process that did not run for a while. Its
-// clocks may not show the whole of the pause, in which others may have taken
-// the lease; what shows is a gap between events or clocks that disagree. Only
-// a conditional write that succeeds afterwards makes it the holder again.
+// detectPause drops the lease if this process did not run for a while, because
+// other routers may have taken the lease meanwhile. The clocks may not show the
+// whole pause. The visible signs are a gap between two events, or a difference
+// between the two clocks, of more than Timing.MaxStepGap. Only another
+// successful conditional write makes this router the holder again.
 func (h *Holder) detectPause(now Instant) {
 	gap := now.MaxElapsedSince(h.lastEvent)
 	skew := gap - now.MinElapsedSince(h.lastEvent)
@@ -141,7 +151,7 @@
 	h.lastEvent = now
 }
 
-// forgetLease forgets what was known of the lease, so that it is read again.
+// forgetLease discards what is known about the lease, so that it is read again.
 func (h *Holder) forgetLease() {
 	h.knownLease = nil
 	h.heldLease = nil
@@ -152,27 +162,30 @@
 	clear(h.attempts.byOrder)
 }
 
-// reportReceived keeps a report unless it may be from before the latest order ended.
+// reportReceived stores a report unless an order is pending or the report may
+// date from before the latest order ended.
 func (h *Holder) reportReceived(now Instant, report state.LoadReport) {
 	if h.pendingOrder == nil && now.Monotonic >= h.reportsValidFrom {
 		h.report = &report
 	}
 }
 
-// leaseFailed has the lease read again, for a write may have taken effect. What
-// an earlier write won still holds for its time, unless it was being released.
+// leaseFailed makes the lease be read again, because a failed write may have
+// taken effect. A lease that an earlier write acquired stays valid for its
+// duration, unless the failed write was releasing it.
 func (h *Holder) leaseFailed(now Instant) {
-	failed := h.pendingCall
+	failedCall := h.pendingCall
 	h.pendingCall = storeCall{}
 	h.knownLease = nil
-	if failed.written != nil && failed.written.Holder == "" {
+	if failedCall.written != nil && failedCall.written.Holder == "" {
 		h.heldLease = nil
 	}
 	h.nextStoreCall = now.Monotonic + h.config.Timing.RetryDelay
 }
 
-// leaseRead notes a version that was not seen before. A lower one comes from
-// an old replica; counting from it would put off a take-over for ever.
+// leaseRead records a version that is newer than the known one. An older
+// version comes from a replica that is behind; counting the lease duration from
+// it would delay a take-over for ever.
 func (h *Holder) leaseRead(now Instant, e LeaseRead) {
 	h.pendingCall = storeCall{}
 	h.nextStoreCall = now.Monotonic + h.config.Timing.PollInterval
@@ -185,28 +198,29 @@
 	}
 }
 
-// isOwn reports whether a lease names this run of this router.
+// isOwn reports whether the lease names this router and this incarnation.
 func (h *Holder) isOwn(lease Lease) bool {
 	return lease.Holder == h.config.Self && lease.Incarnation == h.config.Incarnation
 }
 
-// leaseWritten makes this router the holder from when the write was sent. An
-// answer that came after a pause proves nothing any more, for others may have
-// taken the lease since.
+// leaseWritten makes this router the holder from the time at which the write
+// was sent. An answer to a write from before a pause does not count, because
+// other routers may have taken the lease since.
 func (h *Holder) leaseWritten(now Instant, e LeaseWritten) {
-	written := h.pendingCall
+	call := h.pendingCall
 	h.pendingCall = storeCall{}
 	h.forgetLease()
-	if written.written == nil || written.beforePause {
+	if call.written == nil || call.beforePause {
 		return
 	}
-	h.knownLease = &knownLease{lease: *written.written, version: e.Version, firstSeen: now}
-	if written.written.Holder != "" {
-		h.heldLease = &heldLease{number: written.written.Number, sentAt: written.sentAt}
+	h.knownLease = &knownLease{lease: *call.written, version: e.Version, firstSeen: now}
+	if call.written.Holder != "" {
+		h.heldLease = &heldLease{number: call.written.Number, sentAt: call.sentAt}
 	}
 }
 
-// orderDone notes a confirmed role; all else is learned from reports.
+// orderDone records the role that the engine confirmed. Loaded models are known
+// from reports instead.
 func (h *Holder) orderDone(now Instant) {
 	if h.pendingOrder.order.Kind == SetRole {
 		h.confirmedRole = confirmedRole{boot: h.pendingOrder.boot, role: h.pendingOrder.order.Role}
@@ -214,9 +228,9 @@
 	h.orderEnded(now)
 }
 
-// orderEnded waits for reports that show the order's effect, whatever the
-// answer was: one without an answer may have been obeyed, and one with an
-// answer may be undone by a restart of the engine.
+// orderEnded waits for a report that shows the effect of the order, whatever
+// the answer was. An unanswered order may have been carried out, and the effect
+// of a confirmed order may be lost when the engine restarts.
 func (h *Holder) orderEnded(now Instant) {
 	h.attempts.orderEnded(h.pendingOrder.order, now.Monotonic)
 	h.pendingOrder = nil
@@ -224,14 +238,14 @@
 	h.reportsValidFrom = now.Monotonic + h.config.Timing.MaxReportAge
 }
 
-// nextActions does the next thing that is due. One call to the store and one order
-// run at a time.
+// nextActions returns the next action that is due. At most one call to the
+// store and one order are under way at a time.
 func (h *Holder) nextActions(now Instant) []Action {
 	if h.pendingOrder != nil {
 		return h.renewLease(now)
 	}
-	order, missing := h.nextOrder(now)
-	if !missing {
+	order, found := h.nextOrder(now)
+	if !found {
 		return h.releaseLease(now)
 	}
 	if h.canSendOrder(now) {
@@ -240,8 +254,8 @@
 	return h.acquireLease(now)
 }
 
-// nextOrder returns the next order, if a report shows one to be missing. An
-// engine that is leaving needs none.
+// nextOrder returns the next order if a report shows that one is missing. A
+// draining engine needs no orders.
 func (h *Holder) nextOrder(now Instant) (Order, bool) {
 	if h.desired == nil || h.report == nil || h.report.Draining {
 		return Order{}, false
@@ -249,7 +263,7 @@
 	return h.attempts.nextDue(missingOrders(*h.desired, *h.report, h.confirmedRole), now.Monotonic)
 }
 
-// canSendOrder reports whether an order can be sent under the lease as it is.
+// canSendOrder reports whether the current lease allows sending an order.
 func (h *Holder) canSendOrder(now Instant) bool {
 	if h.heldLease == nil || h.pendingCall.inFlight {
 		return false
@@ -257,8 +271,8 @@
 	return h.config.ChecksFencing || now.MaxElapsedSince(h.heldLease.sentAt) < h.sendLimit()
 }
 
-// sendLimit is how far into the lease orders may be sent to an engine that
-// ignores fencing numbers.
+// sendLimit is how long after the lease was written orders may be sent to an
+// engine that ignores fencing numbers.
 func (h *Holder) sendLimit() time.Duration {
 	return h.config.Timing.LeaseDuration - h.config.Timing.SafetyMargin
 }
@@ -273,8 +287,8 @@
 	return []Action{action}
 }
 
-// renewLease renews the lease while an order runs, so that no other router
-// gives the engine orders beside it.
+// renewLease renews the lease while an order is under way, so that no other
+// router sends orders to the engine at the same time.
 func (h *Holder) renewLease(now Instant) []Action {
 	if h.heldLease == nil {
 		return nil
@@ -285,8 +299,8 @@
 	return h.acquireLease(now)
 }
 
-// releaseLease gives up a lease that is not needed, so that the next holder need
-// not wait for its end.
+// releaseLease releases a lease that is no longer needed, so that the next
+// holder need not wait until it expires.
 func (h *Holder) releaseLease(now Instant) []Action {
 	if h.heldLease == nil || !h.canCallStore(now) {
 		return nil
@@ -300,7 +314,8 @@
 	return h.writeLease(now, Lease{Number: h.heldLease.number})
 }
 
-// acquireLease takes or renews the lease as soon as it is free or its own.
+// acquireLease acquires the lease once it is free, or renews it if this router
+// holds it. Until then it polls the lease object.
 func (h *Holder) acquireLease(now Instant) []Action {
 	if h.knownLease == nil {
 		return h.readLease(now)
@@ -316,9 +331,9 @@
 	}
 }
 
-// leaseExpired reports whether another router's lease is over: its object has not
-// changed for as long as a lease lasts. The clocks of routers are never
-// compared, only how long each of them has seen pass.
+// leaseExpired reports whether another router's lease has expired, that is,
+// whether its object has not changed for as long as a lease lasts. Routers
+// never compare their clocks with each other; each only measures elapsed time.
 func (h *Holder) leaseExpired(now Instant) bool {
 	duration := max(h.knownLease.lease.Duration(), h.config.Timing.LeaseDuration)
 	return now.MinElapsedSince(h.knownLease.firstSeen) >= duration
@@ -345,8 +360,9 @@
 	return []Action{ReadLease{}}
 }
 
-// writeLease is always conditional on the version last seen: of two routers that
-// take a free lease, one loses and sees that it lost.
+// writeLease writes on condition that the object still has the version last
+// seen. If two routers try to take a free lease, one of the writes fails and
+// its router learns that it does not hold the lease.
 func (h *Holder) writeLease(now Instant, lease Lease) []Action {
 	if h.pendingCall.inFlight {
 		return nil
--- a/coordination/fencing/lease.go
+++ b/coordination/fencing/lease.go
@@ -6,78 +6,84 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Instant is a moment by two clocks of one process: a monotonic one, which
-// some machines stop while they are suspended, and the wall clock, which may
-// be set.
+// Instant is a point in time on two clocks of one process: a monotonic clock,
+// which some machines stop while they are suspended, and the wall clock, which
+// can be set.
 type Instant struct {
 	Monotonic time.Duration
 	Wall      time.Time
 }
 
-// MaxElapsedSince is the longest time that may have passed since an earlier
-// instant. A holder counts its lease by it: a clock that stood still must not
-// make a lease last longer.
+// MaxElapsedSince returns the longest time that may have passed since an
+// earlier instant. A holder uses it to measure the age of its own lease, so
+// that a clock that stood still does not extend the lease.
 func (i Instant) MaxElapsedSince(earlier Instant) time.Duration {
 	return max(i.Monotonic-earlier.Monotonic, i.Wall.Sub(earlier.Wall))
 }
 
-// MinElapsedSince is the shortest time that may have passed. A contender counts
-// another's lease by it: a clock set forward must not end a lease early.
+// MinElapsedSince returns the shortest time that may have passed since an
+// earlier instant. A router that waits for another router's lease uses it, so
+// that a clock that was set forward does not end the lease early.
 func (i Instant) MinElapsedSince(earlier Instant) time.Duration {
 	return min(i.Monotonic-earlier.Monotonic, i.Wall.Sub(earlier.Wall))
 }
 
-// Lease is the value of an upstream's lease object.
+// Lease is the value of the lease object of an upstream.
 type Lease struct {
-	// Holder is empty if the lease was released.
+	// Holder is the router that holds the lease; empty if the lease was
+	// released.
 	Holder      state.Router      `json:"holder,omitempty"`
 	Incarnation state.Incarnation `json:"incarnation,omitempty"`
-	// Number is the fencing number. It outlives a release.
+	// Number is the fencing number. It is kept when the lease is released.
 	Number uint64 `json:"number"`
-	// DurationMs is how long the holder may count on the lease after it sent
-	// the write.
+	// DurationMs is how long the holder may rely on the lease after it sent the
+	// write, in milliseconds.
 	DurationMs int64 `json:"duration_ms"`
 }
 
-// Duration returns how long the lease lasts.
+// Duration returns the duration of the lease.
 func (l Lease) Duration() time.Duration { return time.Duration(l.DurationMs) * time.Millisecond }
 
-// Timing holds the durations that orders go by.
+// Timing holds the durations that govern leases and orders.
 type Timing struct {
 	// LeaseDuration is how long a lease lasts after its latest write.
 	LeaseDuration time.Duration
-	// SafetyMargin is kept free at the lease's end: an order that is not handed to
-	// the network before it is not sent.
+	// SafetyMargin is the last part of the lease duration, in which no order is
+	// handed to the network any more.
 	SafetyMargin time.Duration
-	// RenewAfter is the age at which the lease is renewed while an order runs.
+	// RenewAfter is the age at which the lease is renewed while an order is
+	// under way.
 	RenewAfter time.Duration
-	// PollInterval is the time between looks at a lease that another router holds.
+	// PollInterval is the time between two reads of a lease that another router
+	// holds.
 	PollInterval time.Duration
 	// RetryDelay is the time before a failed call to the store is repeated.
 	RetryDelay time.Duration
-	// MaxStepGap is the longest gap between two events of a process that runs, and
-	// the largest difference between its clocks over such a gap.
+	// MaxStepGap is the longest gap between two events while the process is
+	// running, and the largest difference between its two clocks over such a
+	// gap.
 	MaxStepGap time.Duration
-	// MaxReportAge is how old a load report may be when it is read.
+	// MaxReportAge is the greatest possible age of a load report when it is
+	// read.
 	MaxReportAge time.Duration
-	// MinBackoff and LastBackoff bound the time between orders while the
-	// engine does not come to hold what is wanted.
+	// MinBackoff and MaxBackoff bound the time between two sends of the same
+	// order while the engine does not reach the desired state.
 	MinBackoff time.Duration
 	MaxBackoff time.Duration
 }
 
-// DefaultTiming is for a platform that answers in milliseconds and hosts that
-// send a Tick every second.
+// DefaultTiming returns durations for a platform that answers within
+// milliseconds and a host that sends a Tick every second.
 //
-// The margin is 5 s of 15: up to 3 s for the order to connect and reach the
-// engine, 1 s for a stall of the process after its last look at the clock, and
-// 1 s for clocks that run at different speeds, which is 7 % of the lease and
-// far more than clocks of virtual machines differ. An order that is delayed by
-// more than this after it was sent can still arrive late.
+// The safety margin is 5 s of the lease's 15 s: up to 3 s for the order to
+// connect to and reach the engine, 1 s for a stall of the process after it last
+// read the clock, and 1 s for clocks that run at different speeds. That last
+// second is 7 % of the lease and far more than the clocks of VMs differ. An
+// order that is delayed by more than the margin after it was sent can still
+// arrive late.
 //
-// Loading a model takes a large read from a rate-limited weight store, so a
-// load that does not take is not repeated more often than twice a minute once
-// it has failed some times.
+// Loading a model reads much data from a rate-limited weight store, so a load
+// that has failed several times is repeated at most twice a minute.
 func DefaultTiming() Timing {
 	return Timing{
 		LeaseDuration: 15 * time.Second,
--- a/coordination/fencing/wish.go
+++ b/coordination/fencing/wish.go
@@ -6,14 +6,14 @@
 	"github.com/figstile/figstile/state"
 )
 
-// DesiredState is what an engine is to hold and to be.
+// DesiredState holds the models and the role that an engine should have.
 type DesiredState struct {
 	Models []state.Model
-	// Role is empty if the engine's role does not matter.
+	// Role is the desired role; empty if the engine's role does not matter.
 	Role string
 }
 
-// OrderKind is what an order asks for.
+// OrderKind is the kind of change that an order requests.
 type OrderKind string
 
 // The kinds of orders.
@@ -23,8 +23,8 @@
 	SetRole     OrderKind = "set_role"
 )
 
-// Order is one order to an engine. Each is idempotent: it names the state to
-// reach, so that giving it twice changes nothing.
+// Order is an order to an engine. Orders are idempotent: an order names the
+// state to reach, so sending it twice has the same effect as sending it once.
 type Order struct {
 	Kind   OrderKind
 	Model  state.Model
@@ -32,25 +32,27 @@
 	Number uint64
 }
 
-// confirmedRole is the role an engine confirmed, and in which run. Load reports do
-// not tell the role, so that a confirmation is all there is to go by.
+// confirmedRole is the role that an engine last confirmed, and the boot id of
+// the engine at that time. Load reports do not contain the role, so the
+// confirmation is the only source for it.
 type confirmedRole struct {
 	boot string
 	role string
 }
 
-// missingOrders compares what the engine reports with what is wanted. What
-// must go is unloaded first, for the memory that the loads need.
+// missingOrders compares the models in the engine's report with the desired
+// state and returns the orders that are missing. Unloads come first because
+// they free the memory that the loads need.
 func missingOrders(desired DesiredState, report state.LoadReport, confirmed confirmedRole) []Order {
 	var orders []Order
-	for _, loaded := range report.Models {
-		if !slices.Contains(desired.Models, loaded) {
-			orders = append(orders, Order{Kind: UnloadModel, Model: loaded})
+	for _, loadedModel := range report.Models {
+		if !slices.Contains(desired.Models, loadedModel) {
+			orders = append(orders, Order{Kind: UnloadModel, Model: loadedModel})
 		}
 	}
-	for _, wanted := range desired.Models {
-		if !slices.Contains(report.Models, wanted) {
-			orders = append(orders, Order{Kind: LoadModel, Model: wanted})
+	for _, desiredModel := range desired.Models {
+		if !slices.Contains(report.Models, desiredModel) {
+			orders = append(orders, Order{Kind: LoadModel, Model: desiredModel})
 		}
 	}
 	if desired.Role != "" && confirmed != (confirmedRole{boot: report.Boot, role: desired.Role}) {
