--- a/transport/peer/conn.go
+++ b/transport/peer/conn.go
@@ -6,13 +6,14 @@
 	"sync/atomic"
 )
 
-// Traffic counts what went over TCP connections, framing and TLS included.
+// Traffic counts the bytes and messages sent over TCP connections. Bytes
+// include framing and TLS.
 type Traffic struct {
 	BytesIn, BytesOut       uint64
 	MessagesIn, MessagesOut uint64
 }
 
-// counters are a Traffic that is being counted.
+// counters holds the counters of a Traffic while they are being updated.
 type counters struct {
 	bytesIn, bytesOut       atomic.Uint64
 	messagesIn, messagesOut atomic.Uint64
@@ -27,8 +28,9 @@
 	}
 }
 
-// countedConn counts the bytes of one connection, for the whole mesh at once
-// and for the peer once its hello has told who it is.
+// countedConn counts the bytes of one connection, both in the total of the mesh
+// and in the counters of the peer. Until the peer's hello identifies it, they
+// are counted in unattributed.
 type countedConn struct {
 	net.Conn
 	total        *counters
@@ -36,14 +38,15 @@
 	peer         atomic.Pointer[counters]
 }
 
-// attribute counts the connection for a peer, the bytes so far included.
+// attribute assigns the connection to a peer and adds the bytes counted so far
+// to the peer's counters.
 func (c *countedConn) attribute(peer *counters) {
 	peer.bytesIn.Add(c.unattributed.bytesIn.Load())
 	peer.bytesOut.Add(c.unattributed.bytesOut.Load())
 	c.peer.Store(peer)
 }
 
-// Read reads from the connection and counts.
+// Read reads from the connection and counts the bytes.
 func (c *countedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.total.bytesIn.Add(uint64(n))
@@ -51,7 +54,7 @@
 	return n, err
 }
 
-// Write writes to the connection and counts.
+// Write writes to the connection and counts the bytes.
 func (c *countedConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.total.bytesOut.Add(uint64(n))
@@ -69,7 +72,8 @@
 	c.peerCounters().messagesOut.Add(1)
 }
 
-// closeWrite tells the peer that nothing more comes.
+// closeWrite closes the sending side of the connection, so that the peer reads
+// the end of the stream.
 func (c *countedConn) closeWrite() {
 	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = halfCloser.CloseWrite()
@@ -83,7 +87,8 @@
 	return &c.unattributed
 }
 
-// yamux's frame header: version, type, flags (2), stream (4), length (4).
+// The layout of yamux's frame header in bytes: version (1), type (1), flags
+// (2), stream (4), length (4).
 const (
 	yamuxHeaderBytes = 12
 	yamuxTypeOffset  = 1
@@ -91,16 +96,16 @@
 	yamuxTypeData    = 0
 )
 
-// frameJoiningConn holds back the header of a data frame until its body follows.
-// yamux writes the two apart, and without the Nagle algorithm each would leave
-// in a segment (and a TLS record) of its own. Its sender is one goroutine, so
-// nothing comes between the two.
+// frameJoiningConn holds back the header of a data frame until its body is
+// written. yamux writes the two separately, and without Nagle's algorithm each
+// would be sent in its own TCP segment (and TLS record). yamux writes from a
+// single goroutine, so no other write comes between the two.
 type frameJoiningConn struct {
 	net.Conn
 	header []byte
 }
 
-// Write writes a whole frame, or holds back a header that announces a body.
+// Write writes a whole frame, or holds back a header that a body will follow.
 func (c *frameJoiningConn) Write(p []byte) (int, error) {
 	if len(c.header) == 0 && announcesBody(p) {
 		c.header = append(c.header, p...)
--- a/transport/peer/connect.go
+++ b/transport/peer/connect.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// handshakeLogBurst in strangerPeriod show an operator that something knocks
-	// or that a certificate has run out, and keep a port scan from filling
-	// the log.
+	// handshakeLogBurst is the number of failed handshakes that are logged per
+	// handshakeLogPeriod. It is enough to show an operator that an unknown
+	// process connects or that a certificate has expired, and keeps a port scan
+	// from filling the log.
 	handshakeLogBurst  = 10
 	handshakeLogPeriod = time.Minute
 )
 
-// acceptRetryDelay is the pause after a failed accept, such as for want of file
-// descriptors.
+// acceptRetryDelay is the wait after a failed accept, for example when the
+// process has run out of file descriptors.
 const acceptRetryDelay = 100 * time.Millisecond
 
-// acceptConnections takes connections until the listener closes.
+// acceptConnections accepts connections until the listener closes.
 func (m *Mesh) acceptConnections() {
 	for {
 		conn, err := m.listener.Accept()
@@ -43,7 +44,8 @@
 	}
 }
 
-// startDial dials in the background. Membership hears DialFailed or Greeted.
+// startDial dials an address in the background. The result reaches membership
+// as DialFailed or HelloReceived.
 func (m *Mesh) startDial(address string) {
 	if m.ctx == nil || m.ctx.Err() != nil {
 		return
@@ -68,7 +70,8 @@
 	m.startSession(conn, address)
 }
 
-// startSession starts a session on a new connection. The caller holds the lock.
+// startSession starts a session on a new connection, or closes the connection
+// if too many handshakes are pending. The caller must hold the lock.
 func (m *Mesh) startSession(conn net.Conn, dialledAddress string) {
 	if m.ctx.Err() != nil || len(m.sessions)-len(m.acceptedByRouter) >= maxPendingSessions {
 		_ = conn.Close()
@@ -85,9 +88,9 @@
 
 // runSession runs a session from its handshake to its end.
 func (m *Mesh) runSession(s *session) {
-	if failed := m.handshake(s); failed != nil {
-		s.end(failed.cause)
-		m.sessionEnded(s, failed.event)
+	if failure := m.handshake(s); failure != nil {
+		s.end(failure.cause)
+		m.sessionEnded(s, failure.event)
 		return
 	}
 	m.goroutines.Go(func() { s.writeLoop(s.control) })
@@ -96,16 +99,17 @@
 	m.sessionEnded(s, membership.SessionClosed{Session: s.id})
 }
 
-// handshakeFailure is a session that was not accepted, with what membership must hear.
+// handshakeFailure describes why a session was not accepted. The event, if not
+// nil, has to be passed to membership.
 type handshakeFailure struct {
 	cause error
 	event membership.Event
 }
 
-// refusedError is a refusal by either side.
+// refusedError is returned for a session that either side refused.
 type refusedError membership.Refusal
 
-// Error returns the reason.
+// Error returns the reason for the refusal.
 func (e refusedError) Error() string { return "refused: " + membership.Refusal(e).String() }
 
 func (m *Mesh) handshake(s *session) *handshakeFailure {
@@ -129,8 +133,9 @@
 	return m.submitHello(s, hello)
 }
 
-// newHandshakeFailure is a session that never came to a verdict. Membership only
-// waits for those it dialled.
+// newHandshakeFailure returns the failure of a session that ended before either
+// side accepted or refused it. Membership waits for a result only for sessions
+// that this router dialled.
 func newHandshakeFailure(s *session, cause error) *handshakeFailure {
 	f := &handshakeFailure{cause: cause}
 	if s.dialledAddress != "" {
@@ -158,8 +163,9 @@
 	return f
 }
 
-// submitHello asks membership for its verdict. The acceptor of a refused session
-// tells the dialler why.
+// submitHello passes the peer's hello to membership, which accepts or refuses
+// the session. If this router did not dial, it sends the reason for a refusal
+// to the dialler.
 func (m *Mesh) submitHello(s *session, hello membership.Hello) *handshakeFailure {
 	m.mu.Lock()
 	s.peer = Peer{Router: hello.Router, DataCentre: hello.DataCentre, Incarnation: hello.Incarnation}
@@ -171,31 +177,33 @@
 		return nil
 	}
 	if s.dialledAddress == "" {
-		// The dialler closes first, or the limit on pending sessions does:
-		// closing here could destroy the reason on its way.
+		// The dialler closes the connection after it has read the reason;
+		// otherwise handshakeTimeout ends it. Closing here could reset the
+		// connection and destroy the reason before it arrives.
 		_ = s.writeHello(m.hello(refusal, m.knownIncarnation(hello.Router, refusal)))
 		_, _ = s.control.reader.Next()
 	}
 	return &handshakeFailure{cause: refusedError(refusal)}
 }
 
-// attribute counts the session for its peer.
+// attribute counts the session's traffic in the counters of its peer.
 func (m *Mesh) attribute(s *session) {
-	counted, ok := m.traffic[s.peer.Router]
+	traffic, ok := m.traffic[s.peer.Router]
 	if !ok {
-		counted = &counters{}
-		m.traffic[s.peer.Router] = counted
+		traffic = &counters{}
+		m.traffic[s.peer.Router] = traffic
 	}
-	s.conn.attribute(counted)
+	s.conn.attribute(traffic)
 }
 
-func (m *Mesh) hello(refusal membership.Refusal, known state.Incarnation) *peerpb.Envelope {
+func (m *Mesh) hello(refusal membership.Refusal, laterIncarnation state.Incarnation) *peerpb.Envelope {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	return helloEnvelope(m.self, refusal, known)
+	return helloEnvelope(m.self, refusal, laterIncarnation)
 }
 
-// knownIncarnation is what a refused dialler is to hear of its later run.
+// knownIncarnation returns the later incarnation of a dialler that was refused
+// with RefusalIncarnation, and 0 for other refusals.
 func (m *Mesh) knownIncarnation(router state.Router, refusal membership.Refusal) state.Incarnation {
 	if refusal != membership.RefusalIncarnation {
 		return 0
@@ -210,30 +218,31 @@
 	return 0
 }
 
-// incarnationRaiseWindow is how long after its start a process is surely the latest run under
-// its name.
+// incarnationRaiseWindow is how long after its start a process can be sure that
+// it is the latest one under its name.
 const incarnationRaiseWindow = time.Minute
 
-// raiseIncarnation passes a later incarnation of this router's name that a peer knows. A
-// clock that was set back before a restart gives the new run the smaller
-// number, and peers would refuse it for as long as they remember the old one.
-// A process that is no longer fresh may be the old run itself, after a pause,
-// and must stay refused.
-func (m *Mesh) raiseIncarnation(refusal membership.Refusal, known state.Incarnation) {
+// raiseIncarnation raises this router's incarnation above a later one that a
+// peer knows for its name. If the clock was set back before a restart, the new
+// process has the smaller incarnation, and peers would refuse it for as long as
+// they remember the old one. A process that started longer ago than
+// incarnationRaiseWindow may itself be the old process after a pause, and must
+// stay refused.
+func (m *Mesh) raiseIncarnation(refusal membership.Refusal, laterIncarnation state.Incarnation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.opts.SoleProcess || refusal != membership.RefusalIncarnation || known < m.self.Incarnation {
+	if !m.opts.SoleProcess || refusal != membership.RefusalIncarnation || laterIncarnation < m.self.Incarnation {
 		return
 	}
 	if m.opts.Clock.Now().Sub(m.startedAt) > incarnationRaiseWindow {
 		return
 	}
-	m.self.Incarnation = known + 1
-	m.step(membership.IncarnationRaised{Incarnation: known + 1})
+	m.self.Incarnation = laterIncarnation + 1
+	m.step(membership.IncarnationRaised{Incarnation: laterIncarnation + 1})
 	m.opts.Log.Warn().Uint64("incarnation", uint64(m.self.Incarnation)).Msg("incarnation raised above one that a peer knows")
 }
 
-// runBulkStream runs the second stream.
+// runBulkStream opens and serves the bulk stream of a session.
 func (m *Mesh) runBulkStream(s *session) {
 	if err := s.openStream(s.bulk); err != nil {
 		s.end(err)
@@ -253,7 +262,7 @@
 	case *peerpb.Envelope_Hello:
 		return errSecondHello
 	case nil:
-		// A body of a later version.
+		// The body is of a type that a later protocol version added.
 	default:
 		m.opts.Handler(s.peer, env)
 	}
@@ -272,7 +281,7 @@
 	})
 }
 
-// sessionEnded frees a session and tells membership.
+// sessionEnded releases a session and reports its end to membership.
 func (m *Mesh) sessionEnded(s *session, event membership.Event) {
 	if s.mux != nil {
 		_ = s.mux.Close()
@@ -288,8 +297,8 @@
 	m.queueNotices()
 }
 
-// logHandshakeFailure warns of a connection that never became a session, unless one side
-// was just stopping or starting.
+// logHandshakeFailure logs a failed handshake as a warning, or at debug level
+// if one side was stopping or starting.
 func (m *Mesh) logHandshakeFailure(s *session) {
 	level := zerolog.WarnLevel
 	if errors.Is(s.err, errStopped) || errors.Is(s.err, io.EOF) {
--- a/transport/peer/convert.go
+++ b/transport/peer/convert.go
@@ -7,12 +7,12 @@
 	"github.com/figstile/figstile/state"
 )
 
-// maxMembers bounds the list in one heartbeat. It leaves room for a fleet of a
-// thousand routers in one data centre.
+// maxMembers bounds the number of members in one heartbeat. It is large enough
+// for a data centre with a thousand routers.
 const maxMembers = 1024
 
-// helloFrom checks a peer's hello. A malformed one comes back empty, which
-// membership refuses.
+// helloFrom converts and checks a peer's hello. For a malformed hello it
+// returns an empty one, which membership refuses.
 func helloFrom(m *peerpb.Hello) membership.Hello {
 	for _, name := range []string{m.GetRouter(), m.GetDataCentre(), m.GetFleet()} {
 		if len(name) > wire.MaxNameBytes {
@@ -34,9 +34,10 @@
 	}
 }
 
-// helloEnvelope answers or opens a handshake; known is the later incarnation
-// of the dialler that a refusal is for, else zero.
-func helloEnvelope(h membership.Hello, refusal membership.Refusal, known state.Incarnation) *peerpb.Envelope {
+// helloEnvelope returns the message that opens or answers a handshake. If the
+// refusal is RefusalIncarnation, laterIncarnation is the later incarnation that
+// this router knows of the dialler; otherwise it is zero.
+func helloEnvelope(h membership.Hello, refusal membership.Refusal, laterIncarnation state.Incarnation) *peerpb.Envelope {
 	body := &peerpb.Hello{
 		Fleet:           h.Fleet,
 		Router:          string(h.Router),
@@ -47,14 +48,14 @@
 		Draining:        h.Draining,
 		Refusal:         peerpb.Refusal(refusal),
 
-		KnownIncarnation: uint64(known),
+		KnownIncarnation: uint64(laterIncarnation),
 		Capacity:         h.Capacity,
 	}
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Hello{Hello: body}}
 }
 
-// membersFrom checks the gossip of a heartbeat and leaves out what cannot be
-// dialled or named.
+// membersFrom converts the gossip of a heartbeat and omits members with an
+// invalid address or name.
 func membersFrom(list []*peerpb.Member) []membership.Member {
 	var members []membership.Member
 	for _, m := range list[:min(len(list), maxMembers)] {
--- a/transport/peer/failure_test.go
+++ b/transport/peer/failure_test.go
@@ -17,8 +17,8 @@
 )
 
 // Eight routers start at once, as after a planned replacement of all VMs. Seven
-// know the address of the first alone, and many pairs dial each other at the
-// same moment. All must end up with one session per pair.
+// of them know only the address of the first, and many pairs dial each other at
+// the same moment. Each pair must end up with exactly one session.
 func TestGossipFromOneSeedConverges(t *testing.T) {
 	f := newFleet(t)
 	var names []state.Router
@@ -39,9 +39,9 @@
 	})
 }
 
-// One link between two data centres breaks; both keep a third router. The two
-// lose sight of each other alone, so their upstreams change owner nowhere
-// else. When the link heals they meet again, though nobody tells them to.
+// The link between two data centres breaks, while both still reach a third
+// router. Only these two must lose each other, so that no other router sees
+// owners change. They must reconnect without a new seed when the link heals.
 func TestCutOfOneLinkHeals(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
@@ -55,9 +55,10 @@
 	f.advanceUntil(func() bool { return a.seesExactly(all...) && b.seesExactly(all...) && c.seesExactly(all...) })
 }
 
-// A network partition cuts two data centres off from two others, without a
-// reset. Each side goes on by itself. During the cut a router joins one side;
-// after it the other side must find the new one through gossip.
+// A network partition separates two data centres from two others without
+// resetting connections. Each side continues alone, and a router joins one
+// side. After the partition, the other side must learn of the new router
+// through gossip.
 func TestPartitionHeals(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
@@ -85,23 +86,23 @@
 	})
 }
 
-// A route is lost without a reset: bytes go out, nothing comes back, and TCP
-// would wait for minutes. Meanwhile owners would grant to a router that cannot
-// hear them. Missed heartbeats must end it on both sides, and the pair must
-// meet again over a new connection once the route is back.
+// A route is lost without a reset: bytes leave and nothing comes back, and TCP
+// would wait for minutes while owners send grants to an unreachable router.
+// Missed heartbeats must end the session on both sides, and the pair must
+// reconnect once the route is back.
 func TestHalfOpenConnectionIsGivenUp(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
 	f.setLink("castro-1", "laredo-1", linkDead)
 	f.advanceUntil(func() bool { return a.seesExactly("castro-1") && b.seesExactly("laredo-1") })
-	require.Zero(t, a.Stats().Overflows+b.Stats().Overflows, "silence ends it, not a full queue")
+	require.Zero(t, a.Stats().Overflows+b.Stats().Overflows, "the silence must end the session, not a full queue")
 	f.setLink("castro-1", "laredo-1", linkUp)
 	f.advanceUntil(func() bool { return a.seesExactly("castro-1", "laredo-1") && b.seesExactly("castro-1", "laredo-1") })
 }
 
-// A connection breaks and the pair reconnects within the grace. Nobody is
-// declared gone, but what was on its way is lost; the host must hear of the
-// new session on both sides, or a demand that was dropped is never sent again.
+// A connection breaks and the pair reconnects within ReconnectGrace. Neither
+// departs, but messages in flight are lost. Both hosts must be notified of the
+// new session; otherwise a lost demand is never sent again.
 func TestReconnectWithinGraceAsksForFullState(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
@@ -110,32 +111,33 @@
 	require.True(t, a.seesExactly("castro-1", "laredo-1"))
 }
 
-// A VM vanishes without closing its connections and its successor comes up
-// under the same name. The old session lingers for seconds. The successor must
-// be taken at once, or its grants would go to a dead connection.
+// A VM stops without closing its connections and its successor starts under the
+// same name, while the old session lingers for seconds. The successor must be
+// accepted at once; otherwise grants to it go to a dead connection.
 func TestRestartedPeerReplacesLingeringSession(t *testing.T) {
 	f := newFleet(t)
 	old := f.start("laredo-1", 1)
-	// The session that the smaller name dialled would win against a new one.
+	// The old session was dialled by the router with the smaller name, so it
+	// would be preferred over a new one of the same incarnation.
 	a := f.start("castro-1", 1, old.Addr())
 	f.advanceUntil(func() bool { return a.seesExactly("castro-1", "laredo-1") && old.seesExactly("castro-1", "laredo-1") })
 	f.setLink("castro-1", "laredo-1", linkDead)
-	// A link is dead from the first byte that it loses.
+	// The link becomes dead with the first byte that it loses.
 	require.True(t, a.Send("laredo-1", grantEnvelope(1)))
 	old.opts.FlushTimeout = 0
 	f.stop(old)
 	f.setLink("castro-1", "laredo-1", linkUp)
-	lingering := a.sessionWith("laredo-1")
-	next := f.start("laredo-1", 2, a.Addr())
+	oldSession := a.sessionWith("laredo-1")
+	successor := f.start("laredo-1", 2, a.Addr())
 	f.waitFor(func() bool {
-		return a.findPeer("laredo-1").Incarnation == 2 && next.seesExactly("castro-1", "laredo-1")
+		return a.findPeer("laredo-1").Incarnation == 2 && successor.seesExactly("castro-1", "laredo-1")
 	})
-	require.NotSame(t, lingering, a.sessionWith("laredo-1"))
+	require.NotSame(t, oldSession, a.sessionWith("laredo-1"))
 }
 
 // A process is paused with its VM, and the platform starts a successor under
-// its name. The old one wakes up and dials as if nothing had happened. It must
-// get no session, or two processes would act under one name.
+// its name. When the old process resumes and dials, it must get no session;
+// otherwise two processes would act under one name.
 func TestPausedProcessIsRefusedAfterItsSuccessor(t *testing.T) {
 	f := newFleet(t)
 	a, _ := f.startPair()
@@ -145,24 +147,26 @@
 	require.EqualValues(t, 1, a.Stats().Sessions)
 }
 
-// The time of day is set back on a VM and its router is killed. The new run has
-// the smaller incarnation, and its peers remember the old one for minutes.
-// Where no two processes live under one name, it passes the old one's and joins.
+// The wall clock of a VM is set back and its router is killed. The new process
+// has the smaller incarnation, and its peers remember the old one for minutes.
+// With SoleProcess it must raise its incarnation above the old one and join.
 func TestRestartAfterTheClockWasSetBack(t *testing.T) {
 	f := newFleet(t)
 	f.configure = func(o *Options) { o.SoleProcess = true }
 	a, old := f.startPair()
 	f.stop(old)
 	f.advanceUntil(func() bool { return a.seesExactly("castro-1") })
-	next := f.start("laredo-1", 1, a.Addr())
-	f.advanceUntil(func() bool { return a.seesExactly("castro-1", "laredo-1") && next.seesExactly("castro-1", "laredo-1") })
+	successor := f.start("laredo-1", 1, a.Addr())
+	f.advanceUntil(func() bool {
+		return a.seesExactly("castro-1", "laredo-1") && successor.seesExactly("castro-1", "laredo-1")
+	})
 	require.EqualValues(t, 3, a.findPeer("laredo-1").Incarnation)
 }
 
-// A peer stops reading, as a frozen VM does, while a burst of messages is due
-// to it. Send must return at once every time, or the scheduler of this router
-// stops with it. The overflow drops the session, the other peer notices
-// nothing, and the frozen one gets a new session when it is back.
+// A peer stops reading, as a frozen VM does, during a burst of messages. Each
+// Send must return at once; otherwise this router's scheduler stops. The
+// overflow must drop only this session, and the frozen peer must get a new one
+// later.
 func TestFrozenPeerDoesNotBlockSend(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
@@ -178,12 +182,12 @@
 	f.advanceUntil(func() bool { return a.openedFrom("laredo-1") >= 2 && a.seesExactly(all...) && b.seesExactly(all...) })
 }
 
-// This process stands still for a minute and its timers run before its sockets
-// are read. No peer is dead; none may be declared so.
+// This process does not run for a minute, and its timers fire before its
+// sockets are read. All its peers are live, and none may be declared dead.
 func TestFrozenProcessKeepsItsPeers(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
-	// What was heard before the pause must not count as heard after it.
+	// Messages received before the pause must not count as received after it.
 	f.advanceUntil(func() bool {
 		return !a.sessionWith("laredo-1").messageReceived.Load() && !b.sessionWith("castro-1").messageReceived.Load()
 	})
@@ -196,8 +200,9 @@
 	require.Equal(t, 1, a.openedFrom("laredo-1"))
 }
 
-// A router drains: its peers must hear at once, not with the next heartbeat,
-// and drop it without the grace when it goes.
+// A router starts draining. Its peers must be notified at once instead of with
+// the next heartbeat, and must drop the router without ReconnectGrace when it
+// stops.
 func TestDrainingIsAnnounced(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
@@ -207,8 +212,9 @@
 	f.waitFor(func() bool { return a.seesExactly("castro-1") })
 }
 
-// A router stops while its last messages wait for a peer that is busy. They
-// carry counters that nobody else has: the stop must let the peer read them.
+// A router stops while its last messages wait for a peer that is not reading.
+// They carry counters that no other router has, so the stop must wait until the
+// peer has read them.
 func TestStopSendsWhatIsQueued(t *testing.T) {
 	f := newFleet(t)
 	a := f.start("castro-1", 1)
@@ -228,8 +234,9 @@
 	f.waitFor(func() bool { return a.receivedFrom("laredo-1") == objects })
 }
 
-// A router of another fleet, or of another protocol, is given our address by
-// mistake. It gets no session, and both sides count the refusal.
+// A router of another fleet, or with another protocol version, dials this
+// router's address by mistake. It must get no session, and both sides must
+// count the refusal.
 func TestForeignFleetIsRefused(t *testing.T) {
 	f := newFleet(t)
 	a := f.start("castro-1", 1)
@@ -240,18 +247,19 @@
 	require.True(t, b.seesExactly("pudahuel-1"))
 }
 
-// Somebody opens the peer port and sends noise, a frame beyond the limit, or
-// nothing. Each connection ends and the mesh goes on.
+// A client opens the peer port and sends random bytes, a frame beyond the
+// limit, or nothing. Each connection must end without affecting the other
+// sessions.
 func TestGarbageEndsOnlyItsOwnConnection(t *testing.T) {
 	f := newFleet(t)
 	a := f.start("castro-1", 1)
 	noise := make([]byte, 64<<10)
 	_, _ = rand.Read(noise)
 	noise[0] = 0xff
-	for i, sent := range [][]byte{noise, []byte("GET / HTTP/1.1\r\nHost: castro-1\r\n\r\n"), nil} {
+	for i, payload := range [][]byte{noise, []byte("GET / HTTP/1.1\r\nHost: castro-1\r\n\r\n"), nil} {
 		conn, err := net.Dial("tcp", a.Addr())
 		require.NoError(t, err)
-		_, _ = conn.Write(sent)
+		_, _ = conn.Write(payload)
 		f.waitFor(func() bool {
 			f.tick(membership.TickInterval)
 			return a.Stats().Failed == uint64(i+1)
@@ -269,8 +277,9 @@
 }
 
 // A router stops near the end of its grace period while a peer does not read.
-// It waited a second for that peer and was killed: "requests cut off at the end
-// of the grace period" at 7.5 s was its last line, "stopped" never came.
+// It waited a second for that peer and was killed: its last log line was
+// "requests cut off at the end of the grace period" at 7.5 s, and "stopped" was
+// never logged.
 func TestStopWaitsAtMostTheFlushTimeout(t *testing.T) {
 	f := newFleet(t)
 	a, b := f.startPair()
--- a/transport/peer/fleet_test.go
+++ b/transport/peer/fleet_test.go
@@ -18,13 +18,14 @@
 	"github.com/figstile/figstile/state"
 )
 
-// fleet runs routers on loopback, with links that fail and a clock that only
-// the test moves.
+// fleet runs routers on the loopback interface, with links that can fail and a
+// clock that only the test advances.
 type fleet struct {
 	t         testing.TB
 	configure func(*Options)
 
-	// mu guards everything below and what the nodes were told.
+	// mu guards the fields below and the values that the callbacks stored in
+	// the nodes.
 	mu         sync.Mutex
 	now        time.Time
 	ticks      []chan time.Time
@@ -33,14 +34,15 @@
 	links      []*link
 }
 
-// node is a router under test and what its callbacks were told.
+// node is a router under test with the values that its callbacks received.
 type node struct {
 	*Mesh
 	fleet   *fleet
 	name    state.Router
 	cancel  context.CancelFunc
 	stopped chan struct{}
-	// readBlock is read-locked by the handler: a writer stops it from reading.
+	// readBlock is read-locked by the handler, so a writer keeps the node from
+	// reading messages.
 	readBlock sync.RWMutex
 
 	livePeers []scheduler.Peer
@@ -65,10 +67,10 @@
 	return f
 }
 
-// Now makes the fleet a Clock.
+// Now returns the time of the fleet's clock; it implements Clock.
 func (f *fleet) Now() time.Time { return locked(f, func() time.Time { return f.now }) }
 
-// Ticker makes the fleet a Clock.
+// Ticker returns a channel that tick sends on; it implements Clock.
 func (f *fleet) Ticker(time.Duration) (<-chan time.Time, func()) {
 	ch := make(chan time.Time)
 	locked(f, func() any { f.ticks = append(f.ticks, ch); return nil })
@@ -79,7 +81,7 @@
 	}
 }
 
-// running counts the routers that have not been told to stop.
+// running counts the routers that have not been stopped.
 func (f *fleet) running() int { return locked(f, func() int { return len(f.ticks) }) }
 
 func locked[T any](f *fleet, read func() T) T {
@@ -112,7 +114,7 @@
 	n.Mesh = mesh
 	n.opts.FlushTimeout = time.Hour
 	n.connectTo = func(ctx context.Context, address string) (net.Conn, error) { return f.dial(ctx, n, address) }
-	others := f.running()
+	runningBefore := f.running()
 	locked(f, func() int { f.nodes = append(f.nodes, n); return 0 })
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -120,11 +122,12 @@
 		defer close(n.stopped)
 		_ = mesh.Run(ctx)
 	}()
-	f.waitFor(func() bool { return f.running() == others+1 })
+	f.waitFor(func() bool { return f.running() == runningBefore+1 })
 	return n
 }
 
-// startPair starts two routers and waits until each knows of the other.
+// startPair starts two routers and waits until each has a session with the
+// other.
 func (f *fleet) startPair() (castro, laredo *node) {
 	castro = f.start("castro-1", 2)
 	laredo = f.start("laredo-1", 2, castro.Addr())
@@ -132,7 +135,7 @@
 	return castro, laredo
 }
 
-// stop ends a router as a planned stop does.
+// stop stops a router gracefully.
 func (f *fleet) stop(n *node) {
 	n.cancel()
 	<-n.stopped
@@ -147,7 +150,8 @@
 	})
 }
 
-// findPeer returns what the router last published of another one.
+// findPeer returns the entry for a router in the list of live routers that n
+// last published.
 func (n *node) findPeer(name state.Router) (found scheduler.Peer) {
 	n.fleet.mu.Lock()
 	defer n.fleet.mu.Unlock()
@@ -173,16 +177,18 @@
 	return n.acceptedByRouter[to]
 }
 
-// handshaking reports sessions without a verdict; a dial counts from its connection.
+// handshaking reports whether there are sessions that were neither accepted nor
+// refused. A dialled session counts from when it is connected.
 func (n *node) handshaking() bool {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	return len(n.sessions) != len(n.acceptedByRouter)
 }
 
-// advanceUntil moves the clock tick by tick until the condition holds. Time only moves
-// once every heartbeat that can arrive has arrived, so that a slow machine
-// makes nobody silent; the limit is that of the test run alone.
+// advanceUntil advances the clock tick by tick until the condition holds. The
+// clock only advances once every heartbeat that can arrive has arrived, so that
+// a slow machine makes no router appear silent. Only the time limit of the
+// whole test run applies.
 func (f *fleet) advanceUntil(condition func() bool) {
 	for {
 		f.waitFor(func() bool { return condition() || f.settled() })
@@ -194,8 +200,9 @@
 	}
 }
 
-// yield lets the goroutines of the routers run. On one processor the clock and
-// the ticks would else keep it to themselves for minutes of their own time.
+// yield lets the goroutines of the routers run. On a single CPU, advancing the
+// clock and sending ticks would otherwise starve them for minutes of simulated
+// time.
 func (f *fleet) yield() { time.Sleep(100 * time.Microsecond) }
 
 func (f *fleet) waitFor(condition func() bool) {
@@ -204,8 +211,8 @@
 	}
 }
 
-// tick moves the clock once and returns when all routers have begun to act on
-// it.
+// tick advances the clock once and returns when all routers have received the
+// tick.
 func (f *fleet) tick(d time.Duration) {
 	f.mu.Lock()
 	f.now = f.now.Add(d)
@@ -230,8 +237,8 @@
 	return true
 }
 
-// heartbeatsDelivered holds if neither router has a session with the other, or both have
-// and every heartbeat has arrived.
+// heartbeatsDelivered reports whether the two routers have no session with each
+// other, or both have one and every heartbeat has arrived.
 func heartbeatsDelivered(a, b *node) bool {
 	toB, toA := a.sessionWith(b.name), b.sessionWith(a.name)
 	if toB == nil || toA == nil {
@@ -253,26 +260,26 @@
 
 const (
 	linkUp linkState = iota
-	// linkCut closes connections and refuses new ones.
+	// linkCut closes connections and rejects new ones.
 	linkCut
-	// linkDead takes bytes and delivers none, as a lost route does.
+	// linkDead accepts bytes and delivers none, as a lost route does.
 	linkDead
 )
 
-// pair names two routers, the smaller name first.
+// pair holds the names of two routers, the smaller name first.
 type pair [2]state.Router
 
 func pairOf(a, b state.Router) pair { return pair{min(a, b), max(a, b)} }
 
 // link is the dialler's end of a connection. Once it has lost bytes it stays
-// dead for both ends, whatever becomes of the route.
+// dead for both ends, even when the route comes back.
 type link struct {
 	net.Conn
 	fleet     *fleet
 	pair      pair
 	lostBytes bool
-	// closed is closed with the dialler's end: the end of the other side is
-	// lost on a dead link too.
+	// closed is closed when the dialler's end is closed. The close of the other
+	// end is lost on a dead link.
 	closed chan struct{}
 	once   sync.Once
 }
@@ -281,8 +288,9 @@
 	return locked(f, func() linkState { return f.linkStates[pairOf(a, b)] })
 }
 
-// setLink waits for handshakes under way: on a dead link they would end by
-// their time limit alone, for which until does not move the clock.
+// setLink changes the state of a link. It first waits for pending handshakes,
+// because on a dead link only handshakeTimeout would end them, and advanceUntil
+// does not advance the clock during handshakes.
 func (f *fleet) setLink(a, b state.Router, s linkState) {
 	f.waitFor(f.settled)
 	f.mu.Lock()
@@ -311,7 +319,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Rounds of tests must not use up the ports of the machine.
+	// Closed connections must not occupy the machine's ports over many test
+	// runs.
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	l := &link{Conn: conn, fleet: f, pair: pairOf(from.name, to), closed: make(chan struct{})}
 	locked(f, func() int { f.links = append(f.links, l); return 0 })
@@ -345,7 +354,7 @@
 	return l.Conn.Write(p)
 }
 
-// Close of a dead link frees its reader and does not reach the other end.
+// Close of a dead link ends its reader and does not reach the other end.
 func (l *link) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	if l.dead() {
@@ -354,7 +363,7 @@
 	return l.Conn.Close()
 }
 
-// CloseWrite is lost on a dead link as any other byte.
+// CloseWrite is lost on a dead link like any other data.
 func (l *link) CloseWrite() error {
 	if l.dead() {
 		return nil
--- a/transport/peer/measure_test.go
+++ b/transport/peer/measure_test.go
@@ -29,32 +29,32 @@
 	return c.Conn.Write(p)
 }
 
-// Each message of a stream must leave in one segment, or small messages cost
-// twice the packets.
+// Each message of a stream must be written in one call so that it leaves in one
+// TCP segment; otherwise small messages need twice the packets.
 func TestHeaderAndBodyAreWrittenTogether(t *testing.T) {
 	near, far := net.Pipe()
-	counted := &writeCounter{Conn: near}
+	counter := &writeCounter{Conn: near}
 	cfg := yamux.DefaultConfig()
 	cfg.EnableKeepAlive = false
 	cfg.LogOutput = io.Discard
-	client, err := yamux.Client(&frameJoiningConn{Conn: counted}, cfg)
+	client, err := yamux.Client(&frameJoiningConn{Conn: counter}, cfg)
 	require.NoError(t, err)
 	server, err := yamux.Server(far, cfg)
 	require.NoError(t, err)
 	stream, err := client.OpenStream()
 	require.NoError(t, err)
-	accepted, err := server.AcceptStream()
+	acceptedStream, err := server.AcceptStream()
 	require.NoError(t, err)
 	const messages = 10
 	for range messages {
 		_, err = stream.Write([]byte("grant"))
 		require.NoError(t, err)
-		_, err = io.ReadFull(accepted, make([]byte, 5))
+		_, err = io.ReadFull(acceptedStream, make([]byte, 5))
 		require.NoError(t, err)
 	}
 	require.NoError(t, client.Close())
 	require.NoError(t, server.Close())
-	require.Equal(t, 1+messages, counted.writes, "opening the stream is a frame of its own")
+	require.Equal(t, 1+messages, counter.writes, "one frame opens the stream and one carries each message")
 }
 
 func demandAction(entries int) scheduler.Action {
@@ -73,8 +73,9 @@
 	return scheduler.SendUsage{Origin: origin, Incarnation: 1_767_225_600_000, Entries: list}
 }
 
-// BenchmarkMessage counts what one message adds to the TCP connection, yamux
-// header included. Names and numbers have the length of the present fleet's.
+// BenchmarkMessage reports how many bytes one message adds to the TCP
+// connection, including the yamux header. Names and numbers are as long as
+// those of the deployed fleet.
 func BenchmarkMessage(b *testing.B) {
 	const router, service, workspace, upstream = "sala-laredo-1", "redaccion-figstile", "turismo-oriental-01", "redaccion-laredo-03"
 	for name, action := range map[string]scheduler.Action{
@@ -113,8 +114,8 @@
 	b.ReportMetric(float64(after.BytesOut-before.BytesOut)/float64(sent), "wire-B/msg")
 }
 
-// BenchmarkIdleMesh counts what an idle mesh sends, over two rounds of gossip
-// of an injected clock, and the memory of its sessions.
+// BenchmarkIdleMesh reports how many bytes an idle mesh sends over two gossip
+// intervals of a simulated clock, and the memory per session and per router.
 func BenchmarkIdleMesh(b *testing.B) {
 	for _, routers := range []int{4, 8, 16, 32} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
@@ -128,11 +129,11 @@
 func measureIdle(b *testing.B, routers int) {
 	f := newFleet(b)
 	f.start("sala-laredo-00", 1_767_225_600_000)
-	empty := memoryInUse()
+	emptyMemory := memoryInUse()
 	for i := 1; i < routers; i++ {
 		f.start(fmt.Sprintf("sala-laredo-%02d", i), 1_767_225_600_000, f.nodes[0].Addr())
 	}
-	started := memoryInUse()
+	startedMemory := memoryInUse()
 	f.advanceUntil(func() bool {
 		for _, n := range f.nodes {
 			if len(n.acceptedSessions()) != routers-1 {
@@ -141,16 +142,16 @@
 		}
 		return f.settled()
 	})
-	connected := memoryInUse()
+	connectedMemory := memoryInUse()
 	const span = 2 * membership.GossipInterval
-	bytes := f.bytesOut()
+	bytesBefore := f.bytesOut()
 	for range span / membership.TickInterval {
 		f.tick(membership.TickInterval)
 		f.waitFor(f.settled)
 	}
-	b.ReportMetric(float64(f.bytesOut()-bytes)/span.Seconds()/float64(routers), "B/s/router")
-	b.ReportMetric(float64(connected-started)/float64(routers*(routers-1)), "mem-B/session")
-	b.ReportMetric(float64(started-empty)/float64(routers-1), "mem-B/router")
+	b.ReportMetric(float64(f.bytesOut()-bytesBefore)/span.Seconds()/float64(routers), "B/s/router")
+	b.ReportMetric(float64(connectedMemory-startedMemory)/float64(routers*(routers-1)), "mem-B/session")
+	b.ReportMetric(float64(startedMemory-emptyMemory)/float64(routers-1), "mem-B/router")
 }
 
 func (f *fleet) bytesOut() (sum uint64) {
@@ -160,7 +161,7 @@
 	return sum
 }
 
-// memoryInUse returns the bytes of live heap and of stacks.
+// memoryInUse returns the number of bytes in the live heap and in stacks.
 func memoryInUse() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -19,33 +19,34 @@
 const (
 	// flushTimeout is the default of Options.FlushTimeout.
 	flushTimeout = time.Second
-	// handshakeTimeout ends a connection on which no hello arrives.
+	// handshakeTimeout is how long a connection may take until its hello
+	// arrives.
 	handshakeTimeout = 5 * time.Second
-	// dialTimeout bounds a connect to an address that drops packets.
+	// dialTimeout limits a connection attempt to an address that drops packets.
 	dialTimeout = 3 * time.Second
-	// maxPendingSessions bounds the connections without a hello, so that somebody
-	// who opens them in a loop takes no memory from the rest.
+	// maxPendingSessions bounds the number of connections without a hello, so
+	// that a client which opens connections in a loop cannot use up the memory.
 	maxPendingSessions = 256
 )
 
-// Mesh holds the sessions with all peers.
+// Mesh holds the sessions with all peers of a router.
 type Mesh struct {
 	opts     Options
 	self     membership.Hello
 	listener net.Listener
 	notices  notices
-	// connectTo opens a connection.
+	// connectTo opens a connection to an address.
 	connectTo    func(ctx context.Context, address string) (net.Conn, error)
 	goroutines   sync.WaitGroup
 	totalTraffic counters
-	// handshakeLog logs connections that never became sessions.
+	// handshakeLog is a rate-limited logger for failed handshakes.
 	handshakeLog zerolog.Logger
 
-	// startedAt is when this process began.
+	// startedAt is when this Mesh was created.
 	startedAt time.Time
 
 	mu sync.RWMutex
-	// ctx ends with Run; nil before.
+	// ctx is cancelled when Run ends; it is nil before Run.
 	ctx              context.Context
 	machine          *membership.Machine
 	lastID           membership.SessionID
@@ -53,12 +54,13 @@
 	acceptedByRouter map[state.Router]*session
 	traffic          map[state.Router]*counters
 	eventCounts      EventCounts
-	// pendingPeers and changed are what the present step has to announce.
+	// pendingPeers and pendingSessions are the changes that the current step
+	// has to pass to the callbacks.
 	pendingPeers    []scheduler.Peer
 	pendingSessions []sessionNotice
 }
 
-// New opens the listener. Peers are dialled once Run is called.
+// New opens the listener. It does not dial any peers before Run is called.
 func New(opts Options) (*Mesh, error) {
 	if err := opts.validate(); err != nil {
 		return nil, err
@@ -70,7 +72,7 @@
 	if opts.Advertise == "" {
 		opts.Advertise = listener.Addr().String()
 	}
-	if bound, ok := listener.Addr().(*net.TCPAddr); ok && bound.IP.IsUnspecified() && opts.Advertise == bound.String() {
+	if tcpAddr, ok := listener.Addr().(*net.TCPAddr); ok && tcpAddr.IP.IsUnspecified() && opts.Advertise == tcpAddr.String() {
 		_ = listener.Close()
 		return nil, &OptionError{"Advertise", "needed when listening on all addresses"}
 	}
@@ -102,8 +104,8 @@
 // Addr returns the address that peers dial.
 func (m *Mesh) Addr() string { return m.self.Address }
 
-// Run serves until the context ends, then sends what is queued and closes all
-// sessions.
+// Run serves until the context ends. It then sends the queued messages and
+// closes all sessions.
 func (m *Mesh) Run(ctx context.Context) error {
 	inner, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
@@ -135,10 +137,10 @@
 	}
 }
 
-// flush sends what is queued and closes the sending side, so that the peers
-// close after they have read everything. Closing at once would reset a
-// connection on which a heartbeat arrives meanwhile, and the reset would
-// destroy the last counters on their way.
+// flush sends the queued messages and closes the sending side of each session,
+// so that the peers close their side after they have read everything. Closing
+// both sides at once would reset a connection on which a heartbeat is just
+// arriving, and the reset would destroy the last counters in flight.
 func (m *Mesh) flush() {
 	ctx, cancel := context.WithTimeout(context.Background(), m.opts.FlushTimeout)
 	defer cancel()
@@ -171,8 +173,9 @@
 }
 
 // Send queues a message for a peer and returns at once. It returns false if
-// there is no session with the peer, or its queue is full; the session is then
-// dropped so that both sides start again from full state.
+// there is no session with the peer, the message is too large, or the queue is
+// full. A full queue closes the session, so that both sides start again from
+// full state.
 func (m *Mesh) Send(to state.Router, env *peerpb.Envelope) bool {
 	m.mu.RLock()
 	s, ok := m.acceptedByRouter[to]
@@ -185,11 +188,11 @@
 	return ok && s.enqueue(stream, frame)
 }
 
-// Broadcast queues a message for all peers; it is encoded once.
+// Broadcast encodes a message once and queues it for all peers.
 func (m *Mesh) Broadcast(env *peerpb.Envelope) { m.enqueueEach(m.acceptedSessions(), env) }
 
-// SendEach queues a message for some peers; it is encoded once. Those without a
-// session are left out.
+// SendEach encodes a message once and queues it for the given peers. Peers
+// without a session are skipped.
 func (m *Mesh) SendEach(to []state.Router, env *peerpb.Envelope) {
 	m.mu.RLock()
 	sessions := make([]*session, 0, len(to))
@@ -217,8 +220,9 @@
 	}
 }
 
-// encode frames a message. One that the peer would refuse is a fault of this
-// router and goes to the log rather than to the peer.
+// encode encodes a message as a frame. A frame that exceeds the limit would be
+// rejected by the peer and shows a fault of this router, so it is logged and
+// not sent.
 func (m *Mesh) encode(env *peerpb.Envelope, limit int64) ([]byte, bool) {
 	frame, err := wire.AppendFrame(nil, env)
 	if err != nil || int64(len(frame)) > limit {
@@ -228,7 +232,8 @@
 	return frame, true
 }
 
-// SetDraining announces to all peers that this router takes no new work.
+// SetDraining announces to all peers whether this router is draining. A
+// draining router accepts no new work.
 func (m *Mesh) SetDraining(draining bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -236,25 +241,25 @@
 	m.step(membership.DrainingChanged{Draining: draining})
 }
 
-// AddSeeds adds addresses to dial, such as those of the platform's VM list.
-// Addresses that are no IP number and port are left out.
+// AddSeeds adds addresses to dial, such as those in the platform's list of VMs.
+// Addresses other than an IP address with a port are ignored.
 func (m *Mesh) AddSeeds(addresses []string) {
-	usable := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return !validAddress(a) })
+	validAddresses := slices.DeleteFunc(slices.Clone(addresses), func(a string) bool { return !validAddress(a) })
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.ctx == nil {
-		m.opts.Seeds = append(m.opts.Seeds, usable...)
+		m.opts.Seeds = append(m.opts.Seeds, validAddresses...)
 		return
 	}
-	m.step(membership.SeedsAdded{Addresses: usable})
+	m.step(membership.SeedsAdded{Addresses: validAddresses})
 }
 
-// Select replaces the routers that a selective mesh dials; see
-// membership.Selected.
-func (m *Mesh) Select(selected membership.SelectionChanged) {
+// Select replaces the routers that a mesh with SelectiveDialing dials; see
+// membership.SelectionChanged.
+func (m *Mesh) Select(selection membership.SelectionChanged) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.step(selected)
+	m.step(selection)
 }
 
 // Drop closes the session with a peer.
@@ -264,7 +269,8 @@
 	m.step(membership.SessionUnneeded{Router: router})
 }
 
-// tick tells membership which sessions were heard, then lets limits pass.
+// tick reports to membership which sessions received messages, ends handshakes
+// that exceed handshakeTimeout, and then sends a Tick to membership.
 func (m *Mesh) tick() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -280,8 +286,8 @@
 	m.step(membership.Tick{})
 }
 
-// step feeds membership and performs its actions. The caller holds the lock;
-// no action blocks.
+// step passes an event to membership and performs the resulting actions. The
+// caller must hold the lock, and no action blocks.
 func (m *Mesh) step(event membership.Event) {
 	for _, action := range m.machine.Step(m.opts.Clock.Now(), event) {
 		m.perform(action)
@@ -289,7 +295,8 @@
 	m.queueNotices()
 }
 
-// queueNotices passes on what has changed. The caller holds the lock.
+// queueNotices passes pending changes to the notices. The caller must hold the
+// lock.
 func (m *Mesh) queueNotices() {
 	if m.pendingPeers != nil || m.pendingSessions != nil {
 		m.notices.add(m.pendingPeers, m.pendingSessions)
@@ -297,7 +304,8 @@
 	}
 }
 
-// removeAccepted takes a session that ends out of use. The caller holds the lock.
+// removeAccepted removes an ending session from the accepted sessions. The
+// caller must hold the lock.
 func (m *Mesh) removeAccepted(s *session) {
 	if m.acceptedByRouter[s.peer.Router] != s {
 		return
@@ -326,8 +334,8 @@
 	}
 }
 
-// acceptSession makes a greeted session the route to its peer. The acceptor's hello is
-// the first frame in its queue.
+// acceptSession makes a session the accepted one with its peer. If the peer
+// dialled, this router's hello is the first frame in the queue.
 func (m *Mesh) acceptSession(s *session) {
 	s.accepted = true
 	m.attribute(s)
@@ -348,13 +356,14 @@
 		Str("address", s.conn.RemoteAddr().String()).Stringer("reason", refusal).Msg("peer session refused")
 }
 
-// closeSession ends a session on membership's orders, which then expects no Closed.
+// closeSession closes a session at the request of membership, which does not
+// expect SessionClosed for it.
 func (m *Mesh) closeSession(s *session, reason membership.CloseReason) {
 	m.removeAccepted(s)
 	s.end(closeError(reason))
 }
 
-// closeError is the reason membership gave for the end of a session.
+// closeError wraps the reason that membership gave for closing a session.
 type closeError membership.CloseReason
 
 // Error returns the reason.
@@ -378,13 +387,14 @@
 	}
 }
 
-// publishPeers passes the live routers on and forgets the counters of others.
+// publishPeers passes on the live routers and deletes the traffic counters of
+// routers that membership has forgotten.
 func (m *Mesh) publishPeers(peers []scheduler.Peer) {
-	known := make(map[state.Router]bool)
+	knownRouters := make(map[state.Router]bool)
 	for _, view := range m.machine.Members() {
-		known[view.Router] = true
+		knownRouters[view.Router] = true
 	}
-	maps.DeleteFunc(m.traffic, func(router state.Router, _ *counters) bool { return !known[router] })
+	maps.DeleteFunc(m.traffic, func(router state.Router, _ *counters) bool { return !knownRouters[router] })
 	m.pendingPeers = peers
 	m.opts.Log.Info().Int("live", len(peers)).Msg("peers changed")
 }
--- a/transport/peer/mesh_test.go
+++ b/transport/peer/mesh_test.go
@@ -22,10 +22,10 @@
 	b.Broadcast(grantEnvelope(2))
 	f.waitFor(func() bool { return b.receivedFrom("castro-1") == 2 && a.receivedFrom("laredo-1") == 1 })
 	object.GetConfigObject().Value = make([]byte, wire.MaxBulkFrameBytes)
-	require.False(t, a.Send("laredo-1", object), "the peer would refuse it")
+	require.False(t, a.Send("laredo-1", object), "the peer would reject a frame of this size")
 	require.False(t, a.Send("nobody", grantEnvelope(1)))
 	require.False(t, a.Send("castro-1", grantEnvelope(1)))
-	sent := a.Stats().Peers[0]
-	require.Greater(t, sent.BytesOut, uint64(1<<20))
-	require.True(t, sent.Connected)
+	stats := a.Stats().Peers[0]
+	require.Greater(t, stats.BytesOut, uint64(1<<20))
+	require.True(t, stats.Connected)
 }
--- a/transport/peer/notices.go
+++ b/transport/peer/notices.go
@@ -7,9 +7,10 @@
 	"github.com/figstile/figstile/coordination/scheduler"
 )
 
-// notices passes changes to the callbacks of the options in order, outside the
-// mesh's lock. Sets of peers that nobody has taken yet are replaced by newer
-// ones, so a slow receiver sees fewer changes but always the last.
+// notices calls the callbacks of the options in order and without holding the
+// mesh's lock. A newer set of live routers replaces one that has not been
+// delivered yet, so a slow callback sees fewer changes but always the latest
+// set.
 type notices struct {
 	ready chan struct{}
 
@@ -18,7 +19,7 @@
 	sessions []sessionNotice
 }
 
-// sessionNotice says that a session began or ended.
+// sessionNotice reports that a session began or ended.
 type sessionNotice struct {
 	session *session
 	ended   bool
@@ -28,8 +29,8 @@
 	return notices{ready: make(chan struct{}, 1)}
 }
 
-// add takes the new set of live routers, if it changed, together with the
-// sessions that it came with: they are announced after it.
+// add queues the new set of live routers, if it changed, and the sessions that
+// changed with it. The sessions are announced after the set.
 func (n *notices) add(live []scheduler.Peer, sessions []sessionNotice) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/transport/peer/options.go
+++ b/transport/peer/options.go
@@ -16,9 +16,9 @@
 	"github.com/figstile/figstile/state"
 )
 
-// ProtocolVersion is the version of the peer protocol. Unknown fields and
-// bodies are ignored, so it only grows when routers could misunderstand each
-// other.
+// ProtocolVersion is the version of the peer protocol. Routers ignore unknown
+// fields and bodies, so the version is raised only when routers could otherwise
+// misunderstand each other.
 const ProtocolVersion = 2
 
 // Peer identifies the sender of a message.
@@ -28,91 +28,97 @@
 	Incarnation state.Incarnation
 }
 
-// Session is a session that was opened.
+// Session describes a session that was opened.
 type Session struct {
 	Peer
-	// Address is where the peer listens.
+	// Address is the IP address and port where the peer listens.
 	Address string
-	// Dialled says that this router opened it.
+	// Dialled is set if this router dialled.
 	Dialled bool
-	// Capacity is that of the peer's Self.
+	// Capacity is the CPU share of the peer's VM; see Self.Capacity.
 	Capacity uint32
 }
 
-// Self is what this router says of itself.
+// Self describes this router to its peers.
 type Self struct {
 	Peer
-	// Fleet keeps the routers of different fleets apart.
+	// Fleet is the name of the fleet. Routers of different fleets refuse each
+	// other's sessions.
 	Fleet string
-	// Capacity is the processor share of the VM in hundredths of a core; 0 if
-	// not known.
+	// Capacity is the CPU share of the VM in hundredths of a core; 0 if it is
+	// unknown.
 	Capacity uint32
 }
 
 // Clock is the mesh's source of time.
 type Clock interface {
 	Now() time.Time
-	// Ticker returns a channel that receives about every d, and a function
-	// that stops it.
+	// Ticker returns a channel that receives about every d, and a function that
+	// stops the ticker.
 	Ticker(d time.Duration) (<-chan time.Time, func())
 }
 
-// Options configure a Mesh.
+// Options holds the settings of a Mesh.
 type Options struct {
 	Self Self
 	// Listen is the TCP address to listen on.
 	Listen string
-	// Advertise is the address peers dial; empty means the listener's own.
+	// Advertise is the address that peers dial; empty means the address of the
+	// listener.
 	Advertise string
-	// Seeds are addresses to dial first. One live seed suffices.
+	// Seeds are the addresses to dial first. One live seed is enough to find
+	// the fleet.
 	Seeds []string
-	// SoleProcess says that no two processes live under one name, whatever their
-	// clocks say: a new run may then pass a later incarnation of its own that
-	// a peer remembers.
+	// SoleProcess states that at most one process runs under a name at any
+	// time, whatever its clock shows. A new process may then raise its
+	// incarnation above an earlier, greater one that a peer remembers.
 	SoleProcess bool
-	// TLS secures the sessions if set. It must verify peers both ways.
+	// TLS secures the sessions if set. It must require and verify client
+	// certificates.
 	TLS *tls.Config
-	// Dial opens a connection to a peer; nil means plain TCP. Tests put links
-	// that fail here.
+	// Dial opens a connection to a peer; nil means plain TCP. Tests use it to
+	// simulate links that fail.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Handler receives the messages of peers. It is called concurrently for
 	// different peers, and for the two streams of one peer.
 	Handler func(from Peer, env *peerpb.Envelope)
-	// OnPeers receives the live routers, this one included, on each change.
+	// OnPeers receives the live routers, including this one, on each change.
 	// The first message of a new peer is handled after OnPeers has returned.
 	OnPeers func(peers []scheduler.Peer)
-	// OnSession is called, if set, after OnPeers for every new session, also
-	// one that replaces a broken one without the peer having been gone.
-	// Messages may have been lost with the old one: send full state.
+	// OnSession is called, if set, after OnPeers for every new session,
+	// including a session that replaces a broken one while the peer stayed
+	// live. Messages may have been lost with the old session, so the callback
+	// should send full state.
 	OnSession func(opened Session)
-	// OnSessionEnd is called, if set, once a session that was announced by
+	// OnSessionEnd is called, if set, when a session that was announced by
 	// OnSession has ended.
 	OnSessionEnd func(peer Peer)
-	// SelectiveDialing says that only seeds are dialled until Select names others.
+	// SelectiveDialing restricts dialling to seeds until Select names other
+	// routers.
 	SelectiveDialing bool
 	Log              zerolog.Logger
-	// FlushTimeout bounds a stop: the last counters of a drained router should
-	// reach its peers, but one that does not read must not hold it. Zero means a
-	// second.
+	// FlushTimeout limits how long a stop waits for peers. The last counters of
+	// a drained router should reach its peers, but a peer that does not read
+	// must not delay the stop. Zero means one second.
 	FlushTimeout time.Duration
-	// Clock defaults to the system's.
+	// Clock is the source of time; nil means the system clock.
 	Clock Clock
-	// Seed of the jitter; zero takes the incarnation.
+	// Seed is the seed of the jitter between dials; zero means the incarnation.
 	Seed uint64
 }
 
-// OptionError is an option that cannot be used.
+// OptionError reports an option with an invalid value.
 type OptionError struct {
 	Option string
 	Reason string
 }
 
-// Error names the option and the reason.
+// Error returns the option and the reason.
 func (e *OptionError) Error() string {
 	return fmt.Sprintf("peer: option %s: %s", e.Option, e.Reason)
 }
 
-// validate checks the options and fills in defaults.
+// validate checks the options and sets defaults.
 func (o *Options) validate() error {
 	switch {
 	case o.Self.Router == "" || len(o.Self.Router) > wire.MaxNameBytes:
@@ -155,7 +161,7 @@
 	return nil
 }
 
-// validAddress accepts an IP number with a port other than 0.
+// validAddress accepts an IP address with a port other than 0.
 func validAddress(address string) bool {
 	parsed, err := netip.ParseAddrPort(address)
 	return err == nil && parsed.Port() != 0
--- a/transport/peer/queue.go
+++ b/transport/peer/queue.go
@@ -3,25 +3,28 @@
 import "sync"
 
 const (
-	// maxQueuedMessages bounds the messages waiting for one stream. An idle pair has
-	// none; a burst of grants and declines of one scheduling round fits.
+	// maxQueuedMessages bounds the number of messages waiting for one stream.
+	// The queue of an idle session is empty, and a burst of the grants and
+	// declines of one scheduling round fits.
 	maxQueuedMessages = 1024
-	// maxQueuedBytes bounds their size: a handful of configuration objects.
+	// maxQueuedBytes bounds the total size of these messages. It allows for
+	// several configuration objects.
 	maxQueuedBytes = 8 << 20
-	// maxBatchBytes is how many bytes of waiting messages share one yamux frame.
+	// maxBatchBytes is the size up to which waiting messages are combined into
+	// one yamux frame.
 	maxBatchBytes = 16 << 10
 )
 
-// queueItem is a frame to write, or a mark that is closed once all frames before it
-// were written.
+// queueItem is a frame to write, or a marker whose channel is closed once all
+// earlier frames have been written.
 type queueItem struct {
 	frame   []byte
 	written chan struct{}
 }
 
-// queue holds the frames of one stream. Pushing never blocks.
+// queue holds the frames waiting for one stream. Adding a frame never blocks.
 type queue struct {
-	// ready receives when items wait.
+	// ready receives a value when items are waiting.
 	ready chan struct{}
 
 	mu    sync.Mutex
@@ -33,13 +36,14 @@
 	return &queue{ready: make(chan struct{}, 1)}
 }
 
-// push returns false if the queue is full.
+// push adds an item, or returns false if the queue is full.
 //
-// It guards against a peer that stops reading (frozen, or behind a link that
-// drops packets): TCP and yamux push back, and a caller that waited would stop
-// the scheduler for everybody else. The bound turns that into an overflow,
-// which drops the session: nothing of it may be skipped silently, since later
-// messages build on earlier ones, and a new session begins with full state.
+// The bound guards against a peer that stops reading because it is frozen or
+// behind a link that drops packets. TCP and yamux then block the writer, and a
+// caller that waited would stop the scheduler for all other peers. A full queue
+// makes the caller drop the session instead. Single messages must not be
+// dropped silently, because later messages build on earlier ones; a new session
+// begins with full state.
 func (q *queue) push(it queueItem) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -55,7 +59,8 @@
 	return true
 }
 
-// takeBatch removes what waits, up to a batch, and reports whether more waits.
+// takeBatch removes and returns the waiting items, up to maxBatchBytes, and
+// reports whether more are waiting.
 func (q *queue) takeBatch() (batch []queueItem, more bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/transport/peer/roundtrip.go
+++ b/transport/peer/roundtrip.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// rememberedHeartbeats is how many sent heartbeats can still be echoed. The echo of
-// one arrives with the peer's next heartbeat, so a few suffice.
+// rememberedHeartbeats is the number of sent heartbeats for which an echo can
+// still be matched. The echo of a heartbeat arrives with the peer's next
+// heartbeat, so a few are enough.
 const rememberedHeartbeats = 8
 
-// roundTrip measures the round trip from heartbeats: each echoes the last
-// sequence heard and says how long it was held.
+// roundTrip measures the round-trip time with heartbeats. Each heartbeat echoes
+// the last sequence number received and reports how long ago it was received.
 type roundTrip struct {
 	mu               sync.Mutex
 	sequence         uint64
@@ -20,7 +21,8 @@
 	lastRoundTrip    time.Duration
 }
 
-// nextHeartbeat returns the numbers of the next heartbeat.
+// nextHeartbeat returns the sequence number, the echoed number and the echo
+// delay for the next heartbeat to send.
 func (r *roundTrip) nextHeartbeat(now time.Time) (sequence, echo uint64, echoDelay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,7 +34,8 @@
 	return r.sequence, r.receivedSequence, echoDelay
 }
 
-// receiveHeartbeat takes the numbers of a peer's heartbeat.
+// receiveHeartbeat processes these values from a peer's heartbeat and updates
+// the round-trip time.
 func (r *roundTrip) receiveHeartbeat(now time.Time, sequence, echo uint64, echoDelay time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/transport/peer/session.go
+++ b/transport/peer/session.go
@@ -19,25 +19,28 @@
 )
 
 const (
-	// streamsPerSession is the control stream and the bulk stream.
+	// streamsPerSession counts the control stream and the bulk stream.
 	streamsPerSession = 2
-	// writeTimeout ends a session whose TCP connection takes no bytes at
-	// all. Heartbeats find a dead peer earlier; this frees the goroutine.
+	// writeTimeout ends a session whose TCP connection accepts no bytes.
+	// Heartbeats detect a dead peer earlier; this timeout frees the blocked
+	// goroutine.
 	writeTimeout = 10 * time.Second
-	// readBufferBytes of a stream: most messages are under a hundred bytes.
+	// readBufferBytes is the size of a stream's read buffer. Most messages are
+	// shorter than 100 bytes.
 	readBufferBytes = 512
 )
 
 // Errors that end a session.
 var (
 	errOverflow    = errors.New("send queue overflow")
-	errHandshake   = errors.New("no hello in time")
-	errNoHello     = errors.New("first message is no hello")
-	errSecondHello = errors.New("second hello")
+	errHandshake   = errors.New("hello not received in time")
+	errNoHello     = errors.New("first message is not a hello")
+	errSecondHello = errors.New("hello received twice")
 	errStopped     = errors.New("stopped")
 )
 
-// session is one yamux session, from the TCP connection on.
+// session is one yamux session between two routers. It begins with the TCP
+// connection.
 type session struct {
 	id             membership.SessionID
 	dialledAddress string
@@ -48,24 +51,26 @@
 	bulk           *queuedStream
 	roundTrip      roundTrip
 
-	// peer, the address where it listens and its capacity are set before the
-	// session is accepted.
+	// peer, its listening address and its capacity are set before the session
+	// is accepted.
 	peer     Peer
 	address  string
 	capacity uint32
 
-	// verdict is written by the mesh under its lock while it greets.
+	// accepted or refusal is set by the mesh, under its lock, once membership
+	// has processed the hello.
 	accepted bool
 	refusal  membership.Refusal
 
 	// messageReceived is set by every message and cleared by the mesh's tick.
 	messageReceived atomic.Bool
-	// peerAnnounced is closed once OnPeers knows the peer.
+	// peerAnnounced is closed after OnPeers and OnSession have been called for
+	// the peer.
 	peerAnnounced chan struct{}
 
 	endOnce sync.Once
 	done    chan struct{}
-	// err is the cause of the end; read it after done.
+	// err is the reason for the end. It may be read only after done is closed.
 	err error
 }
 
@@ -81,12 +86,12 @@
 	return &queuedStream{queue: newQueue(), maxFrameBytes: maxFrameBytes}
 }
 
-func (l *queuedStream) attach(stream *yamux.Stream) {
-	l.stream = stream
-	l.reader = wire.NewFrameReader(bufio.NewReaderSize(stream, readBufferBytes), l.maxFrameBytes)
+func (qs *queuedStream) attach(stream *yamux.Stream) {
+	qs.stream = stream
+	qs.reader = wire.NewFrameReader(bufio.NewReaderSize(stream, readBufferBytes), qs.maxFrameBytes)
 }
 
-// newSession wraps a connection; nothing is sent yet.
+// newSession wraps a connection. It sends nothing yet.
 func newSession(id membership.SessionID, conn net.Conn, dialledAddress string, now time.Time, total *counters) *session {
 	return &session{
 		id:             id,
@@ -100,15 +105,15 @@
 	}
 }
 
-// start runs TLS, if any, and yamux on the connection and opens the control
-// stream.
+// start starts TLS, if configured, and yamux on the connection and opens the
+// control stream.
 func (s *session) start(tlsConfig *tls.Config) error {
-	inner := net.Conn(s.conn)
+	baseConn := net.Conn(s.conn)
 	if tlsConfig != nil {
-		inner = s.withTLS(tlsConfig)
+		baseConn = s.withTLS(tlsConfig)
 	}
-	joined := &frameJoiningConn{Conn: inner}
-	mux, err := s.multiplex(joined)
+	joinedConn := &frameJoiningConn{Conn: baseConn}
+	mux, err := s.multiplex(joinedConn)
 	if err != nil {
 		return err
 	}
@@ -130,10 +135,11 @@
 func (s *session) multiplex(conn net.Conn) (*yamux.Session, error) {
 	cfg := yamux.DefaultConfig()
 	cfg.AcceptBacklog = streamsPerSession
-	// Membership sends heartbeats of its own, which carry more.
+	// Membership sends its own heartbeats, which carry more information.
 	cfg.EnableKeepAlive = false
 	cfg.ConnectionWriteTimeout = writeTimeout
-	// The handshake has its own limit; this would cost a goroutine.
+	// The handshake has its own time limit, and this one would cost a
+	// goroutine.
 	cfg.StreamOpenTimeout = 0
 	cfg.LogOutput = io.Discard
 	if s.dialledAddress == "" {
@@ -142,9 +148,9 @@
 	return yamux.Client(conn, cfg)
 }
 
-// openStream opens the next stream if this router dialled, and awaits it
-// otherwise. Both sides open the control stream first.
-func (s *session) openStream(l *queuedStream) error {
+// openStream opens the next stream if this router dialled, and otherwise waits
+// for the peer to open it. Both sides handle the control stream first.
+func (s *session) openStream(qs *queuedStream) error {
 	open := s.mux.OpenStream
 	if s.dialledAddress == "" {
 		open = s.mux.AcceptStream
@@ -153,11 +159,12 @@
 	if err != nil {
 		return err
 	}
-	l.attach(stream)
+	qs.attach(stream)
 	return nil
 }
 
-// writeHello sends a hello past the queue; only the handshake does.
+// writeHello writes a hello directly to the stream, bypassing the queue. Only
+// the handshake uses it.
 func (s *session) writeHello(env *peerpb.Envelope) error {
 	frame, err := wire.AppendFrame(nil, env)
 	if err != nil {
@@ -179,7 +186,7 @@
 	return hello, nil
 }
 
-// streamFor picks the stream of a message.
+// streamFor returns the stream that carries a message.
 func (s *session) streamFor(env *peerpb.Envelope) *queuedStream {
 	if env.GetConfigObject() != nil || env.GetCatalogueEnd() != nil {
 		return s.bulk
@@ -187,48 +194,48 @@
 	return s.control
 }
 
-// enqueue queues a frame, or ends the session if its queue is full.
-func (s *session) enqueue(l *queuedStream, frame []byte) bool {
-	if !l.queue.push(queueItem{frame: frame}) {
+// enqueue queues a frame, or ends the session if the queue is full.
+func (s *session) enqueue(qs *queuedStream, frame []byte) bool {
+	if !qs.queue.push(queueItem{frame: frame}) {
 		s.end(errOverflow)
 		return false
 	}
 	return true
 }
 
-// writeLoop sends what is queued until the session ends.
-func (s *session) writeLoop(l *queuedStream) {
+// writeLoop writes queued frames until the session ends.
+func (s *session) writeLoop(qs *queuedStream) {
 	for {
 		select {
 		case <-s.done:
 			return
-		case <-l.queue.ready:
+		case <-qs.queue.ready:
 		}
-		if err := s.writeQueued(l); err != nil {
+		if err := s.writeQueued(qs); err != nil {
 			s.end(err)
 			return
 		}
 	}
 }
 
-func (s *session) writeQueued(l *queuedStream) error {
+func (s *session) writeQueued(qs *queuedStream) error {
 	for more := true; more; {
 		var batch []queueItem
-		batch, more = l.queue.takeBatch()
-		if err := s.writeBatch(l, batch); err != nil {
+		batch, more = qs.queue.takeBatch()
+		if err := s.writeBatch(qs, batch); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *session) writeBatch(l *queuedStream, batch []queueItem) error {
+func (s *session) writeBatch(qs *queuedStream, batch []queueItem) error {
 	var out []byte
 	for _, it := range batch {
 		out = append(out, it.frame...)
 	}
 	if len(out) > 0 {
-		if _, err := l.stream.Write(out); err != nil {
+		if _, err := qs.stream.Write(out); err != nil {
 			return err
 		}
 	}
@@ -242,14 +249,15 @@
 	return nil
 }
 
-// readLoop passes on messages until the session ends.
-func (s *session) readLoop(l *queuedStream, handle func(*peerpb.Envelope) error) {
+// readLoop passes received messages to a handler until the session ends. It
+// starts reading once the peer has been announced.
+func (s *session) readLoop(qs *queuedStream, handle func(*peerpb.Envelope) error) {
 	select {
 	case <-s.peerAnnounced:
 	case <-s.done:
 	}
 	for {
-		env, err := l.reader.Next()
+		env, err := qs.reader.Next()
 		if err == nil {
 			s.messageReceived.Store(true)
 			s.conn.countMessageIn()
@@ -262,7 +270,7 @@
 	}
 }
 
-// awaitEnd returns once the session or the context has ended.
+// awaitEnd returns when the session or the context has ended.
 func (s *session) awaitEnd(ctx context.Context) {
 	select {
 	case <-s.done:
@@ -270,12 +278,12 @@
 	}
 }
 
-// flush returns once what is queued was written or the session or the context
-// has ended.
+// flush returns when all queued frames were written, or when the session or the
+// context has ended.
 func (s *session) flush(ctx context.Context) {
-	for _, l := range []*queuedStream{s.control, s.bulk} {
+	for _, qs := range []*queuedStream{s.control, s.bulk} {
 		written := make(chan struct{})
-		if !l.queue.push(queueItem{written: written}) {
+		if !qs.queue.push(queueItem{written: written}) {
 			continue
 		}
 		select {
@@ -287,14 +295,14 @@
 	}
 }
 
-// end marks the session as over. It does not block; the goroutine of the
-// session cleans up.
+// end marks the session as ended. It does not block; the session's goroutine
+// releases the resources.
 func (s *session) end(err error) {
 	s.endOnce.Do(func() {
 		s.err = err
 		close(s.done)
-		// The bare connection: closing TLS could wait for a peer that
-		// does not read.
+		// Close the TCP connection itself, because closing TLS could wait for a
+		// peer that does not read.
 		_ = s.conn.Conn.Close()
 	})
 }
--- a/transport/peer/tls_test.go
+++ b/transport/peer/tls_test.go
@@ -14,7 +14,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newAuthority signs itself; it stands for a fleet's own certificate authority.
+// newAuthority returns a configuration with a self-signed certificate that is
+// its own root. It stands for a fleet's certificate authority.
 func newAuthority(t *testing.T) *tls.Config {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
@@ -38,8 +39,9 @@
 	}
 }
 
-// A process without the fleet's certificate reaches the peer port. It gets no
-// session in either direction, while routers with one talk as before.
+// A process without a certificate of the fleet reaches the peer port. It must
+// get no session in either direction, while routers with such a certificate
+// connect as before.
 func TestOnlyVerifiedPeersConnect(t *testing.T) {
 	f := newFleet(t)
 	ours, theirs := newAuthority(t), newAuthority(t)
@@ -55,5 +57,5 @@
 
 	_, err := New(Options{Self: a.opts.Self, Handler: a.opts.Handler, OnPeers: a.opts.OnPeers, TLS: &tls.Config{}})
 	var option *OptionError
-	require.ErrorAs(t, err, &option, "one-sided TLS is no option")
+	require.ErrorAs(t, err, &option, "TLS without client verification must be rejected")
 }
