--- a/state/doc.go
+++ b/state/doc.go
@@ -1,4 +1,4 @@
-// Package state holds the plain data that every other layer shares: names,
+// Package state holds the plain data types that all other layers share: names,
 // costs, load reports and request attributes. It does no I/O, reads no clock
-// and imports nothing else of the project.
+// and imports no other package of this module.
 package state
--- a/state/names.go
+++ b/state/names.go
@@ -2,49 +2,53 @@
 
 import "strconv"
 
-// Team names a team. Its subtree of the settings holds its workspaces.
+// Team is the name of a team. The team's subtree of the settings contains its
+// workspaces.
 type Team string
 
-// Workspace names a tenant. Names are unique over the whole tree, so that
-// counters and queues need no team beside them.
+// Workspace is the name of a tenant. Names are unique over the whole tree of
+// settings, so counters and queues can be keyed by workspace without the team.
 type Workspace string
 
-// Service names a group of upstreams that callers reach under one path.
+// Service is the name of a group of upstreams that callers reach under one
+// path.
 type Service string
 
-// Model names a model version an engine can hold. It is empty for services of
-// application workers.
+// Model is the name of a model version that an engine can load. It is empty for
+// services of application workers.
 type Model string
 
-// Upstream names one engine or application worker.
+// Upstream is the name of one engine or application worker.
 type Upstream string
 
-// Router names one daemon. The name survives a restart; Incarnation does not.
+// Router is the name of one router daemon. The name stays the same after a
+// restart, while the Incarnation changes.
 type Router string
 
-// DataCentre names a failure domain that can be cut off from the others.
+// DataCentre is the name of a failure domain that can be cut off from the
+// others.
 type DataCentre string
 
-// Incarnation distinguishes the runs of one router: a later run has a greater
-// number.
+// Incarnation distinguishes the processes that run under one router name, one
+// after another. A later process has a greater number.
 type Incarnation uint64
 
-// RequestID numbers a request within one incarnation of a router, from 1.
+// RequestID numbers the requests of one incarnation of a router, starting at 1.
 type RequestID uint64
 
 // Fingerprint is a digest of a request's workspace, service and body. It
-// recognises a request that is sent again.
+// identifies a request that is sent again.
 type Fingerprint uint64
 
-// AttemptID identifies one dispatch of one request over the whole fleet. An
-// answer counts only on the attempt it belongs to.
+// AttemptID identifies one dispatch of one request in the whole fleet. An
+// answer counts only for the attempt that it belongs to.
 type AttemptID struct {
 	Router      Router
 	Incarnation Incarnation
 	Sequence    uint64
 }
 
-// String renders the id as router.incarnation.sequence.
+// String formats the id as router.incarnation.sequence.
 func (a AttemptID) String() string {
 	return string(a.Router) + "." + strconv.FormatUint(uint64(a.Incarnation), 10) + "." + strconv.FormatUint(a.Sequence, 10)
 }
--- a/state/upstream.go
+++ b/state/upstream.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// LoadReport is what an upstream says of itself. It arrives with a lag, so a
-// reader adds what it has sent since.
+// LoadReport is the load that an upstream reports about itself. It arrives with
+// a delay, so a reader has to add the requests that it has sent since.
 type LoadReport struct {
 	Upstream Upstream `json:"upstream"`
-	// Boot changes whenever the upstream's process restarts.
+	// Boot is an id that changes whenever the upstream's process restarts.
 	Boot string `json:"boot"`
-	// Running counts requests in the batch or on a worker's threads.
+	// Running counts the requests in an engine's batch or on a worker's
+	// threads.
 	Running int `json:"running"`
-	// Waiting counts requests admitted by the upstream that do not run yet.
+	// Waiting counts the requests that the upstream has accepted but not
+	// started.
 	Waiting int `json:"waiting"`
-	// Slots is how many requests the upstream can run at once.
+	// Slots is the number of requests that the upstream can run at once.
 	Slots int `json:"slots"`
-	// Draining is set once the upstream wants no new work.
+	// Draining is set if the upstream accepts no new work.
 	Draining bool `json:"draining"`
-	// Models lists the model versions held; empty for a worker.
+	// Models lists the loaded model versions; empty for a worker.
 	Models []Model `json:"models,omitempty"`
 }
 
-// ReceivedReport is a LoadReport with the reader's time of receipt.
+// ReceivedReport is a LoadReport with the time at which the reader received it.
 type ReceivedReport struct {
 	LoadReport
 	At time.Time
