--- a/state/config/bench_test.go
+++ b/state/config/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// largeTree has 40 teams with 3 workspaces each and 2,560 upstreams.
+// largeTree returns 40 teams with 3 workspaces each and 2,560 upstreams.
 func largeTree() (config.Root, []config.Subtree) {
 	var root config.Root
 	var subtrees []config.Subtree
@@ -59,7 +59,7 @@
 	view := config.NewView(root, subtrees)
 	for b.Loop() {
 		if _, ok := view.Authenticate("ws-7-1"); !ok {
-			b.Fatal("not known")
+			b.Fatal("token not recognised")
 		}
 	}
 }
--- a/state/config/check.go
+++ b/state/config/check.go
@@ -2,8 +2,8 @@
 
 import "github.com/figstile/figstile/state"
 
-// Check finds faults that show only when the objects are seen together. The
-// objects must have been parsed. Paths begin with the object's key.
+// Check finds faults that are visible only across several objects. The objects
+// must have been parsed. The path of each fault begins with the object's key.
 func Check(root Root, subtrees []Subtree) error {
 	c := newCrossCheck(root)
 	for _, s := range subtrees {
@@ -14,7 +14,8 @@
 	return c.faults.err()
 }
 
-// crossCheck holds what the subtrees refer to and what they share.
+// crossCheck holds the objects that subtrees refer to, and the names and token
+// digests that must be unique across all objects.
 type crossCheck struct {
 	faults     faults
 	teams      map[state.Team]TeamShare
@@ -85,13 +86,14 @@
 	}
 }
 
-// objectPath separates an object's key from the path within it.
+// objectPath returns the path of a value in an object, with the object's key in
+// front.
 func objectPath(key, path string) string {
 	return key + "#" + path
 }
 
-// allowedBy tells whether a list in an object names the item; an empty list
-// there names all.
+// allowedBy reports whether a list in an object contains the item. An empty
+// list allows every item.
 func allowedBy[T comparable](list []T, item T) bool {
 	if len(list) == 0 {
 		return true
--- a/state/config/doc.go
+++ b/state/config/doc.go
@@ -1,5 +1,6 @@
 // Package config holds the typed tree of settings that operators and teams
-// change while the fleet runs: teams, workspaces, services, upstreams and
+// change while the fleet is running: teams, workspaces, services, upstreams and
 // model versions. It parses and checks objects, orders them by version and
-// derives what routers need. Start-up settings of a process are not here.
+// derives the settings that routers need. It does not contain the start-up
+// settings of a process.
 package config
--- a/state/config/fault.go
+++ b/state/config/fault.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Fault is one thing wrong with an object of the tree.
+// Fault describes one error in an object of the tree.
 type Fault struct {
-	// Path leads to the offending value, as in teams[2].share.
+	// Path is the path of the invalid value, for example teams[2].share.
 	Path string `json:"path"`
-	// Reason says what is wrong with it.
+	// Reason describes the error.
 	Reason string `json:"reason"`
 }
 
-// String renders the fault as path: reason.
+// String formats the fault as "path: reason".
 func (f Fault) String() string {
 	if f.Path == "" {
 		return f.Reason
@@ -21,52 +21,52 @@
 	return f.Path + ": " + f.Reason
 }
 
-// Error lists every fault found in one pass, so that an operator mends them
+// Error lists all faults found in one pass, so that an operator can fix them
 // together.
 type Error struct {
 	Faults []Fault
 }
 
-// maxShownFaults bounds the faults in one log line: an object of a megabyte can
-// have a hundred thousand.
+// maxShownFaults bounds the number of faults in one log line. An object of one
+// megabyte can have a hundred thousand faults.
 const maxShownFaults = 20
 
-// Error joins the first faults into one line.
+// Error joins the first maxShownFaults faults into one line.
 func (e *Error) Error() string {
-	shown := e.Faults[:min(len(e.Faults), maxShownFaults)]
-	lines := make([]string, len(shown))
-	for i, f := range shown {
+	shownFaults := e.Faults[:min(len(e.Faults), maxShownFaults)]
+	lines := make([]string, len(shownFaults))
+	for i, f := range shownFaults {
 		lines[i] = f.String()
 	}
 	text := fmt.Sprintf("config: %d faults: %s", len(e.Faults), strings.Join(lines, "; "))
-	if len(shown) < len(e.Faults) {
+	if len(shownFaults) < len(e.Faults) {
 		text += "; ..."
 	}
 	return text
 }
 
-// faults collects what a check finds.
+// faults collects the faults that a check finds.
 type faults []Fault
 
 func (fs *faults) add(path, format string, args ...any) {
 	*fs = append(*fs, Fault{Path: path, Reason: fmt.Sprintf(format, args...)})
 }
 
-// addUnlessPathKnown adds later findings, but none below a path that already has a
-// fault: a value of the wrong type would else be reported as empty as well.
+// addUnlessPathKnown adds the faults whose path has no fault yet. Otherwise a
+// value of the wrong type would also be reported as empty.
 func (fs *faults) addUnlessPathKnown(added faults) {
-	known := make(map[string]bool, len(*fs))
+	knownPaths := make(map[string]bool, len(*fs))
 	for _, f := range *fs {
-		known[f.Path] = true
+		knownPaths[f.Path] = true
 	}
 	for _, f := range added {
-		if !known[f.Path] {
+		if !knownPaths[f.Path] {
 			*fs = append(*fs, f)
 		}
 	}
 }
 
-// err returns the faults as an error, or nil if there are none.
+// err returns the faults as an *Error, or nil if there are none.
 func (fs faults) err() error {
 	if len(fs) == 0 {
 		return nil
@@ -74,10 +74,11 @@
 	return &Error{Faults: fs}
 }
 
-// maxQuotedBytes bounds what a fault repeats of the object.
+// maxQuotedBytes bounds the length of a value that a fault quotes from an
+// object.
 const maxQuotedBytes = 100
 
-// clip shortens a value of any length for a fault.
+// clip shortens a value to maxQuotedBytes for a fault.
 func clip(s string) string {
 	if len(s) <= maxQuotedBytes {
 		return s
--- a/state/config/fuzz_test.go
+++ b/state/config/fuzz_test.go
@@ -9,7 +9,8 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// FuzzParseRoot: whatever is accepted makes a view and survives a round trip.
+// FuzzParseRoot checks that every accepted object yields a view and survives a
+// JSON round trip.
 func FuzzParseRoot(f *testing.F) {
 	f.Add([]byte(rootJSON))
 	f.Add([]byte(`{"teams": null, "teams": [{}]}`))
@@ -26,7 +27,8 @@
 	})
 }
 
-// FuzzParseSubtree: whatever is accepted survives a round trip.
+// FuzzParseSubtree checks that every accepted object survives a JSON round
+// trip.
 func FuzzParseSubtree(f *testing.F) {
 	f.Add([]byte(`{"team": "turismo", "workspaces": [{"name": "guides", "weight": 1, "tokens": []}]}`))
 	f.Add([]byte(`{"team": "turismo", "workspaces": [], "deleted": true}`))
--- a/state/config/limits.go
+++ b/state/config/limits.go
@@ -1,35 +1,38 @@
 package config
 
-// Defaults of a service's limits. A router of a small VM holds all queues in
-// memory, so the product of the workspaces' limits must stay near its size.
+// Defaults of a service's limits. A router on a small VM holds all queues in
+// memory, so each limit times the number of workspaces must stay near the
+// memory of such a VM.
 const (
-	// DefaultQueueRequests is some minutes of work for a workspace with a
-	// sixteenth of a service of 160 slots; what waits longer is better
-	// refused while its caller still listens.
+	// DefaultQueueRequests is some minutes of work for a workspace whose share
+	// is one sixteenth of a service with 160 slots. A request that would wait
+	// longer should be refused while its caller is still connected.
 	DefaultQueueRequests = 256
-	// DefaultQueueBytes lets sixteen workspaces fill their queues within a
+	// DefaultQueueBytes lets sixteen workspaces fill their queues within one
 	// gigabyte.
 	DefaultQueueBytes = 64 << 20
-	// DefaultBodyBytes admits a long prompt with a few scanned pages.
+	// DefaultBodyBytes is large enough for a long prompt with a few scanned
+	// images.
 	DefaultBodyBytes = 8 << 20
-	// DefaultAnswerBytes is far above any text; it stops an upstream that
-	// never ends its answer.
+	// DefaultAnswerBytes is far larger than any text answer. It stops an
+	// upstream that never ends its answer.
 	DefaultAnswerBytes = 64 << 20
-	// DefaultDeadlineMillis is the time to draft a long guide, with the wait
-	// before it.
+	// DefaultDeadlineMillis is long enough for the wait and the generation of a
+	// long text.
 	DefaultDeadlineMillis = 5 * 60 * 1000
 )
 
-// Default prices. They only weigh the parts of one service's usage.
+// Default prices. They are only compared with other prices of the same service.
 const (
-	// DefaultInputToken reflects that prompts are read in parallel while
-	// answers are written token by token.
+	// DefaultInputToken is lower than DefaultOutputToken because an engine
+	// processes the tokens of a prompt in parallel and generates the answer
+	// token by token.
 	DefaultInputToken  = 0.25
 	DefaultOutputToken = 1
 	DefaultBusySecond  = 1
 )
 
-// WithDefaults returns the limits with every zero replaced.
+// WithDefaults returns the limits with every zero replaced by its default.
 func (l Limits) WithDefaults() Limits {
 	l.QueueRequests = orDefault(l.QueueRequests, DefaultQueueRequests)
 	l.QueueBytes = orDefault(l.QueueBytes, DefaultQueueBytes)
@@ -46,9 +49,10 @@
 	return value
 }
 
-// WithDefaults returns the prices for a service of the kind. A service that
-// charges nothing would give every workspace the same counter for ever, and
-// fair choice would choose blindly.
+// WithDefaults returns the prices, or the defaults for the kind of service if
+// all are zero. If a service charged nothing, the counters of all its
+// workspaces would stay equal for ever and fair scheduling could not
+// distinguish them.
 func (c CostWeights) WithDefaults(kind ServiceKind) CostWeights {
 	if c != (CostWeights{}) {
 		return c
@@ -59,7 +63,8 @@
 	return CostWeights{InputToken: DefaultInputToken, OutputToken: DefaultOutputToken}
 }
 
-// withDefaults returns a copy of the service that a router can use as it is.
+// withDefaults returns a copy of the service with default limits and prices
+// filled in.
 func (s Service) withDefaults() Service {
 	s.Limits = s.Limits.WithDefaults()
 	s.Cost = s.Cost.WithDefaults(s.Kind)
--- a/state/config/names.go
+++ b/state/config/names.go
@@ -6,13 +6,14 @@
 	"regexp"
 )
 
-// Bounds on names. Names appear in store keys, URL paths, log lines and
-// metric labels, so they hold no separators of those; model versions keep the
-// separators that model registries use.
+// Bounds on names. Names appear in store keys, URL paths, log lines and metric
+// labels, so they must not contain the separators used there. Model versions
+// may contain the separators that model registries use.
 const (
-	// MaxNameBytes leaves room for four names in one metric label set.
+	// MaxNameBytes is short enough for four names in the labels of one metric.
 	MaxNameBytes = 64
-	// MaxModelBytes admits a registry path and a digest of a version.
+	// MaxModelBytes is long enough for a registry path with the digest of a
+	// version.
 	MaxModelBytes = 200
 )
 
@@ -30,17 +31,17 @@
 	return sha256.Sum256([]byte(token))
 }
 
-// String returns the digest as objects hold it: lower-case hex.
+// String returns the digest in lower-case hex, as it is stored in objects.
 func (d Digest) String() string {
 	return hex.EncodeToString(d[:])
 }
 
-// ShortDigits of a digest tell tokens apart in logs and history without
-// revealing the token.
+// ShortDigits is the number of hex digits that identify a token in logs and
+// histories without revealing it.
 const ShortDigits = 8
 
-// Short returns the first digits of the digest, to name a token in logs and
-// in the history of changes.
+// Short returns the first ShortDigits digits of the digest, which identify a
+// token in logs and in the history of changes.
 func (d Digest) Short() string {
 	return d.String()[:ShortDigits]
 }
@@ -54,7 +55,8 @@
 	return d, err == nil
 }
 
-// checkName reports an empty, overlong or ill-formed name.
+// checkName adds a fault for a name that is empty, too long or does not match
+// namePattern.
 func (fs *faults) checkName(path, name string) {
 	fs.checkPattern(path, name, MaxNameBytes, namePattern)
 }
@@ -74,22 +76,24 @@
 	}
 }
 
-// uniqueNames reports names that were seen before under another path.
+// uniqueNames maps each name to the path where it was first seen, in order to
+// report duplicates.
 type uniqueNames map[string]string
 
 func (u uniqueNames) check(fs *faults, path, name string) {
 	if name == "" {
 		return
 	}
-	if first, ok := u[name]; ok {
-		fs.add(path, "%q is already used by %s", name, first)
+	if firstPath, ok := u[name]; ok {
+		fs.add(path, "%q is already used by %s", name, firstPath)
 		return
 	}
 	u[name] = path
 }
 
-// checkDigests reports ill-formed digests and those that u already holds: a
-// token that means two things would let one caller act as another.
+// checkDigests adds a fault for each malformed digest and for each digest that
+// u already contains. If one token stood for two principals, one caller could
+// act as another.
 func (fs *faults) checkDigests(path string, digests []string, u uniqueNames) {
 	for i, s := range digests {
 		if _, ok := parseDigest(s); !ok {
@@ -101,8 +105,8 @@
 }
 
 func (u uniqueNames) checkDigest(fs *faults, path, digest string) {
-	if first, ok := u[digest]; ok {
-		fs.add(path, "this token is already used by %s", first)
+	if firstPath, ok := u[digest]; ok {
+		fs.add(path, "this token is already used by %s", firstPath)
 		return
 	}
 	u[digest] = path
--- a/state/config/objects.go
+++ b/state/config/objects.go
@@ -13,15 +13,15 @@
 
 // Keys of the tree's objects in the platform's store.
 const (
-	// Prefix is that of every key of the tree.
+	// Prefix is the prefix of every key of the tree.
 	Prefix = "config/"
 	// RootKey is the key of the operators' object.
 	RootKey = Prefix + "root"
-	// TeamPrefix is that of the teams' objects.
+	// TeamPrefix is the prefix of the keys of the teams' objects.
 	TeamPrefix = Prefix + "teams/"
 )
 
-// ErrUnknownKey says that a key is none of the tree's.
+// ErrUnknownKey is returned for a key that does not belong to the tree.
 var ErrUnknownKey = errors.New("config: not a key of the tree")
 
 // TeamKey returns the key of a team's object.
@@ -29,7 +29,7 @@
 	return TeamPrefix + string(team)
 }
 
-// TeamOf returns the team whose object the key names.
+// TeamOf returns the team to whose object the key belongs.
 func TeamOf(key string) (state.Team, bool) {
 	name, ok := strings.CutPrefix(key, TeamPrefix)
 	if !ok || len(name) > MaxNameBytes || !namePattern.MatchString(name) {
@@ -38,16 +38,16 @@
 	return state.Team(name), true
 }
 
-// Object is one version of one object of the tree, as the platform's store
-// or a peer hands it over.
+// Object is one version of an object of the tree, as received from the
+// platform's store or from a peer.
 type Object struct {
 	Key     string
 	Version uint64
 	Value   []byte
 }
 
-// InvalidError says that a version of an object was not taken because its
-// value is not valid. The version held before stays in force.
+// InvalidError reports that a version of an object was not applied because its
+// value is invalid. The previous version stays in force.
 type InvalidError struct {
 	Key     string
 	Version uint64
@@ -55,19 +55,19 @@
 	Err error
 }
 
-// Error names the object and what is wrong with it.
+// Error returns the key and version of the object and the reason.
 func (e *InvalidError) Error() string {
 	return fmt.Sprintf("config: %s at version %d: %v", e.Key, e.Version, e.Err)
 }
 
-// Unwrap returns what is wrong with the value.
+// Unwrap returns the reason.
 func (e *InvalidError) Unwrap() error {
 	return e.Err
 }
 
-// Tree holds the newest valid version of every object. Versions only rise,
-// whatever the order in which stale reads, peers and watches bring them.
-// It does no I/O and is not safe for concurrent use.
+// Tree holds the newest valid version of every object. Versions only increase,
+// regardless of the order in which stale reads, peers and watches deliver them.
+// Tree does no I/O and is not safe for concurrent use.
 type Tree struct {
 	objects  map[string]Object
 	root     *Root
@@ -85,14 +85,15 @@
 	}
 }
 
-// Apply takes an object if its version is greater than the one held.
+// Apply applies an object if its version is greater than the stored one.
 //
-// A router that was cut off, read a lagging copy or restarted brings old
-// versions along, and callers would see settings go back. Only the version
-// decides, never the order or the source, so that cannot happen. A newer
-// version with an invalid value would take the fleet's settings away: the
-// valid one stays in force and an *InvalidError is returned. Objects are never
-// dropped; a deleted team is a tombstone with a version of its own.
+// A router that was cut off, read a lagging replica or restarted can deliver
+// old versions, which would revert settings for callers. Apply therefore
+// compares only versions and ignores the order and source of objects. If a
+// newer version has an invalid value, applying it would remove settings from
+// the whole fleet; the valid version stays in force and Apply returns an
+// *InvalidError. Objects are never removed: a deleted team is a tombstone with
+// its own version.
 func (t *Tree) Apply(o Object) (changed bool, err error) {
 	if stored, ok := t.objects[o.Key]; ok && o.Version <= stored.Version {
 		return false, nil
@@ -112,7 +113,8 @@
 	return true, nil
 }
 
-// store parses the value and stores what it says.
+// store parses the value and stores the result as the root or as a team's
+// subtree.
 func (t *Tree) store(o Object) error {
 	if o.Key == RootKey {
 		root, err := ParseRoot(o.Value)
@@ -132,20 +134,20 @@
 	return err
 }
 
-// recordInvalid remembers the newest invalid version of a key of the tree. Other
-// keys are not remembered: their number is not bounded.
+// recordInvalid records the newest invalid version of a key of the tree.
+// Unknown keys are not recorded, because their number is unbounded.
 func (t *Tree) recordInvalid(o Object, err error) *InvalidError {
 	invalid := &InvalidError{Key: o.Key, Version: o.Version, Err: err}
-	known, ok := t.invalid[o.Key]
-	newer := !ok || known.Version < o.Version
+	previous, ok := t.invalid[o.Key]
+	newer := !ok || previous.Version < o.Version
 	if newer && !errors.Is(err, ErrUnknownKey) {
 		t.invalid[o.Key] = invalid
 	}
 	return invalid
 }
 
-// View returns the present view, or nil until a valid root is held. It is
-// derived on the first call after a change, so that a batch of objects costs
+// View returns the current view, or nil until there is a valid root. The view
+// is derived on the first call after a change, so a batch of objects needs only
 // one derivation.
 func (t *Tree) View() *View {
 	if t.view == nil && t.root != nil {
@@ -154,27 +156,27 @@
 	return t.view
 }
 
-// CheckWith parses an object and checks it against the rest of the tree, as
-// if it replaced the version held. Faults that the tree already has and the
-// object leaves as they are don't count: of two clashes, the first could
-// otherwise never be mended alone.
+// CheckWith parses an object and checks it against the rest of the tree as if
+// it replaced the stored version. Faults that the tree already has are not
+// reported again, because otherwise one of two existing conflicts could not be
+// fixed without the other.
 func (t *Tree) CheckWith(key string, value []byte) error {
 	candidate := t.clone()
 	if err := candidate.store(Object{Key: key, Value: value}); err != nil {
 		return err
 	}
-	after := candidate.crossFaults()
-	known := make(map[string]bool)
+	faultsAfter := candidate.crossFaults()
+	knownReasons := make(map[string]bool)
 	for _, f := range t.crossFaults() {
-		known[f.Reason] = true
+		knownReasons[f.Reason] = true
 	}
-	var added faults
-	for _, f := range after {
-		if !known[f.Reason] {
-			added = append(added, f)
+	var newFaults faults
+	for _, f := range faultsAfter {
+		if !knownReasons[f.Reason] {
+			newFaults = append(newFaults, f)
 		}
 	}
-	return added.err()
+	return newFaults.err()
 }
 
 func (t *Tree) clone() *Tree {
@@ -187,14 +189,15 @@
 	}
 	subtrees := t.Subtrees()
 	slices.SortFunc(subtrees, func(a, b Subtree) int { return cmp.Compare(a.Team, b.Team) })
-	var found *Error
-	if errors.As(Check(*t.root, subtrees), &found) {
-		return found.Faults
+	var checkErr *Error
+	if errors.As(Check(*t.root, subtrees), &checkErr) {
+		return checkErr.Faults
 	}
 	return nil
 }
 
-// Subtrees returns every team's object, tombstones included, in no order.
+// Subtrees returns the objects of all teams in undefined order, including
+// tombstones.
 func (t *Tree) Subtrees() []Subtree {
 	subtrees := make([]Subtree, 0, len(t.subtrees))
 	for _, s := range t.subtrees {
@@ -203,7 +206,7 @@
 	return subtrees
 }
 
-// Versions returns the version held of every object.
+// Versions returns the stored version of every object.
 func (t *Tree) Versions() map[string]uint64 {
 	versions := make(map[string]uint64, len(t.objects))
 	for key, o := range t.objects {
@@ -212,14 +215,15 @@
 	return versions
 }
 
-// Object returns the version held of an object, to bring a peer up to date.
-// The caller must not change the value.
+// Object returns the stored version of an object, for example to send it to a
+// peer. The caller must not modify the value.
 func (t *Tree) Object(key string) (Object, bool) {
 	o, ok := t.objects[key]
 	return o, ok
 }
 
-// InvalidVersion returns the newest invalid version seen of an object, or zero.
+// InvalidVersion returns the newest invalid version received of an object, or
+// zero if there is none newer than the stored one.
 func (t *Tree) InvalidVersion(key string) uint64 {
 	invalid, ok := t.invalid[key]
 	if !ok {
@@ -228,8 +232,8 @@
 	return invalid.Version
 }
 
-// Invalid returns the newest version of each object that was seen but not
-// taken.
+// Invalid returns, for each object, the newest version that was received but
+// not applied.
 func (t *Tree) Invalid() map[string]*InvalidError {
 	return maps.Clone(t.invalid)
 }
--- a/state/config/objects_test.go
+++ b/state/config/objects_test.go
@@ -18,14 +18,14 @@
 	return changed
 }
 
-// An operator fixes a weight and sees it in force. A router that was cut off
-// then hands its old copy around, and after it comes a newer but damaged
-// object. Callers must go on under the fixed weight throughout.
+// An operator changes a weight. A router that was cut off then delivers its old
+// copy, and a newer but invalid object arrives after it. The changed weight
+// must stay in force throughout.
 func TestTreeNeverRevertsToAnOlderVersion(t *testing.T) {
 	tree := config.NewTree()
 	key := config.TeamKey("turismo")
 	require.True(t, apply(t, tree, key, 5, `{"team": "turismo", "workspaces": [{"name": "guides", "weight": 1, "tokens": []}]}`))
-	require.Nil(t, tree.View(), "no root yet")
+	require.Nil(t, tree.View(), "there must be no view without a root")
 	require.True(t, apply(t, tree, config.RootKey, 3, rootJSON))
 	require.NotNil(t, tree.View())
 
@@ -43,11 +43,12 @@
 	_, ok = tree.View().Workspace("guides")
 	require.False(t, ok)
 	require.Empty(t, tree.Invalid())
-	require.False(t, apply(t, tree, key, 5, `{"team": "turismo", "workspaces": []}`), "a tombstone stays")
+	require.False(t, apply(t, tree, key, 5, `{"team": "turismo", "workspaces": []}`), "an older version must not replace a tombstone")
 }
 
-// Two teams took names of each other's workspaces at the same moment, on two
-// occasions. Each clash must be mendable alone, and no third may be added.
+// Two teams took names of each other's workspaces at the same moment, twice.
+// Each conflict must be fixable without the other, and no third one may be
+// added.
 func TestConflictsCanBeFixedOneByOne(t *testing.T) {
 	const two = `{"team": "%s", "workspaces": [{"name": "a", "weight": 1, "tokens": []}, {"name": "%s", "weight": 1, "tokens": []}]}`
 	tree := config.NewTree()
@@ -82,7 +83,7 @@
 			}
 			changed, err := tree.Apply(o)
 			stored := tree.Versions()[o.Key]
-			require.Equal(t, changed, stored > newest[o.Key], "changed means a rise, and only that")
+			require.Equal(t, changed, stored > newest[o.Key], "changed must be true exactly if the stored version increased")
 			require.GreaterOrEqual(t, stored, newest[o.Key])
 			if err == nil && o.Version > newest[o.Key] {
 				require.Equal(t, o.Version, stored)
--- a/state/config/parse.go
+++ b/state/config/parse.go
@@ -7,24 +7,25 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Bounds on weights and shares. Shares are quotients of sums of them, which
-// stay exact enough in a float64 only within a limited range; outside it a
-// workspace's share would round to nothing and it would starve.
+// Bounds on weights and shares. A workspace's share is a quotient of sums of
+// weights, which a float64 represents accurately enough only within a limited
+// range. Beyond it, a share could be rounded to zero and the workspace would be
+// starved.
 const (
 	MinWeight = 1e-6
 	MaxWeight = 1e6
 )
 
-// MaxDeadlineMillis bounds a default deadline to a day: more is a slip of the
-// unit, and far more overflows a duration.
+// MaxDeadlineMillis limits a default deadline to one day. A larger value is a
+// mistake in the unit, and a much larger one would overflow a duration.
 const MaxDeadlineMillis = 24 * 60 * 60 * 1000
 
-// MaxSlots bounds an upstream's slots: more is a slip, and one such upstream
-// would draw every request of its service.
+// MaxSlots bounds an upstream's slots. A larger value is a mistake, and such an
+// upstream would attract all requests of its service.
 const MaxSlots = 100_000
 
-// ParseRoot reads the operators' object. The error is an *Error with every
-// fault.
+// ParseRoot parses the operators' object. A returned error is an *Error with
+// all faults.
 func ParseRoot(data []byte) (Root, error) {
 	var root Root
 	fs := decodeStrict(data, &root)
@@ -35,8 +36,8 @@
 	return root, nil
 }
 
-// ParseSubtree reads the object of one team. The error is an *Error with
-// every fault.
+// ParseSubtree parses the object of one team. A returned error is an *Error
+// with all faults.
 func ParseSubtree(team state.Team, data []byte) (Subtree, error) {
 	var subtree Subtree
 	fs := decodeStrict(data, &subtree)
@@ -99,9 +100,10 @@
 	}
 }
 
-// checkWantedModels admits only what the service offers. An engine would
-// otherwise be ordered to drop every model that requests may ask for, and the
-// service would refuse them all until the operator found the slip.
+// checkWantedModels accepts only models that the service offers. Otherwise a
+// mistyped name would make the engine unload every model that requests may use,
+// and the service would refuse all requests until the operator finds the
+// mistake.
 func (fs *faults) checkWantedModels(path string, s Service, wanted []state.Model) {
 	if len(wanted) > 0 && s.Kind == KindWorker {
 		fs.add(path, "application workers hold no models")
@@ -120,7 +122,8 @@
 	fs.checkPrice(fieldPath(path, "busy_second"), c.BusySecond)
 }
 
-// checkPrice admits zero, which charges nothing for that kind of usage.
+// checkPrice accepts zero, which means that this kind of usage is free, and
+// otherwise any valid weight.
 func (fs *faults) checkPrice(path string, price float64) {
 	if price != 0 {
 		fs.checkWeight(path, price)
@@ -163,7 +166,7 @@
 	}
 }
 
-// checkURL admits what a request can be made for.
+// checkURL accepts URLs to which an HTTP request can be sent.
 func (fs *faults) checkURL(path, raw string) {
 	if raw == "" {
 		fs.add(path, "must not be empty")
--- a/state/config/parse_test.go
+++ b/state/config/parse_test.go
@@ -31,7 +31,7 @@
 	digestC = config.DigestOf("caller token").String()
 )
 
-// faultPaths lists the paths of all faults in err.
+// faultPaths returns the paths of all faults in err.
 func faultPaths(t *testing.T, err error) []string {
 	t.Helper()
 	var faults *config.Error
@@ -74,8 +74,8 @@
 	}, faultPaths(t, err))
 }
 
-// An operator misspells a model version or names it twice, or wants a worker to
-// hold one. Taken as it stands, the engine would drop the model in use.
+// An operator mistypes a model version, lists it twice, or wants a worker to
+// load one. If this were accepted, the engine would unload the model in use.
 func TestWantedModelsAreChecked(t *testing.T) {
 	const service = `{"name": "s", "kind": "%s", "cost": {}, "limits": {}, "repeatable": false, "models": %s,
 		"upstreams": [{"name": "u", "url": "http://h", "data_centre": "d", "wanted_models": %s}]}`
@@ -112,7 +112,8 @@
 	}
 }
 
-// A damaged object must not fill the logs of every router.
+// An invalid object with many long values must not fill the logs of every
+// router.
 func TestFaultsStayShort(t *testing.T) {
 	long := strings.Repeat("x", 1000)
 	data := strings.Repeat(`{"`+long+`": 1, "url": "`+long+`"},`, 100)
--- a/state/config/settings.go
+++ b/state/config/settings.go
@@ -2,22 +2,24 @@
 
 import "github.com/figstile/figstile/state"
 
-// Settings are what a router derives from the tree: flat, checked and
-// complete. They are plain data and survive a round trip through JSON.
+// Settings holds the flat and checked settings that a router derives from the
+// tree, with all defaults filled in. It contains only data and survives a JSON
+// round trip.
 type Settings struct {
 	Services   []Service
 	Workspaces []WorkspaceSettings
 }
 
-// WorkspaceSettings are one workspace's effective settings.
+// WorkspaceSettings holds the effective settings of one workspace.
 type WorkspaceSettings struct {
 	Name state.Workspace
 	Team state.Team
-	// Share is the workspace's part of the whole: the team's share over all
-	// teams' times the workspace's weight over its team's. All shares add
-	// up to 1, so a team cannot gain by raising its own weights.
+	// Share is the fraction of a service's capacity that the workspace may
+	// have: the team's share divided by all teams' shares, times the
+	// workspace's weight divided by the weights of its team. All shares add up
+	// to 1, so a team gains nothing by raising its own weights.
 	Share float64
-	// Services and Models the workspace may use; nil means all.
+	// Services and Models list what the workspace may use; nil means all.
 	Services []state.Service
 	Models   []state.Model
 }
--- a/state/config/strict.go
+++ b/state/config/strict.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// MaxObjectBytes bounds one object of the tree. The platform holds no larger
-// value.
+// MaxObjectBytes bounds the size of one object of the tree. The platform stores
+// no larger values.
 const MaxObjectBytes = 1 << 20
 
-// decodeStrict fills into from data and lists every departure from the type:
-// the standard decoder stops at the first unknown field, lets the last of two
-// equal keys win and ignores the case of names.
+// decodeStrict decodes data into the given value and lists all deviations from
+// its type. The standard JSON decoder would stop at the first unknown field,
+// use the last of two equal keys and ignore the case of names.
 func decodeStrict(data []byte, into any) faults {
 	var fs faults
 	if len(data) > MaxObjectBytes {
@@ -38,7 +38,8 @@
 	return fs
 }
 
-// checkType checks raw against t and descends into objects and arrays.
+// checkType checks that raw matches type t, including all nested objects and
+// arrays.
 func (fs *faults) checkType(path string, raw json.RawMessage, t reflect.Type) {
 	if string(raw) == "null" {
 		if t.Kind() != reflect.Slice {
@@ -58,7 +59,7 @@
 
 func (fs *faults) checkObject(path string, raw json.RawMessage, t reflect.Type) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
-	_, _ = dec.Token() // the opening brace
+	_, _ = dec.Token() // skips the opening brace
 	seen := make(map[string]bool)
 	for dec.More() {
 		token, err := dec.Token()
--- a/state/config/view.go
+++ b/state/config/view.go
@@ -9,20 +9,21 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// PrincipalKind tells what a bearer token lets its holder do.
+// PrincipalKind is the kind of access that a bearer token grants.
 type PrincipalKind uint8
 
-// The kinds of principal. The zero value is none of them.
+// The kinds of principals. The zero value is not a valid kind.
 const (
-	// Operator may change the root and every subtree.
+	// Operator may change the root and all subtrees.
 	Operator PrincipalKind = iota + 1
-	// TeamAdmin may change the team's own subtree.
+	// TeamAdmin may change the subtree of its own team.
 	TeamAdmin
 	// Caller may send requests for one workspace.
 	Caller
 )
 
-// String returns the kind as logs and the history of changes name it.
+// String returns the name of the kind as used in logs and in the history of
+// changes.
 func (k PrincipalKind) String() string {
 	switch k {
 	case Operator:
@@ -36,17 +37,17 @@
 	}
 }
 
-// Principal is whom a bearer token stands for.
+// Principal is the operator, team or workspace that a bearer token identifies.
 type Principal struct {
 	Kind PrincipalKind
 	// Team is empty for an operator.
 	Team state.Team
-	// Workspace is set for a caller only.
+	// Workspace is set only for a caller.
 	Workspace state.Workspace
 }
 
-// View is one state of the whole tree, derived once and never changed, so
-// that any number of goroutines read it without a lock.
+// View is a snapshot of the whole tree. It is derived once and never modified,
+// so any number of goroutines may read it without a lock.
 type View struct {
 	root        Root
 	subtrees    map[state.Team]Subtree
@@ -57,17 +58,17 @@
 	faults      faults
 }
 
-// credential is what one digest stands for. It repeats the digest for a
-// comparison in constant time.
+// credential holds the principal of one token digest. It repeats the digest,
+// which is the map key, for a comparison in constant time.
 type credential struct {
 	digest    Digest
 	principal Principal
 }
 
-// NewView derives a view from parsed objects. Objects that were checked one
-// by one may still clash, since two teams can write at the same moment: the
-// team that the root lists first keeps a disputed name, and what was left out
-// is told by Err. Names that refer to nothing permit nothing.
+// NewView derives a view from parsed objects. Objects that were checked
+// separately may still conflict, because two teams can write at the same
+// moment. In a conflict, the team listed first in the root keeps the name, and
+// Err reports what was left out. References to unknown names allow no access.
 func NewView(root Root, subtrees []Subtree) *View {
 	v := &View{
 		root:        root,
@@ -97,8 +98,9 @@
 	slices.SortFunc(v.settings.Services, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// addAdministrators comes before any caller: a team that lists an operator's
-// digest among its callers' must not take the operator's rights away.
+// addAdministrators must run before tokens of callers are added. Otherwise a
+// team could list an operator's digest among its callers' tokens and thereby
+// remove the operator's rights.
 func (v *View) addAdministrators() {
 	v.addTokens(RootKey, v.root.OperatorTokens, Principal{Kind: Operator})
 	for _, t := range v.root.Teams {
@@ -133,14 +135,14 @@
 	}
 }
 
-// assignWorkspaces gives each name to one team.
+// assignWorkspaces assigns each workspace name to one team.
 func (v *View) assignWorkspaces() map[state.Team][]Workspace {
 	owner := make(map[state.Workspace]state.Team)
 	members := make(map[state.Team][]Workspace)
 	for _, t := range v.root.Teams {
 		for _, w := range v.subtrees[t.Name].Workspaces {
-			if first, used := owner[w.Name]; used {
-				v.faults.add(TeamKey(t.Name), "workspace %q belongs to team %q", w.Name, first)
+			if ownerTeam, used := owner[w.Name]; used {
+				v.faults.add(TeamKey(t.Name), "workspace %q belongs to team %q", w.Name, ownerTeam)
 				continue
 			}
 			owner[w.Name] = t.Name
@@ -150,8 +152,8 @@
 	return members
 }
 
-// addWorkspaces divides a team's part among its workspaces. Teams without a
-// workspace take no part, so that the parts in use add up to the whole.
+// addWorkspaces divides a team's share among its workspaces. Teams without
+// workspaces are left out, so that the shares in use add up to 1.
 func (v *View) addWorkspaces(t TeamShare, teamShare float64, members []Workspace) {
 	weights := 0.0
 	for _, w := range members {
@@ -171,8 +173,8 @@
 	}
 }
 
-// nilIfEmpty turns an object's list, where empty names all, into one of the
-// derived settings, where only nil does.
+// nilIfEmpty converts a list of an object, where an empty list means all, into
+// a list of the derived settings, where only nil means all.
 func nilIfEmpty[T any](list []T) []T {
 	if len(list) == 0 {
 		return nil
@@ -180,8 +182,9 @@
 	return list
 }
 
-// intersect keeps what both lists permit. Two lists with nothing in common
-// give an empty list, never nil: nil would permit everything.
+// intersect returns the services that both lists allow. For lists without a
+// common service it returns an empty list and never nil, because nil would
+// allow all services.
 func intersect(team, workspace []state.Service) []state.Service {
 	if len(team) == 0 {
 		return nilIfEmpty(workspace)
@@ -198,43 +201,44 @@
 	return common
 }
 
-// Settings returns the flat settings, services and workspaces in order of
-// their names. The caller must not change them.
+// Settings returns the flat settings, with services and workspaces ordered by
+// name. The caller must not modify them.
 func (v *View) Settings() Settings {
 	return v.settings
 }
 
-// Root returns the operators' object. The caller must not change it.
+// Root returns the operators' object. The caller must not modify it.
 func (v *View) Root() Root {
 	return v.root
 }
 
-// Subtree returns a team's object unless the team has none or is deleted.
-// The caller must not change it.
+// Subtree returns a team's object, unless there is none or it is deleted. The
+// caller must not modify it.
 func (v *View) Subtree(team state.Team) (Subtree, bool) {
 	s, ok := v.subtrees[team]
 	return s, ok
 }
 
-// Err lists clashes between objects that were left out of the view, or nil.
+// Err returns the conflicts between objects that were left out of the view, or
+// nil.
 func (v *View) Err() error {
 	return v.faults.err()
 }
 
-// Authenticate finds whom a bearer token stands for. The map is keyed by the
-// token's digest, so the time of a lookup tells nothing about other tokens;
-// the hit is compared again in constant time.
+// Authenticate returns the principal that a bearer token identifies. The map is
+// keyed by the token's digest, so the duration of a lookup reveals nothing
+// about other tokens. The digest found is compared once more in constant time.
 func (v *View) Authenticate(token string) (Principal, bool) {
 	if token == "" {
 		return Principal{}, false
 	}
 	digest := DigestOf(token)
-	found, ok := v.credentials[digest]
-	equal := subtle.ConstantTimeCompare(digest[:], found.digest[:]) == 1
+	cred, ok := v.credentials[digest]
+	equal := subtle.ConstantTimeCompare(digest[:], cred.digest[:]) == 1
 	if !ok || !equal {
 		return Principal{}, false
 	}
-	return found.principal, true
+	return cred.principal, true
 }
 
 // Service returns a service with defaults filled in.
@@ -243,16 +247,17 @@
 	return s, ok
 }
 
-// Workspace returns a workspace's effective settings.
+// Workspace returns the effective settings of a workspace.
 func (v *View) Workspace(name state.Workspace) (WorkspaceSettings, bool) {
 	w, ok := v.workspaces[name]
 	return w, ok
 }
 
-// Allows tells whether the workspace may use the service and model: OK,
-// Unauthorized for an unknown workspace, UnknownService, UnknownModel or
-// Forbidden. A service that lists no models passes any name on to its
-// upstreams, and a service of workers takes none.
+// Allows reports whether the workspace may use the service and model. It
+// returns OK, Unauthorized for an unknown workspace, UnknownService,
+// UnknownModel or Forbidden. A service without a list of models passes any
+// model name on to its upstreams, and a service of workers accepts no model
+// name.
 func (v *View) Allows(ws state.Workspace, service state.Service, model state.Model) result.Code {
 	w, ok := v.workspaces[ws]
 	if !ok {
--- a/state/config/view_test.go
+++ b/state/config/view_test.go
@@ -90,8 +90,8 @@
 	require.InDelta(t, config.DefaultBusySecond, s.Cost.BusySecond, 0)
 }
 
-// drawTree draws teams with shares and their workspaces with weights over the
-// whole range that the checks admit.
+// drawTree generates teams and workspaces whose shares and weights cover the
+// whole valid range.
 func drawTree(t *rapid.T) (config.Root, []config.Subtree) {
 	weight := rapid.Float64Range(config.MinWeight, config.MaxWeight)
 	var root config.Root
