--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -6,34 +6,38 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Upstream is one run of an engine or application worker, as it registered
-// itself.
+// Upstream describes one process of an engine or application worker, as it
+// registered itself.
 type Upstream struct {
-	// ID names the upstream; a worker that restarts may keep it.
+	// ID is the name of the upstream. A worker may keep it over a restart.
 	ID         state.Upstream
 	Service    state.Service
 	Address    string
 	DataCentre state.DataCentre
-	// Slots is how many requests it runs at once; 0 if it does not say.
+	// Slots is the number of requests that the upstream runs at once; 0 if it
+	// does not report one.
 	Slots int
-	// Leaving upstreams finish what they have and take nothing new.
+	// Leaving is set if the upstream finishes its current requests and accepts
+	// no new ones.
 	Leaving bool
-	// Born is the Unix millisecond of its start; it tells runs under one id
-	// apart. Zero if it does not say.
+	// Born is the start time in Unix milliseconds, which distinguishes
+	// processes with the same ID; zero if the upstream does not report it.
 	Born int64
 }
 
-// Entry is what the platform's list says of one id.
+// Entry is the state of one upstream in the platform's list.
 type Entry struct {
-	// Revision of the entry's last change; of its removal where it is gone.
+	// Revision is the revision of the entry's latest change. For a removed
+	// entry it is the revision of the removal, which may equal that of the
+	// removed entry.
 	Revision uint64
-	// Present is false once the entry was removed, or names no usable
+	// Present is false if the entry was removed or does not describe a usable
 	// upstream.
 	Present  bool
 	Upstream Upstream
 }
 
-// Directory is a set of entries. The zero value is not usable; it is not safe
+// Directory is a set of entries. Use New to create one. A Directory is not safe
 // for concurrent use.
 type Directory struct {
 	entries map[state.Upstream]Entry
@@ -44,8 +48,8 @@
 	return &Directory{entries: make(map[state.Upstream]Entry)}
 }
 
-// Apply takes an entry if it is newer than what is held, and says whether it
-// did.
+// Apply stores an entry if it is newer than the stored one, and reports whether
+// it did.
 func (d *Directory) Apply(id state.Upstream, entry Entry) bool {
 	if !d.IsNewer(id, entry) {
 		return false
@@ -54,21 +58,21 @@
 	return true
 }
 
-// IsNewer says whether an entry is newer than what is held. Revisions only grow,
-// so an old answer of the store, or a peer that was cut off, never brings back
-// an upstream that has left. A removal counts against the revision that it
-// removed.
+// IsNewer reports whether an entry is newer than the stored one. Revisions only
+// increase, so neither an outdated answer of the store nor a peer that was cut
+// off can restore an upstream that has left. A removal also counts as newer if
+// it has the same revision as the entry that it removes.
 func (d *Directory) IsNewer(id state.Upstream, entry Entry) bool {
 	current, ok := d.entries[id]
 	removes := !entry.Present && current.Present && current.Revision == entry.Revision
 	return !ok || current.Revision < entry.Revision || removes
 }
 
-// Entry returns what is held of an id.
+// Entry returns the stored entry of an upstream.
 func (d *Directory) Entry(id state.Upstream) (Entry, bool) {
 	entry, ok := d.entries[id]
 	return entry, ok
 }
 
-// Entries returns a copy of all entries, those of gone upstreams included.
+// Entries returns a copy of all entries, including those of removed upstreams.
 func (d *Directory) Entries() map[state.Upstream]Entry { return maps.Clone(d.entries) }
--- a/state/directory/doc.go
+++ b/state/directory/doc.go
@@ -1,3 +1,3 @@
-// Package directory holds the known upstreams by id: plain data, kept in step
-// with the platform's list by revisions that only grow.
+// Package directory holds the known upstreams by id. It contains plain data,
+// which revisions that only increase keep consistent with the platform's list.
 package directory
