--- a/state/result/doc.go
+++ b/state/result/doc.go
@@ -1,4 +1,4 @@
-// Package result holds the numbered result codes of every final answer, with
-// what each says about whether the request ran. docs/RESULTS.md is the table
-// for callers; a test holds the two together.
+// Package result defines the numbered result codes of all final answers. Each
+// code also states whether the request ran. The table for callers is in
+// docs/RESULTS.md, and a test checks that it matches this package.
 package result
--- a/state/result/result.go
+++ b/state/result/result.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Ran says whether a request ran on an upstream.
+// Ran states whether a request ran on an upstream.
 type Ran uint8
 
-// The values of Ran. RanNo is only given if nothing of the request was sent
-// to an upstream.
+// The values of Ran. RanNo is used only if no part of the request was sent to
+// an upstream.
 const (
 	RanNo Ran = iota
 	RanYes
@@ -29,12 +29,12 @@
 	}
 }
 
-// Code numbers a final result. Numbers are never reused.
+// Code is the number of a final result. Numbers are never reused.
 type Code uint16
 
-// The result codes. The thousands name the group: 0 success, 1 the request
-// itself, 2 capacity and readiness, 3 the upstream, 4 repeated requests, 5
-// the router, 6 administration.
+// The result codes. The thousands digit is the group: 0 success, 1 the request
+// itself, 2 capacity and readiness, 3 the upstream, 4 repeated requests, 5 the
+// router, 6 administration.
 const (
 	OK Code = 0
 
@@ -90,15 +90,15 @@
 	Name string
 	// Status is the HTTP status of an answer with this code.
 	Status int
-	// Ran is what the code says when the result does not say otherwise.
+	// Ran is the value for results that do not set another one.
 	Ran Ran
-	// Retry tells whether an answer carries Retry-After.
+	// Retry is set if an answer with this code has a Retry-After header.
 	Retry bool
 	// Meaning is one sentence for the caller.
 	Meaning string
 }
 
-// Table lists every code in ascending order.
+// Table lists all codes in ascending order.
 var Table = []Entry{
 	{OK, "ok", http.StatusOK, RanYes, false, "The whole answer was delivered."},
 	{BadRequest, "bad-request", http.StatusBadRequest, RanNo, false, "The request could not be understood."},
@@ -151,8 +151,8 @@
 	return entries
 }
 
-// Lookup returns the table row of a code, or that of Internal for a code the
-// table lacks.
+// Lookup returns the table row of a code, or the row of Internal for an unknown
+// code.
 func Lookup(c Code) Entry {
 	e, ok := byCode[c]
 	if !ok {
@@ -161,14 +161,15 @@
 	return e
 }
 
-// Result is the final outcome of one request. The zero value is OK with
-// RanNo; use New.
+// Result is the final outcome of one request. The zero value means OK with
+// RanNo; use New to create a Result.
 type Result struct {
 	Code Code `json:"code"`
 	Ran  Ran  `json:"ran"`
-	// RetryAfter is when coming back may help; zero if it does not.
+	// RetryAfter is the time after which a retry may succeed; zero if a retry
+	// would not help.
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
-	// Detail is one sentence for a person, without secrets.
+	// Detail is one sentence for a human reader. It contains no secrets.
 	Detail string `json:"detail,omitempty"`
 }
 
@@ -177,19 +178,20 @@
 	return Result{Code: c, Ran: Lookup(c).Ran, Detail: detail}
 }
 
-// WithRetryAfter returns the result with a time to come back.
+// WithRetryAfter returns a copy of the result with the time after which to
+// retry.
 func (r Result) WithRetryAfter(d time.Duration) Result {
 	r.RetryAfter = d
 	return r
 }
 
-// WithRan returns the result with another statement of whether it ran.
+// WithRan returns a copy of the result with another Ran value.
 func (r Result) WithRan(ran Ran) Result {
 	r.Ran = ran
 	return r
 }
 
-// Error makes a Result usable as an error.
+// Error formats the result as an error message; it makes Result an error.
 func (r Result) Error() string {
 	return fmt.Sprintf("%s (%d, ran %s): %s", Lookup(r.Code).Name, r.Code, r.Ran, r.Detail)
 }
--- a/state/result/table_test.go
+++ b/state/result/table_test.go
@@ -32,7 +32,7 @@
 	return names
 }
 
-// renderTable renders the table as docs/RESULTS.md has it.
+// renderTable formats the table as in docs/RESULTS.md.
 func renderTable() string {
 	var b strings.Builder
 	b.WriteString("| code | name | status | ran | `Retry-After` | meaning |\n|---|---|---|---|---|---|\n")
@@ -46,8 +46,8 @@
 	return b.String()
 }
 
-// TestDocsHoldTheTable: callers program against the page, so a row that is
-// missing, left over or changed there is as wrong as one in the code.
+// Callers rely on docs/RESULTS.md. A row that is missing, obsolete or different
+// there is as wrong as one in the code.
 func TestDocsMatchTheTable(t *testing.T) {
 	page, err := os.ReadFile("../../docs/RESULTS.md")
 	require.NoError(t, err)
@@ -61,7 +61,7 @@
 }
 
 func TestTableIsConsistent(t *testing.T) {
-	require.Len(t, declaredCodes(t), len(Table), "every declared code has one row")
+	require.Len(t, declaredCodes(t), len(Table), "every declared code must have exactly one row")
 	names := make(map[string]bool)
 	for i, e := range Table {
 		require.False(t, names[e.Name], "name %s is used twice", e.Name)
@@ -69,7 +69,7 @@
 		require.NotEmpty(t, http.StatusText(e.Status))
 		require.Equal(t, e, Lookup(e.Code))
 		if i > 0 {
-			require.Greater(t, e.Code, Table[i-1].Code, "codes ascend")
+			require.Greater(t, e.Code, Table[i-1].Code, "codes must be in ascending order")
 		}
 	}
 	require.Equal(t, Internal, Lookup(9999).Code)
