--- a/state/routing/routing.go
+++ b/state/routing/routing.go
@@ -6,22 +6,22 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind states whether a route's requests may be repeated.
 type Kind uint8
 
-// Kinds of requests.
+// The kinds of requests.
 const (
-	// NonIdempotent requests run at most once. It is the zero value: what is
-	// not known to be repeatable is not repeated.
+	// NonIdempotent requests run at most once. It is the zero value, so
+	// requests of unknown kind are not repeated.
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered by a series of events and count as
+	// Stream requests are answered with a series of events. They count as
 	// non-idempotent unless their route is resumable.
 	Stream
 )
 
-// String returns the kind's name in logs.
+// String returns the name of the kind as used in logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -33,52 +33,54 @@
 	}
 }
 
-// Backend is one service behind a route with its part of the traffic.
+// Backend is one of the services of a route, with its part of the traffic.
 type Backend struct {
 	Service state.Service
-	// Weight is relative to the other backends of the route.
+	// Weight is relative to the weights of the route's other backends.
 	Weight int
 }
 
-// Route sends the requests of a host and path prefix to services.
+// Route sends requests with a given host and path prefix to services.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is the path prefix. It begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Resumable streams may go on at another upstream after an event.
+	// Resumable is set if a stream may continue on another upstream after one
+	// of its events.
 	Resumable bool
-	// Timeout is the longest time a request may be kept; zero means the
-	// caller's own deadline alone.
+	// Timeout is the longest time that a request may stay in the router; zero
+	// means that only the caller's deadline applies.
 	Timeout time.Duration
-	// TargetLatency is the latency within which an answer, or a stream's first
-	// event, is on time.
+	// TargetLatency is the latency up to which an answer, or the first event of
+	// a stream, counts as on time.
 	TargetLatency time.Duration
-	// MaxEventGap is the longest time between two events of a stream with which it
-	// is still on time; zero means none.
+	// MaxEventGap is the longest time between two events of a stream up to
+	// which the later event counts as on time; zero means that there is no
+	// limit.
 	MaxEventGap time.Duration
-	// Priority ranks the route; 0 is the highest.
+	// Priority is the rank of the route; 0 is the highest.
 	Priority int
 	Backends []Backend
-	// MaxAttempts bounds the upstreams that one request is sent to.
+	// MaxAttempts bounds the number of upstreams to which one request is sent.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public is set if requests of the route need no key.
 	Public bool
 }
 
-// Repeatable says whether a request that may have run can be sent again.
+// Repeatable reports whether a request may be sent again after it may have run.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
 // Engine describes the engines of a service.
 type Engine struct {
-	// Slots is the number of requests an engine runs at once.
+	// Slots is the number of requests that an engine runs at once.
 	Slots int
-	// CacheTokens is the memory of an engine, in tokens.
+	// CacheTokens is the capacity of an engine's memory in tokens.
 	CacheTokens int64
-	// TokensPerEvent is how many tokens one event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 }
 
@@ -86,20 +88,22 @@
 type Service struct {
 	Name       state.Service
 	HealthPath string
-	// MaxConnections is what one upstream accepts from all routers together.
+	// MaxConnections is the number of connections that one upstream accepts
+	// from all routers together.
 	MaxConnections int
 	// Engine is nil for services of application workers.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the requests that a caller may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
 	HeaderTimeout time.Duration
 	IdleTimeout   time.Duration
-	// Throughput is what all engines together produce, in cost units a
-	// second: each token read counts once, each generated one twice.
+	// Throughput is the work that all engines together can do, in cost units
+	// per second. Each prompt token counts as one unit and each generated token
+	// as two.
 	Throughput float64
 }
 
@@ -111,7 +115,7 @@
 
 // Config is one version of the operators' configuration.
 type Config struct {
-	// Version only grows.
+	// Version increases with every change.
 	Version    uint64
 	Routes     []Route
 	Services   []Service
--- a/state/routing/table.go
+++ b/state/routing/table.go
@@ -6,16 +6,17 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Table is a Config prepared for lookups. It is immutable.
+// Table indexes a Config for lookups. It is immutable.
 type Table struct {
 	config Config
-	// hosts are the routes of each host by their prefixes.
+	// hosts maps each host to its routes by path prefix.
 	hosts    map[string]map[string]*Route
 	services map[state.Service]*Service
 	keys     map[string]state.Workspace
 }
 
-// NewTable indexes a configuration. The caller leaves it unchanged afterwards.
+// NewTable indexes a configuration. The caller must not modify the
+// configuration afterwards.
 func NewTable(config Config) *Table {
 	t := &Table{
 		config:   config,
@@ -37,19 +38,21 @@
 	return t
 }
 
-// Version returns the configuration's version.
+// Version returns the version of the configuration.
 func (t *Table) Version() uint64 { return t.config.Version }
 
-// Limits returns what callers may send.
+// Limits returns the limits for callers.
 func (t *Table) Limits() Limits { return t.config.Limits }
 
-// Services returns the services; the caller must not change them.
+// Services returns the services. The caller must not modify them.
 func (t *Table) Services() []Service { return t.config.Services }
 
-// HasWorkspaces says whether routes that are not public need a key.
+// HasWorkspaces reports whether there are workspaces, in which case routes that
+// are not public need a key.
 func (t *Table) HasWorkspaces() bool { return len(t.config.Workspaces) > 0 }
 
-// addRoute indexes a route. Of two with the same host and prefix the first counts.
+// addRoute adds a route to the index. Of two routes with the same host and
+// prefix, the first one is used.
 func (t *Table) addRoute(route *Route) {
 	host := strings.ToLower(route.Host)
 	if t.hosts[host] == nil {
@@ -60,8 +63,8 @@
 	}
 }
 
-// Route returns the route with the longest prefix that begins the path, among
-// those of the host. A port in the host is ignored.
+// Route returns the host's route with the longest prefix that matches the path.
+// A port in the host is ignored.
 func (t *Table) Route(host, path string) (*Route, bool) {
 	routes := t.hosts[strings.ToLower(withoutPort(host))]
 	for end := len(path); end > 0; end = strings.LastIndexByte(path[:end-1], '/') + 1 {
@@ -72,8 +75,8 @@
 	return nil, false
 }
 
-// withoutPort drops the port of a host; colons in brackets belong to an IPv6
-// address.
+// withoutPort removes the port from a host. Colons in brackets belong to an
+// IPv6 address.
 func withoutPort(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i > strings.LastIndexByte(host, ']') {
 		return host[:i]
@@ -87,7 +90,7 @@
 	return service, ok
 }
 
-// Workspace returns the workspace that holds a key.
+// Workspace returns the workspace to which a key belongs.
 func (t *Table) Workspace(key string) (state.Workspace, bool) {
 	workspace, ok := t.keys[key]
 	return workspace, ok
--- a/state/routing/table_test.go
+++ b/state/routing/table_test.go
@@ -40,15 +40,15 @@
 	require.False(t, ok)
 }
 
-// A kind that was never set must be the one that is not repeated.
+// A route whose kind was never set must not be repeated.
 func TestZeroRouteIsNotRepeated(t *testing.T) {
 	require.False(t, (&Route{}).Repeatable())
 	require.False(t, (&Route{Kind: Stream}).Repeatable())
 	require.True(t, (&Route{Kind: Stream, Resumable: true}).Repeatable())
 }
 
-// Whatever routes there are, the one found begins the path and none longer
-// does.
+// For any set of routes, the route found must have the longest prefix that
+// matches the path.
 func TestRouteMatchesLinearSearch(t *testing.T) {
 	segment := rapid.SampledFrom([]string{"a/", "b/", "ab/"})
 	rapid.Check(t, func(t *rapid.T) {
