--- a/protocol/doc.go
+++ b/protocol/doc.go
@@ -1,3 +1,4 @@
-// Package protocol is the root of what travels between processes: peerpb holds
-// the messages between routers, trace the recorded events of the deciders.
+// Package protocol contains the formats of data that leaves a process: peerpb
+// holds the messages between routers, and trace the recorded events and actions
+// of the schedulers.
 package protocol
