--- a/protocol/wire/check.go
+++ b/protocol/wire/check.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// MaxNameBytes bounds names of services, workspaces, models, upstreams and
-	// routers in bytes. Settings bound them more tightly; this bound only
-	// keeps a faulty peer from filling maps with long keys.
+	// MaxNameBytes bounds the names of services, workspaces, models, upstreams
+	// and routers in bytes. The settings have lower limits; this one only keeps
+	// a faulty peer from filling maps with long keys.
 	MaxNameBytes = 256
-	// MaxEntries bounds the lists of one message. It leaves room for every
-	// workspace of every service in a full message of a large fleet.
+	// MaxEntries bounds the lists of one message. In a large fleet, a full
+	// message with every workspace of every service fits.
 	MaxEntries = 16384
 )
 
-// checker keeps the first fault of a message, so that conversions read as a
-// list of fields.
+// checker records the first fault of a message, so that conversions can check
+// field by field without handling an error after each.
 type checker struct {
 	err error
 }
@@ -29,7 +29,7 @@
 	}
 }
 
-// requiredName accepts a name that must be present.
+// requiredName returns a name and records a fault if it is empty or too long.
 func (c *checker) requiredName(field, value string) string {
 	if value == "" {
 		c.fail(CodeMissing, field)
@@ -37,7 +37,8 @@
 	return c.optionalName(field, value)
 }
 
-// optionalName accepts a name that may be empty.
+// optionalName returns a name that may be empty and records a fault if it is
+// too long.
 func (c *checker) optionalName(field, value string) string {
 	if len(value) > MaxNameBytes {
 		c.fail(CodeTooLong, field)
@@ -58,7 +59,7 @@
 	}
 }
 
-// int32Count accepts a count that travels as 32 bits.
+// int32Count returns a count and records a fault if it exceeds math.MaxInt32.
 func (c *checker) int32Count(field string, value uint32) int {
 	if value > math.MaxInt32 {
 		c.fail(CodeOutOfRange, field)
@@ -66,20 +67,20 @@
 	return int(value)
 }
 
-// clampCount keeps a local count within what integer accepts.
+// clampCount limits a local count to the range that int32Count accepts.
 func clampCount(n int) uint32 {
 	return uint32(min(max(n, 0), math.MaxInt32))
 }
 
-// clampMillis rounds a duration down to milliseconds and keeps it within 32 bits:
-// an age is only compared with other ages, so a cap of 49 days does no harm.
+// clampMillis rounds a duration down to milliseconds and limits it to 32 bits.
+// Ages are only compared with other ages, so the limit of 49 days does no harm.
 func clampMillis(d time.Duration) uint32 {
 	ms := min(max(d.Milliseconds(), 0), math.MaxUint32)
 	return uint32(ms)
 }
 
-// lifetimeMillis rounds up, so that a grant of less than a millisecond does not
-// arrive as one that has expired.
+// lifetimeMillis rounds up, so that a grant with a lifetime of less than a
+// millisecond does not arrive as an expired grant.
 func lifetimeMillis(d time.Duration) uint32 {
 	return clampMillis(d + time.Millisecond - 1)
 }
--- a/protocol/wire/compress.go
+++ b/protocol/wire/compress.go
@@ -7,15 +7,17 @@
 )
 
 const (
-	// maxObjectBytes bounds an object after decompression: the platform's largest
-	// value.
+	// maxObjectBytes bounds the size of a decompressed object. It equals the
+	// platform's limit on values.
 	maxObjectBytes = 1 << 20
-	// dictionaryID tells frames with a dictionary from others.
+	// dictionaryID distinguishes frames that need a dictionary from other
+	// frames.
 	dictionaryID = 1
 )
 
-// Compress returns a zstd frame of a value. Base, if not empty, serves as its
-// dictionary: of two versions of an object little but the difference is left.
+// Compress returns a zstd frame of a value. A non-empty base is used as the
+// dictionary, so a frame of a new version of an object contains little more
+// than the difference from the base.
 func Compress(value, base []byte) []byte {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(maxObjectBytes),
@@ -26,14 +28,15 @@
 	}
 	encoder, err := zstd.NewWriter(nil, options...)
 	if err != nil {
-		// Only options out of range are refused.
+		// NewWriter fails only for options that are out of range.
 		panic(err)
 	}
 	defer encoder.Close()
 	return encoder.EncodeAll(value, nil)
 }
 
-// Decompress returns the value of a frame that Compress made with the same base.
+// Decompress returns the value of a frame that Compress produced with the same
+// base.
 func Decompress(frame, base []byte) ([]byte, error) {
 	options := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxObjectBytes)}
 	if len(base) > 0 {
@@ -41,12 +44,12 @@
 	}
 	decoder, err := zstd.NewReader(nil, options...)
 	if err != nil {
-		return nil, fmt.Errorf("decompression: %w", err)
+		return nil, fmt.Errorf("decompress object: %w", err)
 	}
 	defer decoder.Close()
 	value, err := decoder.DecodeAll(frame, nil)
 	if err != nil {
-		return nil, fmt.Errorf("decompression: %w", err)
+		return nil, fmt.Errorf("decompress object: %w", err)
 	}
 	return value, nil
 }
--- a/protocol/wire/compress_test.go
+++ b/protocol/wire/compress_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// largeObject is as large as a configuration of 1,400 routes, of a version.
+// largeObject returns an object of the size of a configuration with 1,400
+// routes.
 func largeObject(version int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"Version":%d,"Routes":[`, version)
@@ -20,7 +21,8 @@
 	return []byte(b.String())
 }
 
-// An object that differs in one route must not cost what a whole one costs.
+// The frame of an object that differs from its base in one route must be much
+// smaller than a whole object.
 func TestChangeOfALargeObjectIsSmall(t *testing.T) {
 	before, after := largeObject(1), largeObject(2)
 	change := Compress(after, before)
@@ -39,7 +41,8 @@
 	require.Equal(t, value, decompressed)
 }
 
-// A peer may send garbage, or a change of another version.
+// A peer may send garbage, or a difference from another version. Each must lead
+// to an error.
 func TestDecompressRejectsInvalidFrames(t *testing.T) {
 	before, after := largeObject(1), largeObject(2)
 	change := Compress(after, before)
@@ -47,7 +50,7 @@
 		"garbage":    {[]byte("garbage"), nil},
 		"no base":    {change, nil},
 		"wrong base": {change, largeObject(3)[:len(before)-2000]},
-		"cut":        {change[:len(change)-3], before},
+		"truncated":  {change[:len(change)-3], before},
 	} {
 		_, err := Decompress(c.frame, c.base)
 		require.Error(t, err, name)
--- a/protocol/wire/decode.go
+++ b/protocol/wire/decode.go
@@ -6,8 +6,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// ToEvent converts a message of a peer. It returns an *Error if the message
-// breaks a bound or is not for the scheduler.
+// ToEvent converts a message of a peer into a scheduler event. It returns an
+// *Error if the message exceeds a bound or is not meant for the scheduler.
 func ToEvent(from state.Router, fromIncarnation state.Incarnation, env *peerpb.Envelope) (scheduler.Event, error) {
 	var c checker
 	event := c.event(from, fromIncarnation, env)
@@ -130,7 +130,8 @@
 	return scheduler.Outcome(value)
 }
 
-// usage takes the sender for the origin of counters that name none.
+// usage converts usage counters. Counters without an origin are those of the
+// sender.
 func (c *checker) usage(from state.Router, incarnation state.Incarnation, m *peerpb.Usage) scheduler.Event {
 	c.listLength("usage.entries", len(m.GetEntries()))
 	if c.err != nil {
@@ -161,8 +162,8 @@
 		Charged:   c.cost("usage.charged", e.GetCharged()),
 		Reserved:  c.cost("usage.reserved", e.GetReserved()),
 		Lift:      c.cost("usage.lift", e.GetLift()),
-		// A virtual time is a position, not a cost: what is forgiven after
-		// idleness can take it below zero.
+		// A virtual time is a position and not a cost. It can be negative,
+		// because the credit for idle time can reduce it below zero.
 		Virtual: state.Cost(e.GetVirtual()),
 	}
 }
--- a/protocol/wire/doc.go
+++ b/protocol/wire/doc.go
@@ -1,4 +1,5 @@
 // Package wire converts between the scheduler's events and actions and the
-// messages of package peerpb, and frames those messages on a byte stream. It
-// checks everything that a peer says against bounds before a decider sees it.
+// messages of package peerpb, and reads and writes these messages as frames on
+// a byte stream. It checks all values from a peer against bounds before the
+// scheduler receives them.
 package wire
--- a/protocol/wire/encode.go
+++ b/protocol/wire/encode.go
@@ -8,8 +8,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// ToEnvelope converts an action that talks to peers. The receiver is empty if
-// the message goes to all of them. It returns false for actions that do not
+// ToEnvelope converts an action that sends a message to peers. The receiver is
+// empty if the message goes to all peers. ok is false for actions that do not
 // leave the router.
 func ToEnvelope(action scheduler.Action) (env *peerpb.Envelope, to state.Router, ok bool) {
 	switch a := action.(type) {
@@ -45,8 +45,8 @@
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Demand{Demand: body}}
 }
 
-// demandEntry leaves out a model that is that of the entry before. Names are
-// most of a message, and a service has few models.
+// demandEntry omits a model that equals the model of the previous entry. Names
+// make up most of a message, and a service has few models.
 func demandEntry(e scheduler.DemandEntry, previous state.Model) *peerpb.DemandEntry {
 	var model *string
 	if e.Model != previous {
@@ -123,7 +123,7 @@
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Usage{Usage: body}}
 }
 
-// usageEntry leaves out a service that is that of the entry before.
+// usageEntry omits a service that equals the service of the previous entry.
 func usageEntry(e scheduler.UsageEntry, previous state.Service) *peerpb.UsageEntry {
 	entry := &peerpb.UsageEntry{
 		Workspace: string(e.Workspace),
--- a/protocol/wire/errors.go
+++ b/protocol/wire/errors.go
@@ -2,24 +2,26 @@
 
 import "fmt"
 
-// Code tells apart why a message was not accepted.
+// Code is the reason why a message was not accepted.
 type Code uint8
 
-// The reasons for which a message is not accepted.
+// The reasons for not accepting a message.
 const (
-	// CodeEmpty: the envelope has no body that this version knows.
+	// CodeEmpty means that the envelope has no body that this version knows.
 	CodeEmpty Code = iota + 1
-	// CodeNotForScheduler: the body belongs to the mesh or to the settings.
+	// CodeNotForScheduler means that the body is handled by the mesh or by the
+	// exchange of settings.
 	CodeNotForScheduler
-	// CodeMissing: a required field is empty.
+	// CodeMissing means that a required field is empty.
 	CodeMissing
-	// CodeTooLong: a name exceeds MaxName.
+	// CodeTooLong means that a name exceeds MaxNameBytes.
 	CodeTooLong
-	// CodeTooMany: a list exceeds MaxEntries.
+	// CodeTooMany means that a list exceeds MaxEntries.
 	CodeTooMany
-	// CodeNegative: a cost or a count is negative.
+	// CodeNegative means that a cost or a count is negative.
 	CodeNegative
-	// CodeOutOfRange: a value is outside its enumeration or its type.
+	// CodeOutOfRange means that a value is outside its enumeration or the range
+	// of its type.
 	CodeOutOfRange
 )
 
@@ -41,20 +43,21 @@
 	return fmt.Sprintf("code %d", uint8(c))
 }
 
-// Error is a message that breaks a bound.
+// Error reports a message that exceeds a bound or is not meant for the
+// scheduler.
 type Error struct {
 	Code Code
-	// Field is the message and field at fault, such as "demand.service".
+	// Field is the message and the invalid field, such as "demand.service".
 	Field string
 }
 
-// Error names the field and the reason.
+// Error returns the field and the reason.
 func (e *Error) Error() string {
 	return fmt.Sprintf("wire: %s: %s", e.Field, e.Code)
 }
 
-// Is reports whether the target is an Error with the same code; an empty Field
-// in the target matches every field.
+// Is reports whether the target is an Error with the same code and field. An
+// empty Field in the target matches every field.
 func (e *Error) Is(target error) bool {
 	t, ok := target.(*Error)
 	return ok && t.Code == e.Code && (t.Field == "" || t.Field == e.Field)
--- a/protocol/wire/wire_test.go
+++ b/protocol/wire/wire_test.go
@@ -19,7 +19,8 @@
 
 var entry = scheduler.DemandEntry{Workspace: "guias", Model: "borrador-3", Waiting: 4, HeadAge: 1200 * time.Millisecond, HeadCost: 900}
 
-// mixed and counters repeat names and change them in every way.
+// mixedDemand and usageEntries contain names that are repeated and names that
+// change between entries, in all combinations.
 var (
 	mixedDemand = scheduler.Demand{Service: "s", Entries: []scheduler.DemandEntry{
 		{Workspace: "a"}, {Workspace: "a", Model: "m"}, {Workspace: "b", Model: "m"}, {Workspace: "c"}, {Workspace: "d"}, {Workspace: "d", Model: "n"},
@@ -29,7 +30,8 @@
 	}
 )
 
-// actionEvents lists every action that leaves a router with the event it becomes.
+// actionEvents lists every action that leaves a router, with the event that
+// arrives at the peer.
 var actionEvents = []struct {
 	action scheduler.Action
 	event  scheduler.Event
@@ -86,20 +88,20 @@
 		require.True(t, ok, "%T", p.action)
 		frame, err := AppendFrame(nil, env)
 		require.NoError(t, err)
-		read, err := NewFrameReader(bufio.NewReader(bytes.NewReader(frame)), MaxControlFrameBytes).Next()
+		readEnv, err := NewFrameReader(bufio.NewReader(bytes.NewReader(frame)), MaxControlFrameBytes).Next()
 		require.NoError(t, err)
-		event, err := ToEvent(sender, 41, read)
+		event, err := ToEvent(sender, 41, readEnv)
 		require.NoError(t, err)
 		require.Equal(t, p.event, event)
 	}
-	for _, local := range []scheduler.Action{scheduler.Dispatch{}, scheduler.Refuse{}, scheduler.Owned{}, scheduler.Drained{}} {
-		_, _, ok := ToEnvelope(local)
-		require.False(t, ok, "%T stays at home", local)
+	for _, localAction := range []scheduler.Action{scheduler.Dispatch{}, scheduler.Refuse{}, scheduler.Owned{}, scheduler.Drained{}} {
+		_, _, ok := ToEnvelope(localAction)
+		require.False(t, ok, "%T must not be sent to peers", localAction)
 	}
 }
 
-// A field that is added to a message and forgotten here would arrive as zero,
-// and only the fairness figures would show it.
+// A field that is added to a message but not to its conversion would arrive as
+// zero, which only the fairness metrics would show.
 func TestEveryFieldIsConverted(t *testing.T) {
 	for _, p := range actionEvents {
 		filled := reflect.New(reflect.TypeOf(p.action)).Elem()
@@ -149,8 +151,8 @@
 }
 
 func TestBounds(t *testing.T) {
-	long := strings.Repeat("x", MaxNameBytes+1)
-	many := make([]*peerpb.UsageEntry, MaxEntries+1)
+	longName := strings.Repeat("x", MaxNameBytes+1)
+	manyEntries := make([]*peerpb.UsageEntry, MaxEntries+1)
 	for _, c := range []struct {
 		code Code
 		env  *peerpb.Envelope
@@ -160,8 +162,8 @@
 		{CodeNotForScheduler, &peerpb.Envelope{Body: &peerpb.Envelope_Hello{}}},
 		{CodeMissing, &peerpb.Envelope{Body: &peerpb.Envelope_Grant{Grant: &peerpb.Grant{}}}},
 		{CodeMissing, &peerpb.Envelope{Body: &peerpb.Envelope_Decline{Decline: &peerpb.Decline{Service: "s"}}}},
-		{CodeTooLong, &peerpb.Envelope{Body: &peerpb.Envelope_Leaving{Leaving: &peerpb.Leaving{Upstream: long}}}},
-		{CodeTooMany, &peerpb.Envelope{Body: &peerpb.Envelope_Usage{Usage: &peerpb.Usage{Entries: many}}}},
+		{CodeTooLong, &peerpb.Envelope{Body: &peerpb.Envelope_Leaving{Leaving: &peerpb.Leaving{Upstream: longName}}}},
+		{CodeTooMany, &peerpb.Envelope{Body: &peerpb.Envelope_Usage{Usage: &peerpb.Usage{Entries: manyEntries}}}},
 		{CodeNegative, &peerpb.Envelope{Body: &peerpb.Envelope_Progress{Progress: &peerpb.Progress{Upstream: "u", Service: "s", Workspace: "w", Cost: -1}}}},
 		{CodeOutOfRange, &peerpb.Envelope{Body: &peerpb.Envelope_Ended{Ended: &peerpb.Ended{Upstream: "u", Service: "s", Workspace: "w", Outcome: 99}}}},
 	} {
@@ -175,12 +177,12 @@
 	frame, err := AppendFrame(nil, env)
 	require.NoError(t, err)
 	_, err = NewFrameReader(bufio.NewReader(bytes.NewReader(frame)), MaxControlFrameBytes).Next()
-	var large *protodelim.SizeTooLargeError
-	require.ErrorAs(t, err, &large)
+	var sizeErr *protodelim.SizeTooLargeError
+	require.ErrorAs(t, err, &sizeErr)
 }
 
-// FuzzFrames feeds a reader whatever a faulty or foreign sender may write: it
-// must end in an event or an error, never in a panic.
+// FuzzFrames passes arbitrary data of a faulty or foreign sender to a reader.
+// Each frame must lead to an event or an error, never to a panic.
 func FuzzFrames(f *testing.F) {
 	for _, p := range actionEvents {
 		env, _, _ := ToEnvelope(p.action)
