--- a/protocol/trace/reader.go
+++ b/protocol/trace/reader.go
@@ -17,8 +17,9 @@
 	return &Reader{decoder: json.NewDecoder(in)}
 }
 
-// Next returns the next record, io.EOF at the end, io.ErrUnexpectedEOF if the
-// trace breaks off within a line, or a *LineError.
+// Next returns the next record. It returns io.EOF at the end,
+// io.ErrUnexpectedEOF if the trace ends within a line, and a *LineError for a
+// line that it cannot decode.
 func (r *Reader) Next() (Record, error) {
 	var l line
 	r.lines++
@@ -32,13 +33,13 @@
 	return record, nil
 }
 
-// LineError is a line that cannot be understood.
+// LineError reports a line that cannot be decoded.
 type LineError struct {
 	Line int
 	Err  error
 }
 
-// Error names the line.
+// Error returns the number of the line and the cause.
 func (e *LineError) Error() string { return fmt.Sprintf("trace: line %d: %v", e.Line, e.Err) }
 
 // Unwrap returns the cause.
--- a/protocol/trace/record.go
+++ b/protocol/trace/record.go
@@ -9,7 +9,7 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// Kind names the type of a line.
+// Kind is the kind of a line.
 type Kind string
 
 // The kinds of lines.
@@ -21,51 +21,52 @@
 	KindConfig   Kind = "config"
 )
 
-// Record is one line of a trace.
+// Record is the content of one line of a trace.
 type Record interface{ kind() Kind }
 
-// StepRecord is one step of a router's scheduler.
+// StepRecord records one step of a router's scheduler.
 type StepRecord struct {
 	Router      state.Router      `json:"router"`
 	Incarnation state.Incarnation `json:"incarnation"`
-	// Sequence counts the steps of an incarnation from 1. A gap is a step
-	// that was not recorded.
+	// Sequence counts the steps of an incarnation from 1. A gap means that
+	// steps were not recorded.
 	Sequence uint64    `json:"sequence"`
 	Time     time.Time `json:"time"`
 	Event    Event     `json:"event"`
 	Actions  []Action  `json:"actions"`
 }
 
-// Event is a scheduler event that carries its type's name in JSON.
+// Event is a scheduler event whose JSON form includes the name of its type.
 type Event struct{ scheduler.Event }
 
-// Action is a scheduler action that carries its type's name in JSON.
+// Action is a scheduler action whose JSON form includes the name of its type.
 type Action struct{ scheduler.Action }
 
-// CallerRecord is what one caller sent and was told in the end.
+// CallerRecord records a request that a caller sent and the final answer.
 type CallerRecord struct {
-	// Router that the caller sent to, and the ID of the request there, if the
-	// caller was told one.
+	// Router is the router to which the caller sent the request. ID is the id
+	// of the request on that router, if the answer contained it.
 	Router    state.Router    `json:"router"`
 	ID        state.RequestID `json:"id,omitempty"`
 	Workspace state.Workspace `json:"workspace"`
 	Service   state.Service   `json:"service"`
 	// Key is the idempotency key, if any.
 	Key string `json:"key,omitempty"`
-	// Repeatable says that running the request twice does no harm.
+	// Repeatable is set if running the request twice does no harm.
 	Repeatable bool        `json:"repeatable,omitempty"`
 	Sent       time.Time   `json:"sent"`
 	Result     result.Code `json:"result"`
 	Ran        result.Ran  `json:"ran"`
-	// BodyDigest identifies the request: bodies of different requests differ.
+	// BodyDigest identifies the request. Different requests must have different
+	// bodies.
 	BodyDigest   string `json:"body_digest"`
 	AnswerDigest string `json:"answer_digest,omitempty"`
-	// AnswerWhole says that the answer ended cleanly.
+	// AnswerWhole is set if the answer ended without an error.
 	AnswerWhole bool `json:"answer_whole,omitempty"`
 }
 
-// UpstreamRecord is one run of a request on an upstream, as the upstream saw
-// it.
+// UpstreamRecord records one run of a request on an upstream, from the view of
+// the upstream.
 type UpstreamRecord struct {
 	Upstream  state.Upstream  `json:"upstream"`
 	Boot      string          `json:"boot,omitempty"`
@@ -73,24 +74,25 @@
 	Workspace state.Workspace `json:"workspace,omitempty"`
 	Service   state.Service   `json:"service,omitempty"`
 	Key       string          `json:"key,omitempty"`
-	// BodyDigest is that of the request received.
+	// BodyDigest is the digest of the received request's body.
 	BodyDigest   string    `json:"body_digest"`
 	AnswerDigest string    `json:"answer_digest,omitempty"`
 	Received     time.Time `json:"received,omitzero"`
 	Started      time.Time `json:"started"`
-	// Finished is zero if the run did not end by itself.
+	// Finished is zero if the run was interrupted.
 	Finished time.Time `json:"finished,omitzero"`
 }
 
-// LeavingRecord is the first announcement that an upstream leaves.
+// LeavingRecord records the first announcement that an upstream is leaving.
 type LeavingRecord struct {
 	Upstream state.Upstream `json:"upstream"`
-	// Boot is the run of the upstream that leaves; empty means any.
+	// Boot identifies the process of the upstream that is leaving; empty means
+	// any process.
 	Boot string    `json:"boot,omitempty"`
 	At   time.Time `json:"at"`
 }
 
-// ConfigRecord says that a version of a configuration object came into force
+// ConfigRecord records that a version of a configuration object came into force
 // on a router.
 type ConfigRecord struct {
 	Router      state.Router      `json:"router"`
@@ -106,7 +108,7 @@
 func (LeavingRecord) kind() Kind  { return KindLeaving }
 func (ConfigRecord) kind() Kind   { return KindConfig }
 
-// line puts the kind in front of a record.
+// line is the JSON form of a line: a record with its kind.
 type line struct {
 	Kind   Kind            `json:"kind"`
 	Record json.RawMessage `json:"record"`
--- a/protocol/trace/recorder.go
+++ b/protocol/trace/recorder.go
@@ -13,18 +13,20 @@
 )
 
 const (
-	// maxQueuedRecords bounds the records that wait to be written: some seconds of
-	// a busy router.
+	// maxQueuedRecords bounds the number of records that wait to be written. It
+	// is some seconds of records of a router under load.
 	maxQueuedRecords = 1 << 14
-	// writeBufferBytes makes a write call worth its cost.
+	// writeBufferBytes is large enough for many records, so that there are few
+	// write calls.
 	writeBufferBytes = 64 << 10
 )
 
-// Recorder writes records as JSON lines. Encoding and writing happen on a
-// goroutine of its own, so that a decider waits for neither.
+// Recorder writes records as JSON lines. It encodes and writes on its own
+// goroutine, so that the scheduler does not wait.
 //
-// A writer that cannot keep up loses records rather than stop the decider. Lost
-// steps show as gaps in the sequence, at which a replay stops.
+// If the writer cannot keep up, the recorder drops records and does not block
+// the scheduler. Dropped steps appear as gaps in the sequence, at which a
+// replay stops.
 type Recorder struct {
 	router      state.Router
 	incarnation state.Incarnation
@@ -35,12 +37,12 @@
 	closed bool
 	queue  chan Record
 	done   chan struct{}
-	// err is the first fault; read it after done.
+	// err is the first error. It may be read only after done is closed.
 	err error
 }
 
-// NewRecorder returns a recorder for one incarnation of a router. Both are
-// empty for a recorder of callers or upstreams.
+// NewRecorder returns a recorder for one incarnation of a router. The router
+// and incarnation are zero for a recorder of callers or upstreams.
 func NewRecorder(w io.Writer, router state.Router, incarnation state.Incarnation) *Recorder {
 	r := &Recorder{
 		router:      router,
@@ -52,8 +54,9 @@
 	return r
 }
 
-// Step records one step. Neither the event nor the actions may be changed
-// afterwards. Steps of one decider are recorded from one goroutine.
+// Step records one step. The event and the actions must not be modified
+// afterwards. All steps of one scheduler must be recorded from the same
+// goroutine.
 func (r *Recorder) Step(now time.Time, event scheduler.Event, actions []scheduler.Action) {
 	r.Record(StepRecord{
 		Router:      r.router,
@@ -65,7 +68,8 @@
 	})
 }
 
-// Record records anything else.
+// Record queues a record for writing, or drops it if the queue is full or the
+// recorder is closed.
 func (r *Recorder) Record(record Record) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -80,11 +84,11 @@
 	}
 }
 
-// Dropped returns how many records were lost.
+// Dropped returns the number of records that were lost.
 func (r *Recorder) Dropped() uint64 { return r.dropped.Load() }
 
-// Close writes what waits and returns the first error of encoding or writing.
-// The writer stays open.
+// Close writes the queued records and returns the first error of encoding or
+// writing. It does not close the underlying writer.
 func (r *Recorder) Close() error {
 	r.mu.Lock()
 	if !r.closed {
@@ -107,7 +111,8 @@
 	r.countFailure(out.Flush())
 }
 
-// countFailure counts a record that was not written; the gap tells a reader.
+// countFailure counts a record that was not written as dropped and keeps the
+// first error. A reader sees the loss as a gap.
 func (r *Recorder) countFailure(err error) {
 	if err == nil {
 		return
--- a/protocol/trace/registry.go
+++ b/protocol/trace/registry.go
@@ -46,7 +46,7 @@
 	scheduler.Drained{},
 )
 
-// registry maps the names of types to the types.
+// registry maps the name of each type to the type.
 type registry[T any] map[string]reflect.Type
 
 func registryOf[T any](values ...T) registry[T] {
@@ -59,13 +59,13 @@
 
 func typeName(v any) string { return reflect.TypeOf(v).Name() }
 
-// TypeError is a type that the registry lacks.
+// TypeError reports a type that is not in the registry.
 type TypeError struct{ Name string }
 
-// Error names the type.
+// Error returns the name of the type.
 func (e *TypeError) Error() string { return fmt.Sprintf("trace: unknown type %q", e.Name) }
 
-// typedValue is the JSON form of a value with its type's name.
+// typedValue is the JSON form of a value with the name of its type.
 type typedValue struct {
 	Type  string          `json:"type"`
 	Value json.RawMessage `json:"value"`
@@ -91,30 +91,30 @@
 	if err := json.Unmarshal(data, &t); err != nil {
 		return value, err
 	}
-	known, ok := r[t.Type]
+	typ, ok := r[t.Type]
 	if !ok {
 		return value, &TypeError{t.Type}
 	}
-	target := reflect.New(known)
+	target := reflect.New(typ)
 	if err := json.Unmarshal(t.Value, target.Interface()); err != nil {
 		return value, err
 	}
 	return target.Elem().Interface().(T), nil
 }
 
-// MarshalJSON writes the event with its type's name.
+// MarshalJSON encodes the event with the name of its type.
 func (e Event) MarshalJSON() ([]byte, error) { return events.marshal(e.Event) }
 
-// UnmarshalJSON reads an event by its type's name.
+// UnmarshalJSON decodes an event by the name of its type.
 func (e *Event) UnmarshalJSON(data []byte) (err error) {
 	e.Event, err = events.unmarshal(data)
 	return err
 }
 
-// MarshalJSON writes the action with its type's name.
+// MarshalJSON encodes the action with the name of its type.
 func (a Action) MarshalJSON() ([]byte, error) { return actions.marshal(a.Action) }
 
-// UnmarshalJSON reads an action by its type's name.
+// UnmarshalJSON decodes an action by the name of its type.
 func (a *Action) UnmarshalJSON(data []byte) (err error) {
 	a.Action, err = actions.unmarshal(data)
 	return err
--- a/protocol/trace/replay.go
+++ b/protocol/trace/replay.go
@@ -13,12 +13,12 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Stepper is a decider that can be recorded and replayed.
+// Stepper is a scheduler whose steps can be recorded and replayed.
 type Stepper interface {
 	Step(now time.Time, event scheduler.Event) []scheduler.Action
 }
 
-// RecordSteps returns a Stepper that records every step of another one.
+// RecordSteps returns a Stepper that passes each step to s and records it.
 func RecordSteps(s Stepper, r *Recorder) Stepper { return recordingStepper{s, r} }
 
 type recordingStepper struct {
@@ -26,20 +26,20 @@
 	recorder *Recorder
 }
 
-// Step steps and records.
+// Step processes the event and records the step.
 func (r recordingStepper) Step(now time.Time, event scheduler.Event) []scheduler.Action {
 	actions := r.inner.Step(now, event)
 	r.recorder.Step(now, event, actions)
 	return actions
 }
 
-// Run is one incarnation of a router in a trace.
+// Run identifies one incarnation of a router in a trace.
 type Run struct {
 	Router      state.Router
 	Incarnation state.Incarnation
 }
 
-// Difference is a step that replayed to other actions than recorded.
+// Difference is a step whose replayed actions differ from the recorded ones.
 type Difference struct {
 	Run
 	Sequence uint64
@@ -47,23 +47,25 @@
 	Event, Recorded, Replayed string
 }
 
-// Gap is a place where steps are missing. The run is not replayed beyond it.
+// Gap is a place in a run where steps are missing. The run is not replayed
+// beyond it.
 type Gap struct {
 	Run
-	// After is the last step before the gap, Next the first one behind it.
+	// After is the last step before the gap, and Next the first step after it.
 	After, Next uint64
 }
 
 // Report is the result of a replay.
 type Report struct {
-	// Runs and Steps that were replayed.
+	// Runs and Steps count the replayed runs and steps.
 	Runs, Steps int
-	// Skipped steps lie behind a gap or a difference of their run.
+	// Skipped counts the steps after a gap or difference of their run.
 	Skipped int
-	// Differences holds the first one of each run: later ones follow from it.
+	// Differences holds only the first difference of each run, because later
+	// ones follow from it.
 	Differences []Difference
 	Gaps        []Gap
-	// Truncated says that the trace breaks off within a line.
+	// Truncated is set if the trace ends within a line.
 	Truncated bool
 }
 
@@ -72,7 +74,7 @@
 	return len(r.Differences) == 0 && len(r.Gaps) == 0 && r.Skipped == 0
 }
 
-// String returns a line of figures and one line per difference and gap.
+// String returns one line with the numbers and one line per difference and gap.
 func (r Report) String() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "runs=%d steps=%d skipped=%d differences=%d gaps=%d truncated=%t", r.Runs, r.Steps, r.Skipped, len(r.Differences), len(r.Gaps), r.Truncated)
@@ -85,9 +87,9 @@
 	return out.String()
 }
 
-// Replay feeds the steps of a trace to fresh deciders, one per incarnation of a
-// router, and compares their actions with the recorded ones. Other records are
-// passed over. The error is one of reading the trace.
+// Replay passes the steps of a trace to new schedulers, one per incarnation of
+// a router, and compares their actions with the recorded ones. Other records
+// are skipped. It returns an error if the trace cannot be read.
 func Replay(r io.Reader, factory func(router state.Router, incarnation state.Incarnation) Stepper) (Report, error) {
 	p := replayer{factory: factory, runs: make(map[Run]*replayRun)}
 	in := NewReader(r)
@@ -119,7 +121,8 @@
 type replayRun struct {
 	stepper      Stepper
 	lastSequence uint64
-	// stopped runs have lost their state.
+	// stopped is set after a gap or difference, because the scheduler's state
+	// no longer matches the recording.
 	stopped bool
 }
 
@@ -150,7 +153,8 @@
 	return err
 }
 
-// replayStep compares actions by their JSON, which is what the trace holds.
+// replayStep compares actions by their JSON form, because the trace contains
+// only that.
 func replayStep(stepper Stepper, record StepRecord) (*Difference, error) {
 	want, err := json.Marshal(record.Actions)
 	if err != nil {
--- a/protocol/trace/trace_test.go
+++ b/protocol/trace/trace_test.go
@@ -23,8 +23,9 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 123456789, time.UTC)
 
-// TestRegistryIsComplete reads the scheduler's source, so that a new event or
-// action fails here before it is missing in a trace.
+// TestRegistryIsComplete reads the scheduler's source code. A new event or
+// action that is not registered must fail this test instead of being absent
+// from traces.
 func TestRegistryIsComplete(t *testing.T) {
 	found := map[string][]string{}
 	files, err := filepath.Glob("../../coordination/scheduler/*.go")
@@ -54,7 +55,7 @@
 	return list
 }
 
-// fill sets every field of a value to something that is not zero.
+// fill sets all fields of a value to values other than zero.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -82,19 +83,19 @@
 	case reflect.Float64:
 		v.SetFloat(1.0 / 3)
 	default:
-		panic("no filler for " + v.Type().String())
+		panic("fill does not support type " + v.Type().String())
 	}
 }
 
 func TestEveryTypeRoundTrips(t *testing.T) {
 	var want []Record
-	for _, known := range events {
-		v := reflect.New(known).Elem()
+	for _, typ := range events {
+		v := reflect.New(typ).Elem()
 		fill(v)
 		want = append(want, StepRecord{Router: "r", Incarnation: 1, Time: start, Event: Event{v.Interface().(scheduler.Event)}, Actions: []Action{}})
 	}
-	for _, known := range actions {
-		v := reflect.New(known).Elem()
+	for _, typ := range actions {
+		v := reflect.New(typ).Elem()
 		fill(v)
 		want = append(want, StepRecord{Router: "r", Incarnation: 1, Time: start, Event: Event{scheduler.Tick{}}, Actions: []Action{{v.Interface().(scheduler.Action)}}})
 	}
@@ -120,7 +121,8 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// refusalCounter refuses each arrival with the number of arrivals so far.
+// refusalCounter refuses each arriving request. The retry time in the refusal
+// is the number of arrivals so far.
 type refusalCounter struct{ seen, bias int }
 
 func (c *refusalCounter) Step(_ time.Time, event scheduler.Event) []scheduler.Action {
@@ -177,7 +179,7 @@
 	require.Equal(t, "Unheard", unknown.Name)
 }
 
-// blockedWriter is a disk that hangs until it is released, and then fails.
+// blockedWriter is a disk that blocks until it is released and then fails.
 type blockedWriter struct{ release chan struct{} }
 
 func (s blockedWriter) Write([]byte) (int, error) {
@@ -185,8 +187,9 @@
 	return 0, errors.New("no space")
 }
 
-// The file of a trace hangs, as a network disk does. The decider must go on: it
-// loses records, and both the count and the error tell so.
+// Writing the trace file blocks, as on a network disk. The scheduler must not
+// block: records are dropped, and both Dropped and the error of Close must
+// report the loss.
 func TestBlockedWriterDoesNotBlockTheScheduler(t *testing.T) {
 	disk := blockedWriter{make(chan struct{})}
 	recorder := NewRecorder(disk, "r", 1)
@@ -199,7 +202,8 @@
 	recorder.Step(start, scheduler.Tick{}, nil)
 }
 
-// BenchmarkRecord measures what a step costs the decider.
+// BenchmarkRecord measures the cost of recording a step on the scheduler's
+// goroutine.
 func BenchmarkRecord(b *testing.B) {
 	recorder := NewRecorder(io.Discard, "r", 1)
 	event := scheduler.Arrived{Request: scheduler.Request{ID: 1, Service: "drafts", Workspace: "guias"}}
@@ -211,7 +215,8 @@
 	b.ReportMetric(float64(recorder.Dropped())/float64(b.N), "dropped/op")
 }
 
-// BenchmarkWriteLine measures what a step costs the writing goroutine.
+// BenchmarkWriteLine measures the cost of writing a step on the recorder's
+// goroutine.
 func BenchmarkWriteLine(b *testing.B) {
 	out := bufio.NewWriter(io.Discard)
 	event := Event{scheduler.Arrived{Request: scheduler.Request{ID: 1, Service: "drafts", Workspace: "guias"}}}
