--- a/protocol/trace/outcome/checks.go
+++ b/protocol/trace/outcome/checks.go
@@ -8,16 +8,18 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// answerCounts sums up what callers of one body at one router were told.
+// answerCounts counts the answers that one router gave to requests with the
+// same body.
 type answerCounts struct {
 	total int
-	// mayHaveRun counts the answers that admit that the request ran.
+	// mayHaveRun counts the answers which state that the request ran or may
+	// have run.
 	mayHaveRun int
 	repeatable bool
 }
 
-// routerBody is one request at one router: a caller that sends again elsewhere is
-// told by another router.
+// routerBody identifies the requests with one body at one router. A caller that
+// sends the same request to another router gets that router's own answer.
 type routerBody struct {
 	router state.Router
 	digest string
@@ -41,7 +43,7 @@
 	return counts
 }
 
-// maxRuns is how many runs the answers admit.
+// maxRuns returns the number of runs that are consistent with the answers.
 func (s *answerCounts) maxRuns() int {
 	if s.repeatable {
 		return s.mayHaveRun * attemptsPerSend
@@ -49,8 +51,8 @@
 	return s.mayHaveRun
 }
 
-// CheckNotRun checks that no upstream ran a request whose caller was told that it
-// was not run.
+// CheckNotRun checks that no upstream ran a request after its caller received
+// the answer that it was not run.
 func CheckNotRun(r Records) Check {
 	check := Check{Name: "told-not-run"}
 	runs := make(map[routerBody][]trace.UpstreamRecord)
@@ -58,7 +60,7 @@
 		key := routerBody{u.Attempt.Router, u.BodyDigest}
 		runs[key] = append(runs[key], u)
 	}
-	reported := make(map[routerBody]bool)
+	reportedKeys := make(map[routerBody]bool)
 	answers := countAnswers(r.Callers)
 	for _, c := range r.Callers {
 		if c.Ran != result.RanNo {
@@ -67,17 +69,17 @@
 		check.Examined++
 		key := routerBody{c.Router, c.BodyDigest}
 		upstreamRuns := runs[key]
-		if len(upstreamRuns) <= answers[key].maxRuns() || reported[key] {
+		if len(upstreamRuns) <= answers[key].maxRuns() || reportedKeys[key] {
 			continue
 		}
-		reported[key] = true
+		reportedKeys[key] = true
 		check.fail("router=%s body=%s code=%d told=no runs=%d admitted=%d upstream=%s attempt=%s", c.Router, c.BodyDigest, c.Result, len(upstreamRuns), answers[key].maxRuns(), upstreamRuns[0].Upstream, upstreamRuns[0].Attempt)
 	}
 	return check
 }
 
-// workKey identifies non-idempotent work: by its key if it has one, otherwise by
-// its body.
+// workKey identifies non-idempotent work: by its idempotency key if there is
+// one, and otherwise by the digest of its body.
 type workKey struct {
 	workspace state.Workspace
 	service   state.Service
@@ -85,8 +87,8 @@
 	digest    string
 }
 
-// CheckAtMostOnce checks that a non-idempotent request ran at most once: one with a
-// key over all sends, one without a key once per send.
+// CheckAtMostOnce checks that a non-idempotent request ran at most once: once
+// over all sends if it has a key, and once per send if it has none.
 func CheckAtMostOnce(r Records) Check {
 	check := Check{Name: "at-most-once"}
 	limit := make(map[workKey]int)
@@ -127,53 +129,53 @@
 	return w
 }
 
-// CheckWholeAnswers checks that every answer that ended cleanly is one that a run of
-// the same request gave.
+// CheckWholeAnswers checks that every answer that ended without an error is the
+// answer of a finished run of the same request.
 func CheckWholeAnswers(r Records) Check {
 	check := Check{Name: "whole-answers"}
-	given := make(map[string]map[string]bool)
+	answersByBody := make(map[string]map[string]bool)
 	for _, u := range r.Upstreams {
 		if u.Finished.IsZero() {
 			continue
 		}
-		if given[u.BodyDigest] == nil {
-			given[u.BodyDigest] = make(map[string]bool)
+		if answersByBody[u.BodyDigest] == nil {
+			answersByBody[u.BodyDigest] = make(map[string]bool)
 		}
-		given[u.BodyDigest][u.AnswerDigest] = true
+		answersByBody[u.BodyDigest][u.AnswerDigest] = true
 	}
 	for _, c := range r.Callers {
 		if !c.AnswerWhole {
 			continue
 		}
 		check.Examined++
-		if !given[c.BodyDigest][c.AnswerDigest] {
+		if !answersByBody[c.BodyDigest][c.AnswerDigest] {
 			check.fail("router=%s body=%s got answer=%s, which no finished run of it gave", c.Router, c.BodyDigest, c.AnswerDigest)
 		}
 	}
 	return check
 }
 
-// CheckLeaving checks that no upstream got work later than the grace after it was
-// first announced to leave.
+// CheckLeaving checks that no upstream received work later than the grace after
+// it was first announced as leaving.
 func CheckLeaving(r Records, grace time.Duration) Check {
 	check := Check{Name: "no-work-for-leaving-upstreams"}
 	type run struct {
 		upstream state.Upstream
 		boot     string
 	}
-	first := make(map[run]time.Time)
+	firstAnnounced := make(map[run]time.Time)
 	for _, l := range r.Leaving {
-		at, ok := first[run{l.Upstream, l.Boot}]
+		at, ok := firstAnnounced[run{l.Upstream, l.Boot}]
 		if !ok || l.At.Before(at) {
-			first[run{l.Upstream, l.Boot}] = l.At
+			firstAnnounced[run{l.Upstream, l.Boot}] = l.At
 		}
 	}
-	check.Examined = len(first)
+	check.Examined = len(firstAnnounced)
 	for _, u := range r.Upstreams {
 		for _, boot := range []string{u.Boot, ""} {
-			at, ok := first[run{u.Upstream, boot}]
-			if late := receivedAt(u).Sub(at); ok && late > grace {
-				check.fail("upstream=%s boot=%s attempt=%s came %s after the announcement", u.Upstream, u.Boot, u.Attempt, late)
+			at, ok := firstAnnounced[run{u.Upstream, boot}]
+			if delay := receivedAt(u).Sub(at); ok && delay > grace {
+				check.fail("upstream=%s boot=%s attempt=%s came %s after the announcement", u.Upstream, u.Boot, u.Attempt, delay)
 				break
 			}
 		}
@@ -181,8 +183,8 @@
 	return check
 }
 
-// receivedAt is when a request reached the upstream, whether or not it had to
-// wait there.
+// receivedAt returns when a request reached the upstream, before any wait
+// there.
 func receivedAt(u trace.UpstreamRecord) time.Time {
 	if u.Received.IsZero() {
 		return u.Started
@@ -191,22 +193,22 @@
 }
 
 // CheckConfig checks that the version of an object in force on a router never
-// falls, over restarts too.
+// decreases, not even over restarts.
 func CheckConfig(r Records) Check {
 	check := Check{Name: "settings-never-revert"}
 	type object struct {
 		router state.Router
 		key    string
 	}
-	inForce := make(map[object]uint64)
+	versions := make(map[object]uint64)
 	for _, c := range r.Config {
 		check.Examined++
 		key := object{c.Router, c.Key}
-		if c.Version < inForce[key] {
-			check.fail("router=%s incarnation=%d key=%s fell from %d to %d", c.Router, c.Incarnation, c.Key, inForce[key], c.Version)
+		if c.Version < versions[key] {
+			check.fail("router=%s incarnation=%d key=%s fell from %d to %d", c.Router, c.Incarnation, c.Key, versions[key], c.Version)
 			continue
 		}
-		inForce[key] = c.Version
+		versions[key] = c.Version
 	}
 	return check
 }
--- a/protocol/trace/outcome/outcome.go
+++ b/protocol/trace/outcome/outcome.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// maxEvidence bounds what a failed check prints.
+	// maxEvidence bounds the number of violations that a failed check prints.
 	maxEvidence = 5
-	// attemptsPerSend is how often an idempotent request may be dispatched:
-	// once, and one retry.
+	// attemptsPerSend is how often an idempotent request may be dispatched per
+	// send: one attempt and one retry.
 	attemptsPerSend = 2
 )
 
-// Check is the verdict on one stated outcome.
+// Check is the result of checking one guarantee.
 type Check struct {
 	Name string
-	// Examined counts what was looked at. A check that passed on nothing
-	// proves nothing.
+	// Examined counts the records that the check applied to. If it is zero, a
+	// passed check proves nothing.
 	Examined int
-	// Failures counts the violations, Evidence shows the first of them.
+	// Failures counts the violations. Evidence describes the first of them.
 	Failures int
 	Evidence []string
 }
@@ -33,7 +33,7 @@
 // Passed reports whether there was no violation.
 func (c Check) Passed() bool { return c.Failures == 0 }
 
-// String returns one line.
+// String returns the result as one line.
 func (c Check) String() string {
 	verdict := "passed"
 	if !c.Passed() {
@@ -53,7 +53,7 @@
 	}
 }
 
-// Records are the records of a trace by kind, each in the order of the trace.
+// Records holds the records of a trace by kind, each in the order of the trace.
 type Records struct {
 	Callers   []trace.CallerRecord
 	Upstreams []trace.UpstreamRecord
@@ -62,7 +62,7 @@
 }
 
 // Read collects the records of merged traces. Announcements that a scheduler
-// heard count beside those of the platform.
+// received count like those of the platform.
 func Read(in io.Reader) (Records, error) {
 	var records Records
 	reader := trace.NewReader(in)
@@ -95,8 +95,8 @@
 	}
 }
 
-// RunChecks returns the verdicts on all stated outcomes. An upstream may get work
-// for the given time after it was announced to leave.
+// RunChecks returns the results of all checks. An upstream may receive work for
+// leavingGrace after it was announced as leaving.
 func RunChecks(r Records, leavingGrace time.Duration) []Check {
 	return []Check{
 		CheckNotRun(r),
--- a/protocol/trace/outcome/outcome_test.go
+++ b/protocol/trace/outcome/outcome_test.go
@@ -45,44 +45,44 @@
 	return trace.ConfigRecord{Router: "r", Incarnation: incarnation, Key: "teams/a", Version: version}
 }
 
-// TestChecks names, for each trace, the one check that it must fail; an empty
-// name is a trace on which all must pass.
+// TestChecks gives, for each trace, the name of the one check that must fail;
+// an empty name means that all checks must pass.
 func TestChecks(t *testing.T) {
-	crossed := caller("a", result.RanYes)
-	crossed.AnswerDigest = "answer-b"
-	unfinished := run("a")
-	unfinished.Finished = time.Time{}
-	waited := runAt(time.Hour, "b1")
-	waited.Received = start
-	announced := trace.LeavingRecord{Upstream: "u", Boot: "b1", At: start}
+	swappedAnswer := caller("a", result.RanYes)
+	swappedAnswer.AnswerDigest = "answer-b"
+	unfinishedRun := run("a")
+	unfinishedRun.Finished = time.Time{}
+	waitedRun := runAt(time.Hour, "b1")
+	waitedRun.Received = start
+	announcement := trace.LeavingRecord{Upstream: "u", Boot: "b1", At: start}
 	anyBoot := trace.LeavingRecord{Upstream: "u", At: start}
-	observed := trace.StepRecord{Router: "r", Time: start, Event: trace.Event{Event: scheduler.UpstreamLeaving{Upstream: "u", Boot: "b1"}}}
+	observedAnnouncement := trace.StepRecord{Router: "r", Time: start, Event: trace.Event{Event: scheduler.UpstreamLeaving{Upstream: "u", Boot: "b1"}}}
 
 	for name, c := range map[string]struct {
 		fails   string
 		records []trace.Record
 	}{
-		"one run":                     {"", []trace.Record{caller("a", result.RanYes), run("a")}},
-		"refused, no run":             {"", []trace.Record{caller("a", result.RanNo)}},
-		"refused, then served":        {"", []trace.Record{caller("a", result.RanNo), caller("a", result.RanYes), run("a")}},
-		"refused, yet run":            {"told-not-run", []trace.Record{caller("a", result.RanNo), run("a")}},
-		"refused, served, run twice":  {"told-not-run", []trace.Record{repeatable(caller("a", result.RanNo)), repeatable(caller("a", result.RanYes)), run("a"), run("a"), run("a")}},
-		"idempotent retry":            {"", []trace.Record{repeatable(caller("a", result.RanYes)), run("a"), run("a")}},
-		"no key, run twice":           {"at-most-once", []trace.Record{caller("a", result.RanYes), run("a"), run("a")}},
-		"no key, sent twice":          {"", []trace.Record{caller("a", result.RanYes), caller("a", result.RanYes), run("a"), run("a")}},
-		"key, sent twice, run once":   {"", []trace.Record{keyed(caller("a", result.RanYes), "k"), keyed(caller("a", result.RanUnknown), "k"), run("a")}},
-		"key, sent twice, run twice":  {"at-most-once", []trace.Record{keyed(caller("a", result.RanYes), "k"), keyed(caller("a", result.RanYes), "k"), run("a"), run("a")}},
-		"key with two bodies":         {"at-most-once", []trace.Record{keyed(caller("a", result.RanYes), "k"), keyed(caller("b", result.RanYes), "k"), run("a"), run("b")}},
-		"crossed answers":             {"whole-answers", []trace.Record{crossed, caller("b", result.RanYes), run("a"), run("b")}},
-		"truncated run, clean end":    {"whole-answers", []trace.Record{caller("a", result.RanYes), unfinished}},
-		"work within the grace":       {"", []trace.Record{announced, runAt(grace, "b1")}},
-		"work after the grace":        {"no-work-for-leaving-upstreams", []trace.Record{announced, runAt(grace+1, "b1")}},
-		"work after a router knew":    {"no-work-for-leaving-upstreams", []trace.Record{observed, runAt(grace+1, "b1")}},
-		"work after leaving any boot": {"no-work-for-leaving-upstreams", []trace.Record{anyBoot, runAt(grace+1, "b1")}},
-		"work for the next boot":      {"", []trace.Record{announced, runAt(grace+1, "b2")}},
-		"came early, started late":    {"", []trace.Record{announced, waited}},
-		"versions rise":               {"", []trace.Record{config(1, 3), config(1, 3), config(2, 4)}},
-		"version falls at a restart":  {"settings-never-revert", []trace.Record{config(1, 3), config(2, 2)}},
+		"one run":                                       {"", []trace.Record{caller("a", result.RanYes), run("a")}},
+		"refused, no run":                               {"", []trace.Record{caller("a", result.RanNo)}},
+		"refused, then served":                          {"", []trace.Record{caller("a", result.RanNo), caller("a", result.RanYes), run("a")}},
+		"refused, but run":                              {"told-not-run", []trace.Record{caller("a", result.RanNo), run("a")}},
+		"refused, served, run twice":                    {"told-not-run", []trace.Record{repeatable(caller("a", result.RanNo)), repeatable(caller("a", result.RanYes)), run("a"), run("a"), run("a")}},
+		"idempotent retry":                              {"", []trace.Record{repeatable(caller("a", result.RanYes)), run("a"), run("a")}},
+		"no key, run twice":                             {"at-most-once", []trace.Record{caller("a", result.RanYes), run("a"), run("a")}},
+		"no key, sent twice":                            {"", []trace.Record{caller("a", result.RanYes), caller("a", result.RanYes), run("a"), run("a")}},
+		"key, sent twice, run once":                     {"", []trace.Record{keyed(caller("a", result.RanYes), "k"), keyed(caller("a", result.RanUnknown), "k"), run("a")}},
+		"key, sent twice, run twice":                    {"at-most-once", []trace.Record{keyed(caller("a", result.RanYes), "k"), keyed(caller("a", result.RanYes), "k"), run("a"), run("a")}},
+		"key with two bodies":                           {"at-most-once", []trace.Record{keyed(caller("a", result.RanYes), "k"), keyed(caller("b", result.RanYes), "k"), run("a"), run("b")}},
+		"answers swapped between callers":               {"whole-answers", []trace.Record{swappedAnswer, caller("b", result.RanYes), run("a"), run("b")}},
+		"unfinished run, whole answer":                  {"whole-answers", []trace.Record{caller("a", result.RanYes), unfinishedRun}},
+		"work within the grace":                         {"", []trace.Record{announcement, runAt(grace, "b1")}},
+		"work after the grace":                          {"no-work-for-leaving-upstreams", []trace.Record{announcement, runAt(grace+1, "b1")}},
+		"work after a router received the announcement": {"no-work-for-leaving-upstreams", []trace.Record{observedAnnouncement, runAt(grace+1, "b1")}},
+		"work after leaving any boot":                   {"no-work-for-leaving-upstreams", []trace.Record{anyBoot, runAt(grace+1, "b1")}},
+		"work for the next boot":                        {"", []trace.Record{announcement, runAt(grace+1, "b2")}},
+		"received early, started late":                  {"", []trace.Record{announcement, waitedRun}},
+		"versions rise":                                 {"", []trace.Record{config(1, 3), config(1, 3), config(2, 4)}},
+		"version falls at a restart":                    {"settings-never-revert", []trace.Record{config(1, 3), config(2, 2)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var file bytes.Buffer
