--- a/transport/edge/absence.go
+++ b/transport/edge/absence.go
@@ -6,27 +6,32 @@
 )
 
 const (
-	// minNotReady is how long a router that became busy says that it is not ready,
-	// longer than balancers take to send new callers elsewhere.
+	// minNotReady is the shortest time for which a router that became
+	// overloaded reports not ready. It is longer than load balancers take to
+	// send new callers elsewhere.
 	minNotReady = 4 * time.Second
-	// maxNotReady bounds that time, which doubles each time that the router becomes
-	// busy again within relapseWithin of its return.
+	// maxNotReady limits that time, which doubles each time the router becomes
+	// overloaded again within backoffResetAfter of being ready.
 	maxNotReady       = 16 * time.Second
 	backoffResetAfter = 8 * time.Second
 )
 
-// readinessBackoff is how long a router stays out of rotation. One that came back as soon
-// as it was calm would be flooded by the same callers at once. What it relays
-// goes on, and balancers that lack routers send callers nevertheless.
+// readinessBackoff decides how long an overloaded router stays out of rotation.
+// If it became ready as soon as its load fell, the same callers would overload
+// it again at once. Requests that it already relays continue, and load
+// balancers that have no ready router send callers regardless.
 type readinessBackoff struct {
-	// active is set until the time is over; only the periodic task writes.
+	// active is set while the router has to report not ready. Only the periodic
+	// task writes it.
 	active atomic.Bool
-	// duration is that of the last absence, left what remains of it, back the time
-	// since the return.
+	// duration is the length of the last not-ready period and remaining is the
+	// rest of it. readyFor is the time since the router was last overloaded or
+	// not ready.
 	duration, remaining, readyFor time.Duration
 }
 
-// observe takes a round; became is set if the router became busy in it.
+// observe updates the state after an interval of the periodic task.
+// becameOverloaded is set if the router became overloaded in that interval.
 func (a *readinessBackoff) observe(overloaded, becameOverloaded bool, interval time.Duration) {
 	if becameOverloaded {
 		a.begin()
--- a/transport/edge/absence_test.go
+++ b/transport/edge/absence_test.go
@@ -7,8 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// overloadUntilReady has a router be busy for some rounds and calm until it is ready again,
-// and returns how long it was away.
+// overloadUntilReady overloads a router for 60 ticks, removes the load and
+// waits until the router is ready again. It returns the time from the first
+// tick until then.
 func overloadUntilReady(p *pressure) time.Duration {
 	applyLoad(p, 0.7)
 	notReady := 60 * tickInterval
@@ -19,7 +20,7 @@
 	return notReady
 }
 
-// A small router was flooded by the same callers every other second.
+// A small router was overloaded by the same callers every other second.
 func TestNotReadyPeriodDoublesWhenOverloadRepeats(t *testing.T) {
 	p := newPressure(0, smallVMCores, frozen)
 	require.True(t, p.acceptsNewCallers())
@@ -29,7 +30,8 @@
 	}
 }
 
-// A router that served for a while since its last flood begins anew.
+// A router that stayed ready for backoffResetAfter since its last overload
+// starts again with the shortest not-ready period.
 func TestNotReadyPeriodResetsAfterQuietTime(t *testing.T) {
 	p := newPressure(0, smallVMCores, frozen)
 	_, _ = overloadUntilReady(p), overloadUntilReady(p)
--- a/transport/edge/arrival.go
+++ b/transport/edge/arrival.go
@@ -13,24 +13,25 @@
 // arrivalKey is the context key of a connection's arrival.
 type arrivalKey struct{}
 
-// arrival is when a connection was accepted, until its first request is read.
+// arrival records when a connection was accepted, for its first request.
 type arrival struct {
 	acceptedAt time.Time
 	conn       net.Conn
 	once       sync.Once
 }
 
-// readDelayTracker measures how long requests wait unread in this process. A router whose
-// processor is used up accepts connections and turns to them seconds later; the
-// time that callers give is counted from the reading, and would be too long.
+// readDelayTracker measures how long requests wait in this process before they
+// are read. A router without free CPU time accepts connections and reads from
+// them seconds later. The caller's deadline is counted from the time of
+// reading, so without this delay it would end too late.
 type readDelayTracker struct {
 	now func() time.Time
-	// onFirstRead is called once the first request of a connection was read.
+	// onFirstRead is called after the first request of a connection was read.
 	onFirstRead func()
 
 	mu  sync.Mutex
 	lag workload.ReadLag
-	// unreadConns are the connections without a first request.
+	// unreadConns holds the connections whose first request was not read yet.
 	unreadConns map[net.Conn]struct{}
 }
 
@@ -38,7 +39,8 @@
 	return &readDelayTracker{now: now, onFirstRead: onFirstRead, unreadConns: make(map[net.Conn]struct{})}
 }
 
-// withArrival notes when a connection was accepted.
+// withArrival records the time at which a connection was accepted in the
+// connection's context.
 func (a *readDelayTracker) withArrival(ctx context.Context, conn net.Conn) context.Context {
 	a.mu.Lock()
 	a.unreadConns[conn] = struct{}{}
@@ -46,8 +48,8 @@
 	return withConn(context.WithValue(ctx, arrivalKey{}, &arrival{acceptedAt: a.now(), conn: conn}), conn)
 }
 
-// connClosed notes that a connection has ended, and says whether nothing was read on
-// it.
+// connClosed removes a closed connection and reports whether nothing was read
+// from it.
 func (a *readDelayTracker) connClosed(conn net.Conn) (unread bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -56,7 +58,9 @@
 	return unread
 }
 
-// requestDelay returns how long a request is taken to have waited unread.
+// requestDelay returns how long a request probably waited before it was read:
+// the delay of its connection, but at most the estimate over recent
+// connections. It is 0 for all but the first request of a connection.
 func (a *readDelayTracker) requestDelay(r *http.Request) time.Duration {
 	accepted, ok := r.Context().Value(arrivalKey{}).(*arrival)
 	if !ok {
@@ -70,7 +74,8 @@
 	return min(connDelay, a.estimate())
 }
 
-// recordFirstRead takes the first request of a connection and returns how long it waited.
+// recordFirstRead records that the first request of a connection was read and
+// returns the time since the connection was accepted.
 func (a *readDelayTracker) recordFirstRead(accepted time.Time) time.Duration {
 	a.onFirstRead()
 	a.mu.Lock()
@@ -81,16 +86,18 @@
 	return waited
 }
 
-// estimate returns how long requests wait unread at present.
+// estimate returns the present delay between the acceptance of a connection and
+// the reading of its first request.
 func (a *readDelayTracker) estimate() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.lag.Lag(a.now())
 }
 
-// backlogDelay is the estimate as far as it tells of what waits now. It is renewed by what
-// is read alone: a router that turned callers away for it would go on for as long
-// as it remembers, with nothing left to read.
+// backlogDelay returns the estimate while connections wait to be read, and 0
+// otherwise. Only reads update the estimate: a router that sheds callers
+// because of it has nothing left to read, and would go on shedding until the
+// estimate expires.
 func (a *readDelayTracker) backlogDelay() time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/transport/edge/arrival_test.go
+++ b/transport/edge/arrival_test.go
@@ -12,7 +12,8 @@
 	"github.com/figstile/figstile/state/routing"
 )
 
-// A flooded router turns to connections two seconds after it accepted them.
+// An overloaded router reads from connections two seconds after it accepted
+// them.
 func TestReadDelayIsEstimatedFromFirstRequests(t *testing.T) {
 	clock := newClock()
 	p := newPressure(0, smallVMCores, clock.now)
@@ -22,10 +23,10 @@
 		clock.advance(after)
 		r = r.WithContext(ctx)
 		waited := p.readDelay.requestDelay(r)
-		require.Zero(t, p.readDelay.requestDelay(r), "the next request of the connection came later")
+		require.Zero(t, p.readDelay.requestDelay(r), "only the first request of a connection has a read delay")
 		return waited
 	}
-	require.Zero(t, first(2*time.Second), "one slow caller is no flood")
+	require.Zero(t, first(2*time.Second), "one delayed connection does not raise the estimate")
 	for range 8 {
 		for range 8 {
 			p.readDelay.recordFirstRead(clock.now().Add(-2 * time.Second))
@@ -33,7 +34,7 @@
 	}
 	require.Equal(t, 2*time.Second, p.readDelay.estimate())
 	_ = p.readDelay.withArrival(t.Context(), nil)
-	require.True(t, p.atCapacity(), "one more waits")
+	require.True(t, p.atCapacity(), "one more connection waits")
 	require.False(t, p.admitConn())
 	for range 8 {
 		p.readDelay.recordFirstRead(clock.now())
@@ -42,8 +43,8 @@
 	require.True(t, p.admitConn())
 }
 
-// Guards against connections that are closed unread for a second after the last one
-// that waited was read.
+// Guards against shedding connections for a second after the last delayed
+// connection was read.
 func TestSheddingEndsWithTheBacklog(t *testing.T) {
 	clock := newClock()
 	p := newPressure(0, smallVMCores, clock.now)
@@ -59,11 +60,11 @@
 		}
 		p.readDelay.recordFirstRead(clock.now())
 	}
-	require.LessOrEqual(t, shed, 1, "nothing waits unread")
+	require.LessOrEqual(t, shed, 1, "no connection waits to be read")
 }
 
-// Of a deadline of four seconds three have passed before the router reads the
-// request.
+// A caller's deadline is four seconds, and three of them have passed before the
+// router reads the request.
 func TestRequestWithTooLittleTimeLeftIsNotAdmitted(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.setTable(routing.NewTable(routing.Config{Services: []routing.Service{{Name: "s"}}}))
--- a/transport/edge/bench_test.go
+++ b/transport/edge/bench_test.go
@@ -15,17 +15,18 @@
 )
 
 const (
-	// benchCallers run streams at the same time, as many as a router of a
-	// large fleet relays.
+	// benchCallers is the number of concurrent streams, as many as a router of
+	// a large fleet relays.
 	benchCallers = 200
-	// benchEvents and benchPace are a usual stream's.
+	// benchEvents and benchEventGap are the number of events of a typical
+	// stream and the time between two events.
 	benchEvents   = 55
 	benchEventGap = 5 * time.Millisecond
 )
 
 // BenchmarkRouter relays paced streams through a whole router: listeners,
-// decisions, metrics and log lines. Its processor time includes that of the
-// callers and the upstream, which are plain loops over sockets.
+// decisions, metrics and log lines. Its CPU time includes that of the callers
+// and the upstream, which are plain loops over sockets.
 func BenchmarkRouter(b *testing.B) {
 	address := startRouter(b, startPacedEngine(b))
 	work := make(chan struct{})
@@ -60,12 +61,12 @@
 	}
 }
 
-// refusedBodyBytes is the size of a long prompt's request.
+// refusedBodyBytes is the body size of a request with a long prompt.
 const refusedBodyBytes = 12_000
 
-// BenchmarkRefusal refuses requests for lack of room, each on a connection
-// of its own, as callers that were refused come back. Its processor time
-// includes that of the caller, which is a plain loop over sockets.
+// BenchmarkRefusal refuses requests because the router is at capacity. Each
+// request uses a new connection, as refused callers do when they retry. Its CPU
+// time includes that of the caller, which is a plain loop over sockets.
 func BenchmarkRefusal(b *testing.B) {
 	for name, size := range map[string]int{"short": 5, "long": refusedBodyBytes} {
 		b.Run(name, func(b *testing.B) {
@@ -99,14 +100,16 @@
 	return startRouterWithFiles(b, engine, testMaxFiles)
 }
 
-// startRouterWithFiles starts a router that may open so many descriptors.
+// startRouterWithFiles starts a router whose process may open at most maxFiles
+// descriptors.
 func startRouterWithFiles(b *testing.B, engine string, maxFiles int) string {
 	b.Helper()
 	router, _ := runRouterWithFiles(b, engine, 2*benchCallers, time.Second, maxFiles)
 	return router.callerListener.Addr().String()
 }
 
-// startPacedEngine answers each request with events at a steady pace.
+// startPacedEngine starts an engine that answers each request with events at a
+// constant interval.
 func startPacedEngine(b *testing.B) string {
 	b.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/transport/edge/catalogue.go
+++ b/transport/edge/catalogue.go
@@ -16,19 +16,21 @@
 	"github.com/figstile/figstile/state/routing"
 )
 
-// storeReturnGrace is how long after the store's return an upstream whose entry
-// lapsed while the store was away is still used: it registers again within
-// about two seconds if it lives.
+// storeReturnGrace is the time after the store became reachable again during
+// which an upstream stays in use whose entry expired while the store was
+// unavailable. A running upstream registers again within about two seconds.
 const storeReturnGrace = 2200 * time.Millisecond
 
-// pendingRemoval is a removal that is not in force yet.
+// pendingRemoval is a removal that is applied at due, unless the upstream
+// registers again before.
 type pendingRemoval struct {
 	removal Object
 	due     time.Time
 }
 
-// catalogue holds the newest known objects of the store, whoever told them:
-// the store or a peer. Revisions only rise.
+// catalogue holds the newest known version of each object of the store,
+// received from the store or from a peer. The revision of an object never
+// decreases.
 type catalogue struct {
 	platform   Platform
 	dispatcher *dispatcher
@@ -40,22 +42,25 @@
 
 	mu     sync.Mutex
 	config Object
-	// earlierConfigs are configurations that peers may still hold, the latest last.
+	// earlierConfigs are previous configurations that peers may still hold,
+	// oldest first.
 	earlierConfigs []Object
-	// encodedConfigs are the forms in which the configuration was sent, by the
-	// revision that each builds on.
+	// encodedConfigs caches the encoded configuration by the revision that the
+	// encoding is a delta of; 0 is the full encoding.
 	encodedConfigs map[uint64][]byte
 	configVersion  uint64
 	objects        map[string]Object
 	directory      *directory.Directory
-	// upstreamDigest is of what the entries say, without their revisions.
+	// upstreamDigest is a digest of the content of all upstream entries,
+	// without their revisions.
 	upstreamDigest uint64
-	// pendingRemovals are upstreams whose entries may have lapsed while the store was
-	// away; settled are removals that no longer wait and are yet to be told.
+	// pendingRemovals are upstreams whose entries may have expired while the
+	// store was unavailable. confirmedRemovals were pending, are applied, and
+	// still have to be sent to peers.
 	pendingRemovals   map[state.Upstream]pendingRemoval
 	confirmedRemovals []Object
-	// storeUnavailable is set while the store does not answer; returned is when it last
-	// came back.
+	// storeUnavailable is set while the store does not answer. storeReturnedAt
+	// is the time at which it last became reachable again.
 	storeUnavailable bool
 	storeReturnedAt  time.Time
 }
@@ -69,8 +74,8 @@
 	}
 }
 
-// applyObject applies an object and says whether peers should hear of it. Source is
-// for the log.
+// applyObject applies an object and reports whether it has to be sent to peers.
+// The source only appears in the log.
 func (c *catalogue) applyObject(kind Kind, o Object, source string) bool {
 	if kind == KindConfig {
 		return c.applyConfig(o, source)
@@ -80,8 +85,8 @@
 	return c.applyUpstream(o, source)
 }
 
-// decodeYieldTime is the pause between parts of a configuration that is decoded: on
-// a small part of a core, requests come first.
+// decodeYieldTime is the sleep between the parts of a configuration that is
+// being decoded. On a VM with a fraction of a core, requests have priority.
 const decodeYieldTime = 5 * time.Millisecond
 
 func (c *catalogue) applyConfig(o Object, source string) bool {
@@ -135,8 +140,8 @@
 	return entry
 }
 
-// applyEntry puts an entry in force, and says whether that changed anything that is
-// decided on.
+// applyEntry stores an upstream's entry and reports whether any content that
+// decisions depend on has changed.
 func (c *catalogue) applyEntry(o Object, entry directory.Entry, source string) bool {
 	id := state.Upstream(o.Name)
 	before, _ := c.directory.Entry(id)
@@ -150,8 +155,8 @@
 	return !sameContent(before, entry)
 }
 
-// entryDigest recognises what an entry says; one that names no upstream says
-// nothing.
+// entryDigest returns a digest of an entry's content, or 0 if the entry does
+// not name an upstream.
 func entryDigest(entry directory.Entry) uint64 {
 	if !entry.Present {
 		return 0
@@ -159,20 +164,22 @@
 	return xxhash.Sum64String(fmt.Sprintf("%+v", entry.Upstream))
 }
 
-// contentSummary recognises what is held. Two routers that hold the same agree on it,
-// whoever told them.
+// contentSummary identifies the configuration and the upstreams that this
+// router holds. Two routers with the same content have equal summaries,
+// whichever source they received it from.
 func (c *catalogue) contentSummary() exchange.StateSummary {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return exchange.StateSummary{ConfigRevision: c.config.Revision, UpstreamsDigest: c.upstreamDigest}
 }
 
-// sameContent says whether two entries differ in nothing that is decided on.
+// sameContent reports whether two entries are equal in all that decisions
+// depend on.
 func sameContent(a, b directory.Entry) bool {
 	return a.Present == b.Present && a.Upstream == b.Upstream
 }
 
-// updateDispatcher tells the dispatcher of a changed entry.
+// updateDispatcher passes a changed entry to the dispatcher.
 func (c *catalogue) updateDispatcher(id state.Upstream, before, entry directory.Entry, source string) {
 	if sameContent(before, entry) {
 		return
@@ -183,10 +190,11 @@
 		Uint64("revision", entry.Revision).Str("source", source).Msg("upstream changed")
 }
 
-// mayHaveExpired says whether an entry that the store no longer holds may only
-// have lapsed while the store was away. This router cannot tell that from
-// having been cut off itself, so only the store's word is in doubt: a peer
-// tells of a removal once it is sure.
+// mayHaveExpired reports whether an entry that the store no longer holds may
+// only have expired while the store was unavailable. This router cannot
+// distinguish that from a partition between itself and the store, so only
+// removals read from the store are in doubt: a peer sends a removal only after
+// confirming it.
 func (c *catalogue) mayHaveExpired(o Object, entry directory.Entry) bool {
 	id := state.Upstream(o.Name)
 	current, _ := c.directory.Entry(id)
@@ -196,9 +204,9 @@
 	return !c.storeReturnedAt.IsZero() && c.now().Sub(c.storeReturnedAt) < storeReturnGrace
 }
 
-// deferRemoval keeps an upstream in use whose entry may have lapsed. The directory and
-// its digest keep the entry and peers are not told: they would take the
-// upstream as gone, and drop one that is about to register again.
+// deferRemoval keeps an upstream in use whose entry may have expired. The
+// directory and its digest keep the entry, and peers are not informed: they
+// would apply the removal and drop an upstream that is about to register again.
 func (c *catalogue) deferRemoval(o Object) {
 	id := state.Upstream(o.Name)
 	pending, ok := c.pendingRemovals[id]
@@ -210,13 +218,14 @@
 	c.pendingRemovals[id] = pending
 }
 
-// resolvePendingRemoval weighs what is told of an upstream that may have lapsed, and says
-// whether nothing else is to be made of it. The upstream is gone if a peer says
-// so, or if it said that it leaves before its entry went. Without the peer's
-// word a router that was cut off itself sends requests for two seconds to an
-// upstream that all others know to be gone. The word holds because peers give
-// it only when they are sure; one no newer than the entry held here is of an
-// earlier end, and does not count.
+// resolvePendingRemoval checks a received object against the pending removal of
+// its upstream and reports whether the object needs no further handling. The
+// removal is confirmed if a peer sends a removal, or if the object shows that
+// the upstream was leaving before its entry disappeared. Without the peer's
+// report, a router that was partitioned would send requests for two seconds to
+// an upstream that all other routers have removed. The report is reliable
+// because peers only send confirmed removals. A removal that is not newer than
+// the entry held here belongs to an earlier registration and is ignored.
 func (c *catalogue) resolvePendingRemoval(pending pendingRemoval, o Object, entry directory.Entry, source string) bool {
 	outdated := o.Revision <= pending.removal.Revision
 	removed := !entry.Present && source != sourceStore
@@ -231,7 +240,7 @@
 	return true
 }
 
-// confirmRemoval takes an upstream as gone that may have lapsed.
+// confirmRemoval applies a removal that was pending.
 func (c *catalogue) confirmRemoval(removal Object, source string) {
 	c.log.Info().Str("upstream", removal.Name).Str("source", source).Msg("upstream gone after the store's return")
 	if c.applyEntry(removal, directory.Entry{Revision: removal.Revision}, source) {
@@ -239,8 +248,9 @@
 	}
 }
 
-// confirmDueRemovals drops upstreams that did not register again in time, and returns
-// the removals that peers are to be told of.
+// confirmDueRemovals applies the removals of upstreams that did not register
+// again in time. It returns all removals confirmed since the last call, which
+// have to be sent to peers.
 func (c *catalogue) confirmDueRemovals() []Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -255,14 +265,17 @@
 	return confirmed
 }
 
-// hasPendingRemovals says whether there are upstreams that may have lapsed.
+// hasPendingRemovals reports whether the entry of any upstream may have
+// expired.
 func (c *catalogue) hasPendingRemovals() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.pendingRemovals) > 0
 }
 
-// replaceUpstreams takes a whole list: what it lacks is gone.
+// replaceUpstreams applies a complete list of upstreams, read at a revision.
+// Upstreams that are missing from the list are removed. It returns the objects
+// that have to be sent to peers.
 func (c *catalogue) replaceUpstreams(objects []Object, revision uint64, source string) []Object {
 	var changed []Object
 	listed := make(map[string]bool, len(objects))
@@ -293,7 +306,7 @@
 	return names
 }
 
-// markStoreAvailable and unreached note whether the store answers.
+// markStoreAvailable and markStoreUnavailable record whether the store answers.
 func (c *catalogue) markStoreAvailable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -313,15 +326,15 @@
 	}
 }
 
-// hasNoConfig says whether no configuration is held.
+// hasNoConfig reports whether no configuration was received yet.
 func (c *catalogue) hasNoConfig() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.config.Revision == 0
 }
 
-// upstreamObjects returns every object of an upstream that is held, for a peer that
-// starts from nothing.
+// upstreamObjects returns the objects of all upstreams, for a peer that has
+// none.
 func (c *catalogue) upstreamObjects() []Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/transport/edge/catalogue_test.go
+++ b/transport/edge/catalogue_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A peer that was cut off comes back and tells what it last knew. What is
-// newer stays in force.
+// A peer that was partitioned reconnects and sends its old configuration. The
+// newer configuration stays in force.
 func TestConfigurationNeverReverts(t *testing.T) {
 	f := newFixture()
 	require.True(t, f.catalogue.applyObject(KindConfig, configObject(10, 3), sourceStore))
@@ -28,12 +28,13 @@
 	require.Equal(t, 1, f.usableUpstreams())
 	require.True(t, f.catalogue.applyObject(KindUpstream, upstreamObject("u", 2, true), "peer"))
 	require.Zero(t, f.usableUpstreams())
-	require.False(t, f.catalogue.applyObject(KindUpstream, upstreamObject("u", 1, false), sourceStore), "the store's answer was older than the peer's word")
+	require.False(t, f.catalogue.applyObject(KindUpstream, upstreamObject("u", 1, false), sourceStore), "the store's entry is older than the peer's")
 	require.True(t, f.catalogue.applyObject(KindUpstream, removal("u", 2), sourceStore))
 	require.Empty(t, f.dispatcher.loadView.UnreachableUpstreams())
 }
 
-// Another program writes an entry that names no upstream. The others hold.
+// Another program writes an entry that does not describe an upstream. The other
+// entries stay in use.
 func TestInvalidEntriesNameNoUpstream(t *testing.T) {
 	f := newFixture()
 	f.catalogue.applyObject(KindUpstream, upstreamObject("u", 1, false), sourceStore)
@@ -41,7 +42,7 @@
 	f.catalogue.applyObject(KindUpstream, Object{Name: "raw", Revision: 3, Spec: []byte{0xff, 0x00}}, sourceStore)
 	require.Equal(t, 1, f.usableUpstreams())
 	f.catalogue.applyObject(KindUpstream, Object{Name: "u", Revision: 4, Spec: []byte(`[]`)}, sourceStore)
-	require.Zero(t, f.usableUpstreams(), "an entry that was overwritten names none any more")
+	require.Zero(t, f.usableUpstreams(), "the overwritten entry does not name an upstream any more")
 }
 
 func TestListRemovesWhatItLacks(t *testing.T) {
@@ -51,12 +52,12 @@
 	f.catalogue.applyObject(KindUpstream, upstreamObject("late", 9, false), "peer")
 	changed := f.catalogue.replaceUpstreams([]Object{upstreamObject("b", 2, false)}, 7, sourceStore)
 	require.Equal(t, []Object{removal("a", 7)}, changed)
-	require.Equal(t, 2, f.usableUpstreams(), "what a peer told of a later revision is not in the list yet")
+	require.Equal(t, 2, f.usableUpstreams(), "an upstream of a later revision than the list stays")
 }
 
-// The store is away for some seconds and entries lapse meanwhile. Upstreams
-// that live register again within two seconds of its return; until then they
-// go on serving. One that does not is gone.
+// The store is unavailable for some seconds and entries expire meanwhile.
+// Running upstreams register again within two seconds of its return and stay in
+// use until then. An upstream that does not register is removed.
 func TestExpiredUpstreamsAreUsedUntilTheGracePeriodEnds(t *testing.T) {
 	f := newFixture()
 	f.catalogue.applyObject(KindUpstream, upstreamObject("lives", 1, false), sourceStore)
@@ -76,7 +77,7 @@
 	require.Equal(t, 1, f.usableUpstreams())
 }
 
-// An upstream that said it leaves before its entry went has not lapsed.
+// The entry of an upstream that was leaving before its removal did not expire.
 func TestLeavingUpstreamIsNotKept(t *testing.T) {
 	f := newFixture()
 	f.catalogue.applyObject(KindUpstream, upstreamObject("u", 1, true), sourceStore)
@@ -102,21 +103,21 @@
 	require.EqualValues(t, 3, g.dispatcher.Table().Version())
 }
 
-// Upstreams renew their entries every second. Peers hear of what changes only:
-// told each time, the entries of 65 upstreams would be most of what routers
-// send between data centres.
+// Upstreams renew their entries every second. Only changes are sent to peers:
+// if each renewal were sent, the entries of 65 upstreams would be most of the
+// traffic between data centres.
 func TestRenewedEntriesAreNotSentToPeers(t *testing.T) {
 	f := newFixture()
 	require.True(t, f.catalogue.applyObject(KindUpstream, upstreamObject("u", 1, false), sourceStore))
 	for revision := range uint64(30) {
 		require.False(t, f.catalogue.applyObject(KindUpstream, upstreamObject("u", 2+revision, false), sourceStore))
 	}
-	require.True(t, f.catalogue.applyObject(KindUpstream, upstreamObject("u", 40, true), sourceStore), "it leaves")
+	require.True(t, f.catalogue.applyObject(KindUpstream, upstreamObject("u", 40, true), sourceStore), "the upstream leaves")
 	require.True(t, f.catalogue.applyObject(KindUpstream, removal("u", 41), sourceStore))
 }
 
-// Two routers that hold the same must agree on it, whatever came
-// between; one that misses something must not.
+// Two routers with the same content must have equal summaries, whatever they
+// received in between. A router that lacks something must have a different one.
 func TestContentSummaryIdentifiesTheContent(t *testing.T) {
 	a, b := newFixture(), newFixture()
 	a.catalogue.applyObject(KindConfig, configObject(3, 1), sourceStore)
--- a/transport/edge/config_transfer.go
+++ b/transport/edge/config_transfer.go
@@ -8,18 +8,20 @@
 	"github.com/figstile/figstile/protocol/wire"
 )
 
-// maxEarlier is how many earlier configurations are kept to send only what
-// changed since one, and maxEarlierBytes what they may take together.
+// maxEarlierConfigs is the number of previous configurations that are kept, so
+// that a peer which holds one of them only receives the difference.
+// maxEarlierConfigBytes limits their total size.
 const (
 	maxEarlierConfigs     = 4
 	maxEarlierConfigBytes = 2 << 20
 )
 
-// errUnknownBase says that an object builds on a revision that is not held.
-var errUnknownBase = errors.New("edge: the object builds on an unknown revision")
+// errUnknownBase reports a configuration that is a delta of a revision which
+// this router does not hold.
+var errUnknownBase = errors.New("edge: the object is a delta of an unknown revision")
 
-// replaceConfig keeps the configuration in force among the earlier ones and takes
-// a new one. The caller holds the lock.
+// replaceConfig stores a new configuration and keeps the current one among the
+// earlier ones. The caller holds the lock.
 func (c *catalogue) replaceConfig(o Object) {
 	if c.config.Revision > 0 {
 		c.earlierConfigs = append(c.earlierConfigs, c.config)
@@ -36,15 +38,15 @@
 	c.encodedConfigs = make(map[uint64][]byte)
 }
 
-// configRef returns the name and revision of the configuration that is held.
+// configRef returns the name and revision of the current configuration.
 func (c *catalogue) configRef() Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return Object{Name: c.config.Name, Revision: c.config.Revision}
 }
 
-// encodedConfig returns the configuration for a peer that holds a revision of it,
-// 0 for none.
+// encodedConfig returns the current configuration for a peer that holds
+// heldRevision of it, or 0 if it holds none.
 func (c *catalogue) encodedConfig(heldRevision uint64) (*peerpb.ConfigObject, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +71,8 @@
 	return o, true
 }
 
-// encodedLastChange returns the configuration as what changed since the one before.
+// encodedLastChange returns the current configuration as a delta of the
+// previous one.
 func (c *catalogue) encodedLastChange() (*peerpb.ConfigObject, bool) {
 	c.mu.Lock()
 	before := uint64(0)
@@ -83,8 +86,8 @@
 	return c.encodedConfig(before)
 }
 
-// configSpecAt returns the configuration at an earlier revision. The caller holds the
-// lock.
+// configSpecAt returns the content of the current or an earlier configuration
+// by its revision. The caller holds the lock.
 func (c *catalogue) configSpecAt(revision uint64) ([]byte, bool) {
 	if revision == 0 {
 		return nil, false
@@ -97,7 +100,7 @@
 	return nil, false
 }
 
-// decodeSpec returns what a peer sent of an object.
+// decodeSpec returns the decompressed content of an object that a peer sent.
 func (c *catalogue) decodeSpec(m *peerpb.ConfigObject) ([]byte, error) {
 	if !m.GetCompressed() {
 		return m.GetValue(), nil
--- a/transport/edge/dial.go
+++ b/transport/edge/dial.go
@@ -10,22 +10,23 @@
 )
 
 const (
-	// dialTimeout bounds making a connection. Upstreams, peers and the store
-	// are a few milliseconds away; a lost opening packet is sent again after
-	// a second, which is too late for most requests.
+	// dialTimeout limits the time to open a connection. Upstreams, peers and
+	// the store are a few milliseconds away. A lost SYN packet is sent again
+	// after a second, which is too late for most requests.
 	dialTimeout = 700 * time.Millisecond
-	// unackedTimeout is how long a peer's machine may acknowledge nothing before
-	// the connection is given up: a VM that lost power or is behind a
-	// partition sends no reset. A busy process still acknowledges, so this
-	// ends no answer that is only slow.
+	// unackedTimeout is how long a peer's machine may leave data unacknowledged
+	// before the connection is closed: a VM that lost power or is behind a
+	// partition sends no reset. The kernel of a machine with a busy process
+	// still acknowledges, so slow answers are not affected.
 	unackedTimeout = 3 * time.Second
-	// keepAliveInterval is the pause between keep-alive probes.
+	// keepAliveInterval is the time between two TCP keep-alive probes.
 	keepAliveInterval = time.Second
 )
 
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// NewDialer returns a dialer whose connections notice a machine that is gone.
+// NewDialer returns a dialer whose connections fail soon after the remote
+// machine becomes unreachable.
 func NewDialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout: dialTimeout,
@@ -39,8 +40,8 @@
 	}
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged; without
-// it they are sent again for a quarter of an hour.
+// setUserTimeout limits how long sent bytes may stay unacknowledged. Without it
+// the kernel retransmits them for a quarter of an hour.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
--- a/transport/edge/dispatcher.go
+++ b/transport/edge/dispatcher.go
@@ -19,12 +19,13 @@
 	"github.com/figstile/figstile/transport/ingress"
 )
 
-// configCurrentFor is how long after the last word of the store, or of a peer
-// that reads it, this router still claims to hold the newest configuration.
+// configCurrentFor is how long this router regards its configuration as the
+// newest after an answer of the store, or after a message of a peer that reads
+// the store.
 const configCurrentFor = 3 * time.Second
 
-// dispatcher hosts the decisions behind one lock: each takes microseconds, and all
-// need the same picture.
+// dispatcher makes all decisions under one lock: each takes microseconds, and
+// all need a consistent view.
 type dispatcher struct {
 	settings Settings
 	now      func() time.Time
@@ -36,19 +37,21 @@
 	ledger       *shares.Ledger
 	retryBudgets map[state.Service]*budget.Budget
 	quarantined  *quarantine.List
-	// suspicions are requests whose connection broke, lostRuns the runs of
-	// upstreams that those were on.
+	// suspicions are requests whose connection to an upstream broke. lostRuns
+	// are the runs of the upstreams that they were sent to.
 	suspicions      quarantine.Suspicions
 	lostRuns        map[state.Upstream]quarantine.Run
 	refusedRequests admission.RetryTracker
 	routerCount     int
 	confirmedAt     time.Time
-	// drain is that of the stop, once the router was told to.
+	// drain is the state of the router's stop. It is the zero value until the
+	// router is told to stop.
 	drain          drain.Drain
 	stallCallbacks map[*placement.Ticket]func()
-	// charges are what workspaces were charged for attempts under way.
+	// charges are the costs charged to workspaces for running attempts.
 	charges map[*placement.Ticket]charge
-	// urgentPublish asks for this router's load to be told at once.
+	// urgentPublish triggers an immediate report of this router's load to
+	// peers.
 	urgentPublish chan struct{}
 	onLostRequest func(f state.Fingerprint, run quarantine.Run)
 }
@@ -118,7 +121,8 @@
 	return verdict, ticket
 }
 
-// requestPublish asks for what changed to be told before its turn.
+// requestPublish requests that changed loads are sent to peers before the next
+// interval.
 func (d *dispatcher) requestPublish() {
 	select {
 	case d.urgentPublish <- struct{}{}:
@@ -126,7 +130,7 @@
 	}
 }
 
-// decide judges a request by its workspace's standing.
+// decide decides on a request, based on its workspace's use of its share.
 func (d *dispatcher) decide(now time.Time, r admission.Request) admission.Verdict {
 	standing := shares.Standing{}
 	if r.Cost > 0 && d.table != nil {
@@ -159,7 +163,8 @@
 	d.loadView.RecordOutput(d.now(), t)
 }
 
-// cancelStalled ends the attempts whose answers will not come.
+// cancelStalled cancels the attempts that are not expected to be answered and
+// returns their number.
 func (d *dispatcher) cancelStalled() int {
 	d.mu.Lock()
 	stalled := d.loadView.TakeStalled(d.now(), d.spendRetry)
@@ -194,16 +199,16 @@
 	d.reportLost(lost)
 }
 
-// charge is what a workspace was charged for an attempt.
+// charge is the cost charged to a workspace for an attempt.
 type charge struct {
 	at        time.Time
 	workspace state.Workspace
 	cost      float64
 }
 
-// refundUnstarted takes back the charge of an attempt that did not begin. An upstream that
-// is down looks idle, and a workspace near its share would be refused for what it
-// was sent there.
+// refundUnstarted reverts the charge of an attempt that did not start. An
+// upstream that is down looks idle and attracts requests. Without the refund, a
+// workspace near its share would be refused because of requests that never ran.
 func (d *dispatcher) refundUnstarted(t *placement.Ticket, outcome placement.Outcome) {
 	c, ok := d.charges[t]
 	delete(d.charges, t)
@@ -212,8 +217,8 @@
 	}
 }
 
-// answeredEvents returns how many parts the stream of a ticket had; zero unless it was
-// answered whole.
+// answeredEvents returns the number of parts of a ticket's stream, or 0 if the
+// stream was not answered completely.
 func answeredEvents(t *placement.Ticket, outcome placement.Outcome) int {
 	if outcome != placement.Answered {
 		return 0
@@ -241,7 +246,7 @@
 	return d.spendRetry(service)
 }
 
-// spendRetry is Repeat for callers that hold the lock.
+// spendRetry implements SpendRetry. The caller holds the lock.
 func (d *dispatcher) spendRetry(service state.Service) bool {
 	return d.retryBudget(service).TryRepeat(d.now(), d.retryLimits(), d.routerCount)
 }
@@ -260,10 +265,10 @@
 	return d.quarantined.Blocked(d.now(), f)
 }
 
-// ReportLost implements ingress.Dispatcher. A lost connection is no proof that the request
-// took the upstream down: answers are lost on good upstreams too, and two such
-// losses would shut out a page that many callers fetch. It counts once the
-// upstream is seen to have fallen.
+// ReportLost implements ingress.Dispatcher. A lost connection does not prove
+// that the request crashed the upstream: answers are also lost on healthy
+// upstreams, and two such losses would quarantine a page that many callers
+// fetch. The loss only counts once the upstream is known to have stopped.
 func (d *dispatcher) ReportLost(f state.Fingerprint, t *placement.Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -271,8 +276,9 @@
 	d.lostRuns[t.Upstream()] = t.Run()
 }
 
-// recordUpstreamLoss counts the requests whose connections an upstream took along, and
-// returns what peers have to know. The caller holds the lock.
+// recordUpstreamLoss counts the suspected requests of a run of an upstream that
+// has ended and returns those that peers have to be informed of. The caller
+// holds the lock.
 func (d *dispatcher) recordUpstreamLoss(id state.Upstream) []lostRequest {
 	run, ok := d.lostRuns[id]
 	if !ok {
@@ -289,20 +295,21 @@
 	return lost
 }
 
-// lostRequest is a request that was running when a run of an upstream fell.
+// lostRequest is a request that was running when a run of an upstream ended.
 type lostRequest struct {
 	fingerprint state.Fingerprint
 	run         quarantine.Run
 }
 
-// reportLost tells peers; it is called without the lock.
+// reportLost reports lost requests to peers. The caller must not hold the lock.
 func (d *dispatcher) reportLost(lost []lostRequest) {
 	for _, n := range lost {
 		d.onLostRequest(n.fingerprint, n.run)
 	}
 }
 
-// receiveLost takes a peer's word that an upstream broke off under a request.
+// receiveLost handles a peer's report that an upstream's run ended while it ran
+// a request.
 func (d *dispatcher) receiveLost(f state.Fingerprint, run quarantine.Run) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -331,7 +338,7 @@
 	return d.pressure.nearCapacity() && d.usedFairShare(ws)
 }
 
-// usedFairShare says whether a workspace has had its fair share.
+// usedFairShare reports whether a workspace has used its whole fair share.
 func (d *dispatcher) usedFairShare(ws state.Workspace) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -341,7 +348,8 @@
 	return d.ledger.Standing(d.now(), ws, d.table.Limits().Throughput).ShareUse >= 1
 }
 
-// beginDrain notes the order to stop and returns the course of the stop.
+// beginDrain starts the router's drain, if it has not started, and returns its
+// state.
 func (d *dispatcher) beginDrain() drain.Drain {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -351,7 +359,7 @@
 	return d.drain
 }
 
-// setTable takes a newer configuration.
+// setTable applies a newer configuration.
 func (d *dispatcher) setTable(table *routing.Table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -359,8 +367,8 @@
 	d.loadView.SetServices(table.Services())
 }
 
-// setUpstream takes what is known of an upstream; present is false if it is
-// gone.
+// setUpstream applies the known state of an upstream. present is false if the
+// upstream was removed.
 func (d *dispatcher) setUpstream(id state.Upstream, u directory.Upstream, present bool) {
 	d.mu.Lock()
 	var lost []lostRequest
@@ -376,7 +384,7 @@
 	d.reportLost(lost)
 }
 
-// confirmConfig notes that the configuration is the newest as of now.
+// confirmConfig records that the configuration is the newest one at this time.
 func (d *dispatcher) confirmConfig() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/transport/edge/dispatcher_peers.go
+++ b/transport/edge/dispatcher_peers.go
@@ -20,8 +20,8 @@
 	return d.loadView.TakeChangedLoads()
 }
 
-// takeLoadSums returns what all routers on this side of a link have, or what has
-// changed of it.
+// takeLoadSums returns the sums of the loads of all routers on this side of a
+// link: all sums, or only those that changed since the last call.
 func (d *dispatcher) takeLoadSums(peer state.Router, all bool) map[state.Upstream]placement.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,7 +43,8 @@
 	}
 }
 
-// takeRefusedRequests returns the requests refused since the last call.
+// takeRefusedRequests returns the requests that were refused since the last
+// call.
 func (d *dispatcher) takeRefusedRequests() []uint32 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -86,15 +87,16 @@
 	d.ledger.ReceiveUsage(d.now(), from, usage)
 }
 
-// spendingForLink returns the counts of all routers on this side of a link.
+// spendingForLink returns the usage of workspaces at all routers on this side
+// of a link.
 func (d *dispatcher) spendingForLink(peer state.Router) map[state.Workspace]shares.Usage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ledger.ReportedUsageExcluding(d.now(), peer)
 }
 
-// setLiveRouters takes the number of live routers and forgets the work of those that
-// went.
+// setLiveRouters sets the number of live routers and forgets the loads of the
+// removed ones.
 func (d *dispatcher) setLiveRouters(count int, removed []state.Router) {
 	d.mu.Lock()
 	d.routerCount = count
@@ -104,7 +106,7 @@
 	}
 }
 
-// forgetPeer drops what a peer told of work.
+// forgetPeer discards the loads and the workspace usage received from a peer.
 func (d *dispatcher) forgetPeer(peer state.Router) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/transport/edge/dispatcher_test.go
+++ b/transport/edge/dispatcher_test.go
@@ -17,7 +17,8 @@
 	"github.com/figstile/figstile/transport/metrics"
 )
 
-// Guards against a request that crashes worker after worker, sent again at any router.
+// Guards against a request that crashes one worker after another because each
+// retry reaches another router.
 func TestCrashingRequestIsQuarantinedAcrossRouters(t *testing.T) {
 	f, g := newFixture(), newFixture()
 	f.dispatcher.onLostRequest = func(fp state.Fingerprint, run quarantine.Run) { g.dispatcher.receiveLost(fp, run) }
@@ -40,7 +41,8 @@
 	require.True(t, g.dispatcher.Quarantined(7))
 }
 
-// Guards against a popular page that is shut out because its answers are lost on their way.
+// Guards against quarantining a popular page because its answers are lost in
+// the network.
 func TestLostAnswersDoNotQuarantine(t *testing.T) {
 	f := newFixture()
 	f.catalogue.applyObject(KindUpstream, upstreamObject("a", 1, false), sourceStore)
@@ -54,7 +56,8 @@
 	require.False(t, f.dispatcher.Quarantined(7))
 }
 
-// Guards against a small VM that takes too much since streams count only when they end.
+// Guards against a small VM that admits too many requests because streams are
+// only counted at their end.
 func TestRequestsCountAsLoadOnArrival(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.pressure = newPressure(0, 0.2, frozen)
@@ -68,7 +71,8 @@
 	require.True(t, f.dispatcher.pressure.overloaded.Load())
 }
 
-// Guards against a router that refuses all in the end, or never, as streams are miscounted.
+// Guards against a router that eventually refuses all requests, or none,
+// because it miscounts running streams.
 func TestStreamsUnderWayAreCounted(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.pressure = newPressure(0, 0.1, frozen)
@@ -105,7 +109,7 @@
 	require.False(t, f.dispatcher.Drain().Accepting(f.clock.now()))
 }
 
-// Guards against streams that a stopping router takes and then cuts off.
+// Guards against a stopping router that admits streams and then cuts them off.
 func TestDrainingRouterAdmitsRequestsThatCanFinish(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.settings.GracePeriod = 8 * time.Second
@@ -122,7 +126,7 @@
 	require.False(t, admits(600))
 }
 
-// Guards against streams that are broken off where no other engine can go on with them.
+// Guards against cancelling streams that cannot resume at another engine.
 func TestStalledStreamIsCancelledOnlyIfItCanResumeElsewhere(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.settings.RetryWindow, f.dispatcher.settings.RetrySlack = 10*time.Second, 2
@@ -156,7 +160,8 @@
 	require.Zero(t, *withoutBudget, "the budget for retries is spent")
 }
 
-// Guards against connections closed, or kept, by another limit than the configuration's.
+// Guards against closing or keeping connections by a limit that differs from
+// the configured one.
 func TestIdleLimitFollowsTheConfiguration(t *testing.T) {
 	f := newFixture()
 	require.Equal(t, defaultIdleTimeout, f.dispatcher.idleTimeout())
@@ -166,7 +171,8 @@
 	require.Equal(t, 30*time.Second, f.dispatcher.idleTimeout())
 }
 
-// Guards against a workspace with its full share that takes the last room of a router.
+// Guards against a workspace that has used its share and takes the last
+// capacity of a router.
 func TestLastCapacityIsKeptForWorkspacesBelowTheirShare(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.setTable(routing.NewTable(routing.Config{Version: 1, Limits: routing.Limits{Throughput: 100}}))
@@ -176,30 +182,31 @@
 		f.dispatcher.ledger.RecordRequested(now, ws, 1000)
 	}
 	f.dispatcher.ledger.RecordAdmitted(now, "served", 180)
-	require.False(t, f.dispatcher.AtCapacityFor("served"), "there is room")
+	require.False(t, f.dispatcher.AtCapacityFor("served"), "the router has capacity left")
 	applyLoad(f.dispatcher.pressure, 0.8)
 	require.True(t, f.dispatcher.AtCapacityFor("served"))
 	require.False(t, f.dispatcher.AtCapacityFor("starved"))
-	require.False(t, f.dispatcher.AtCapacityFor(""), "plain requests are small")
+	require.False(t, f.dispatcher.AtCapacityFor(""), "requests without a workspace have no share")
 	require.False(t, f.dispatcher.AtCapacity())
 	applyLoad(f.dispatcher.pressure, 0.9)
 	require.True(t, f.dispatcher.AtCapacity())
 }
 
-// Guards against a workspace that is refused for a share of engines that are down.
+// Guards against refusing a workspace because of attempts at engines that are
+// down.
 func TestOnlyStartedAttemptsCountAgainstTheShare(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		begun   bool
+		started bool
 		outcome placement.Outcome
-		counts  bool
+		charged bool
 	}{
 		{"no connection", false, placement.Unconnected, false},
 		{"rejected", false, placement.Rejected, false},
-		{"the caller left before it began", false, placement.Withdrawn, false},
+		{"caller disconnected before the answer started", false, placement.Withdrawn, false},
 		{"answered", true, placement.Answered, true},
-		{"the caller left", true, placement.Withdrawn, true},
-		{"broke off", true, placement.Broken, true},
+		{"caller disconnected", true, placement.Withdrawn, true},
+		{"connection broken", true, placement.Broken, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture()
@@ -212,20 +219,20 @@
 			use := func() float64 { return f.dispatcher.ledger.Standing(f.clock.now(), "w", 100).ShareUse }
 			verdict, ticket := f.dispatcher.Admit(admission.Request{Work: placement.Work{Service: "s"}, Workspace: "w", Cost: 200}, false)
 			require.True(t, verdict.IsAdmitted())
-			require.Positive(t, use(), "until it is known")
+			require.Positive(t, use(), "charged until the attempt's outcome is known")
 			f.clock.advance(500 * time.Millisecond)
-			if c.begun {
+			if c.started {
 				f.dispatcher.ReportOutput(ticket, true)
 			}
 			f.dispatcher.End(ticket, c.outcome)
 			f.clock.advance(500 * time.Millisecond)
 			f.dispatcher.ledger.RecordRequested(f.clock.now(), "other", 1000)
-			require.Equal(t, c.counts, use() > 0)
+			require.Equal(t, c.charged, use() > 0)
 		})
 	}
 }
 
-// Guards against refusals that cost a router time which nothing counts.
+// Guards against refusals whose CPU time is not charged to the router's budget.
 func TestEveryRefusalIsChargedToTheCPUBudget(t *testing.T) {
 	p := newPressure(0, smallVMCores, frozen)
 	o := observer{metrics: metrics.New("r", "dc"), pressure: p}
--- a/transport/edge/exchange_test.go
+++ b/transport/edge/exchange_test.go
@@ -24,18 +24,19 @@
 	"github.com/figstile/figstile/transport/peer"
 )
 
-// network carries messages between fleets of one process and counts them.
+// network delivers messages between the routers of one process and counts them.
 type network struct {
 	clock             *fakeClock
 	nodes             map[state.Router]*node
 	order             []state.Router
 	pendingDeliveries []func()
-	// partitioned is a data centre that reaches no other, empty if there is none.
+	// partitioned is a data centre without connections to the others, or empty
+	// if there is none.
 	partitioned state.DataCentre
-	// messages and bytes are of all routers, far those between data centres,
-	// configs the bytes of configurations.
+	// messages and bytes count the messages of all routers, remoteBytes those
+	// sent to other data centres, and configBytes the bytes of configurations.
 	messages, bytes, remoteBytes, configBytes int
-	// objects counts those of the store that were sent.
+	// objects counts the store's objects that routers sent to each other.
 	objects int
 }
 
@@ -46,17 +47,17 @@
 	fleet     *fleet
 	published publishTimes
 	stopped   bool
-	// incarnation numbers the process's starts.
+	// incarnation counts the starts of the process.
 	incarnation state.Incarnation
-	// sessions are the peers that this one is connected with, selected those
-	// that it wants to be.
+	// sessions are the peers that this router has a session with. selected are
+	// those it is asked to connect to.
 	sessions map[state.Router]bool
 	selected membership.SelectionChanged
 }
 
 var _ sender = (*node)(nil)
 
-// seedCount is how many routers all others know from the start.
+// seedCount is the number of routers that all others know from their start.
 const seedCount = 3
 
 func newNetwork(routers, dataCentres int) *network {
@@ -80,7 +81,8 @@
 
 func engineName(i int) state.Upstream { return state.Upstream(fmt.Sprintf("e%d", i)) }
 
-// start begins a run of the process, which knows what its fixture holds.
+// start starts a new incarnation of the process with the content of its
+// fixture.
 func (o *node) start(dc state.DataCentre) {
 	router := o.fixture.dispatcher.settings.Router
 	o.incarnation++
@@ -93,13 +95,13 @@
 
 func (o *node) restart() { o.start(o.fleet.self.DataCentre) }
 
-// canReach says whether no cut lies between two routers.
+// canReach reports whether no partition separates two running routers.
 func (o *node) canReach(other *node) bool {
 	from, to, partitioned := o.fleet.self.DataCentre, other.fleet.self.DataCentre, o.network.partitioned
 	return !o.stopped && !other.stopped && (from == to || from != partitioned && to != partitioned)
 }
 
-// kill ends processes: their peers see it at once.
+// kill stops processes. Their peers detect it at once.
 func (n *network) kill(nodes ...*node) {
 	for _, one := range nodes {
 		one.stopped = true
@@ -112,7 +114,8 @@
 	}
 }
 
-// closePartitioned ends the sessions across a cut that has lasted, as heartbeats do.
+// closePartitioned closes the sessions across a partition, as missing
+// heartbeats do.
 func (n *network) closePartitioned() {
 	for _, one := range n.nodes {
 		for router := range one.sessions {
@@ -123,7 +126,8 @@
 	}
 }
 
-// updateSessions closes the sessions across a cut and opens those that are wanted.
+// updateSessions closes the sessions across a partition and opens the selected
+// ones.
 func (n *network) updateSessions() {
 	n.closePartitioned()
 	for _, router := range n.order {
@@ -152,7 +156,7 @@
 	o.fleet.onPeers(live)
 }
 
-// dial opens the sessions that are wanted.
+// dial opens the sessions that the overlay has selected.
 func (o *node) dial() {
 	fleet := make(map[state.Router]bool)
 	for _, router := range o.selected.LiveRouters {
@@ -206,10 +210,10 @@
 	})
 }
 
-// messageDelay is how long a message takes.
+// messageDelay is the time from sending a message to its delivery.
 const messageDelay = 20 * time.Millisecond
 
-// advance lets time pass.
+// advance advances the clock, delivers messages and runs the periodic tasks.
 func (n *network) advance(d time.Duration) {
 	for range d / messageDelay {
 		n.clock.advance(messageDelay)
@@ -269,7 +273,7 @@
 	}
 }
 
-// place sends requests to an engine.
+// place places requests at an engine.
 func (o *node) place(engine, requests int) {
 	o.fixture.dispatcher.mu.Lock()
 	defer o.fixture.dispatcher.mu.Unlock()
@@ -278,7 +282,8 @@
 	}
 }
 
-// runningSeen returns how many requests a router thinks an engine has.
+// runningSeen returns the number of running requests that a router counts at an
+// engine.
 func (o *node) runningSeen(engine int) int {
 	o.fixture.dispatcher.mu.Lock()
 	defer o.fixture.dispatcher.mu.Unlock()
@@ -289,7 +294,7 @@
 	t.Helper()
 	for router, one := range n.nodes {
 		if !one.stopped {
-			require.Equal(t, want, one.runningSeen(engine), "%s of engine %d", router, engine)
+			require.Equal(t, want, one.runningSeen(engine), "running requests seen by %s at engine %d", router, engine)
 		}
 	}
 }
@@ -309,7 +314,8 @@
 	}
 }
 
-// innerRouter returns a router of a data centre that others hang below.
+// innerRouter returns a router of a data centre that has more than two links,
+// so that other routers receive loads through it.
 func (n *network) innerRouter(dc state.DataCentre) *node {
 	for _, router := range n.order {
 		one := n.nodes[router]
@@ -320,7 +326,7 @@
 	return nil
 }
 
-// A router that others hear through is killed while requests go on.
+// An inner router of the tree is killed while requests continue.
 func TestLoadsReachAllRoutersAfterAnInnerRouterStops(t *testing.T) {
 	n := newNetwork(40, 4)
 	for _, one := range n.nodes {
@@ -339,7 +345,8 @@
 	n.requireAllSee(t, 1, 39)
 }
 
-// A fleet grows past the size at which all tell all: no work may count twice.
+// The fleet grows beyond the size up to which every router reports to every
+// other. No load may count twice.
 func TestNoLoadCountsTwiceWhenTheFleetGrows(t *testing.T) {
 	n := newNetwork(20, 4)
 	n.kill(n.nodes["r014"], n.nodes["r015"], n.nodes["r016"], n.nodes["r017"], n.nodes["r018"], n.nodes["r019"])
@@ -365,7 +372,8 @@
 	n.requireAllSee(t, 0, 14)
 }
 
-// A data centre is lost. Its work must not stay in the others' pictures.
+// A data centre is partitioned. Its loads must not stay in the view of the
+// other routers.
 func TestLoadsOfAPartitionedDataCentreAreRemoved(t *testing.T) {
 	n := newNetwork(40, 4)
 	for _, one := range n.nodes {
@@ -386,7 +394,8 @@
 	n.requireAllSee(t, 0, 40)
 }
 
-// What a peer tells that no link leads to would count twice.
+// Loads from a peer without a link would count twice, as they also arrive over
+// a link.
 func TestLoadsFromPeersWithoutALinkAreIgnored(t *testing.T) {
 	n := newNetwork(40, 4)
 	one := n.nodes["r000"]
@@ -402,7 +411,8 @@
 	require.Equal(t, 9, one.runningSeen(0))
 }
 
-// largeConfigObject is a configuration that is announced and fetched.
+// largeConfigObject returns a configuration that is large enough to be
+// announced and fetched.
 func largeConfigObject(revision, version uint64) Object {
 	config := routing.Config{Version: version, Services: []routing.Service{{Name: "s"}}}
 	for i := range 1400 {
@@ -413,7 +423,7 @@
 	return Object{Name: "main", Revision: revision, Spec: spec}
 }
 
-// readFromStore has a router read an object from the store.
+// readFromStore simulates that a router reads an object from the store.
 func (o *node) readFromStore(object Object) {
 	o.fleet.onStoreAnswer()
 	o.fixture.catalogue.applyObject(KindConfig, object, sourceStore)
@@ -429,7 +439,8 @@
 	}
 }
 
-// A configuration changes while a router that others hear through is silent.
+// A configuration changes while a router through which others receive changes
+// has stopped.
 func TestChangedObjectsReachAllRouters(t *testing.T) {
 	n := newNetwork(40, 4)
 	reader := n.nodes["r000"]
@@ -447,18 +458,18 @@
 	n.requireVersion(t, 3)
 }
 
-// A large configuration took the links of all routers for seconds.
+// A large configuration used all links of all routers for seconds.
 func TestLargeConfigurationIsReceivedOnce(t *testing.T) {
 	for _, size := range []struct{ routers, dataCentres int }{{8, 4}, {19, 6}, {66, 3}} {
 		n := newNetwork(size.routers, size.dataCentres)
 		n.configBytes = 0
-		first := largeConfigObject(5, 2)
+		firstConfig := largeConfigObject(5, 2)
 		for _, reader := range []state.Router{"r000", "r001", "r002"} {
-			n.nodes[reader].readFromStore(first)
+			n.nodes[reader].readFromStore(firstConfig)
 		}
 		n.advance(2 * time.Second)
 		n.requireVersion(t, 2)
-		configSize := len(wire.Compress(first.Spec, nil))
+		configSize := len(wire.Compress(firstConfig.Spec, nil))
 		t.Logf("%v: %.2f copies of %d bytes to each router", size, float64(n.configBytes)/float64(configSize*size.routers), configSize)
 		require.Less(t, n.configBytes, configSize*size.routers*3/2)
 		n.configBytes = 0
@@ -475,11 +486,11 @@
 	}
 }
 
-// What a router is told must not grow with the fleet, but with its data centre
-// and the number of data centres. Counted for loads that change at four engines
-// all the time, without framing.
+// The bytes that a router receives must not grow with the fleet, only with its
+// data centre and the number of data centres. The test changes the loads of
+// four engines continuously and counts messages without framing.
 func TestTrafficBetweenRouters(t *testing.T) {
-	perRouter := func(routers, dataCentres int) (messages, bytes, far float64) {
+	perRouter := func(routers, dataCentres int) (messages, bytes, remoteBytes float64) {
 		n := newNetwork(routers, dataCentres)
 		n.advance(time.Second)
 		n.messages, n.bytes, n.remoteBytes = 0, 0, 0
@@ -495,15 +506,15 @@
 		return float64(n.messages) / each, float64(n.bytes) / each, float64(n.remoteBytes) / each
 	}
 	for _, size := range []struct{ routers, dataCentres int }{{8, 4}, {30, 4}, {73, 4}, {85, 5}, {300, 12}} {
-		messages, bytes, far := perRouter(size.routers, size.dataCentres)
+		messages, bytes, remoteBytes := perRouter(size.routers, size.dataCentres)
 		t.Logf("%3d routers in %2d data centres: each sends %.0f messages/s, %.0f B/s, of which %.0f B/s to other data centres",
-			size.routers, size.dataCentres, messages, bytes, far)
+			size.routers, size.dataCentres, messages, bytes, remoteBytes)
 		require.Less(t, messages, 260.0)
-		require.Less(t, far, 2500.0)
+		require.Less(t, remoteBytes, 2500.0)
 	}
 }
 
-// A router that starts was told everything by each of its peers.
+// A starting router received the whole catalogue from each of its peers.
 func TestStartingRouterFetchesTheCatalogueFromOnePeer(t *testing.T) {
 	n := newNetwork(40, 4)
 	restarted := n.nodes["r007"]
@@ -525,7 +536,8 @@
 	require.Less(t, n.objects, 2*51)
 }
 
-// Routers of a fleet that starts waited until each might read the store itself.
+// The routers of a starting fleet waited until each of them was allowed to read
+// the store itself.
 func TestStartingFleetGetsTheConfigurationFromItsFirstReader(t *testing.T) {
 	n := newNetwork(40, 4)
 	n.kill(slices.Collect(maps.Values(n.nodes))...)
@@ -540,7 +552,8 @@
 	}
 }
 
-// A data centre that was cut off missed a change of the configuration for good.
+// A data centre that was partitioned permanently missed a change of the
+// configuration.
 func TestPartitionedRouterCatchesUp(t *testing.T) {
 	for _, routers := range []int{8, 40} {
 		n := newNetwork(routers, 4)
--- a/transport/edge/fakes_test.go
+++ b/transport/edge/fakes_test.go
@@ -16,15 +16,15 @@
 	"github.com/figstile/figstile/transport/ingress"
 )
 
-// fakeClock is set by tests.
+// fakeClock is a clock that tests set.
 type fakeClock struct{ at time.Time }
 
 func newClock() *fakeClock                   { return &fakeClock{at: time.Unix(5000, 0)} }
 func (c *fakeClock) now() time.Time          { return c.at }
 func (c *fakeClock) advance(d time.Duration) { c.at = c.at.Add(d) }
 
-// fakePlatform answers calls as the test says; its formats are the project's
-// own types as JSON.
+// fakePlatform answers calls with the test's functions. Its formats are the
+// project's own types, encoded as JSON.
 type fakePlatform struct {
 	mu    sync.Mutex
 	list  func(kind Kind) ([]Object, uint64, error)
@@ -84,7 +84,7 @@
 	return Object{Name: name, Revision: revision, Removed: true}
 }
 
-// fixture is a router's views without its sockets.
+// fixture holds the dispatcher and the catalogue of a router without sockets.
 type fixture struct {
 	clock      *fakeClock
 	platform   *fakePlatform
--- a/transport/edge/figures.go
+++ b/transport/edge/figures.go
@@ -7,12 +7,12 @@
 	"github.com/figstile/figstile/transport/boottime"
 )
 
-// housekeepingInterval is how often the state of the router is measured; scrapers ask every
-// five seconds and more seldom.
+// housekeepingInterval is the interval at which the metrics of the router's
+// state are updated. Scrapers read them every five seconds or less often.
 const housekeepingInterval = time.Second
 
-// runHousekeeping keeps the figures of the router's state, and closes connections that
-// were unused for too long, until the context ends.
+// runHousekeeping updates the metrics of the router's state and closes
+// connections that were idle for too long, until the context ends.
 func (r *Router) runHousekeeping(ctx context.Context) {
 	ticker := time.NewTicker(housekeepingInterval)
 	defer ticker.Stop()
@@ -39,8 +39,8 @@
 	r.metrics.SetGauge("upstream_connections", float64(r.pressure.upstreamConns.Load()))
 }
 
-// logPressure tells what the router's processor went to in the last second, if it
-// turned callers away for want of it.
+// logPressure updates the count of shed connections and logs the work since its
+// last call if the router is overloaded or closed its port in that time.
 func (r *Router) logPressure() {
 	totals := r.pressure.cpuEstimate.Totals()
 	delta := totals.Since(r.loggedTotals)
@@ -66,13 +66,13 @@
 	return 0
 }
 
-// viewAges are the ages of what a router decides on.
+// viewAges holds the ages of the data that a router decides on.
 type viewAges struct {
-	// configuration was last known to be the newest so long ago; zero if it
-	// never was.
+	// configuration is the time since the configuration was last confirmed to
+	// be the newest, or 0 if it never was.
 	configuration time.Duration
-	// loads is the age of the oldest loads that count, spending that of the
-	// oldest counts of what workspaces got.
+	// loads is the age of the oldest peer loads in use. spending is the age of
+	// the oldest workspace usage in use.
 	loads, spending time.Duration
 }
 
@@ -87,21 +87,21 @@
 	return ages
 }
 
-// liveRouters counts the routers that share the retry budget.
+// liveRouters returns the number of routers that share the retry budget.
 func (d *dispatcher) liveRouters() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.routerCount
 }
 
-// defaultIdleTimeout is how long a caller's unused connection is kept while the
-// configuration does not say.
+// defaultIdleTimeout is how long a caller's idle connection is kept if the
+// configuration does not set a limit.
 const defaultIdleTimeout = 15 * time.Second
 
-// idleTimeout is how long a caller's unused connection is kept. The limit is part
-// of the configuration and may change, while net/http takes one for the life of
-// a server: connections that callers still counted on were closed, or kept for
-// longer than operators allow.
+// idleTimeout returns how long a caller's idle connection is kept. The limit is
+// part of the configuration and may change, whereas net/http takes one limit
+// for the lifetime of a server. With a fixed limit, connections were closed
+// that callers still relied on, or were kept for longer than operators allow.
 func (d *dispatcher) idleTimeout() time.Duration {
 	table := d.Table()
 	if table == nil || table.Limits().IdleTimeout <= 0 {
--- a/transport/edge/figures_test.go
+++ b/transport/edge/figures_test.go
@@ -10,8 +10,9 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Routes that were added ten seconds ago are unknown at one router. Its figures
-// must show that it has heard nothing for so long, else nobody finds it.
+// One router does not know routes that were added ten seconds ago. Its metrics
+// must show how long it has received no update, or operators cannot find the
+// cause.
 func TestAgesOfViews(t *testing.T) {
 	f := newFixture()
 	require.Zero(t, f.dispatcher.viewAges())
--- a/transport/edge/fleet.go
+++ b/transport/edge/fleet.go
@@ -16,57 +16,60 @@
 )
 
 const (
-	// tickInterval is the period of the fleet's own work.
+	// tickInterval is the interval of the fleet's periodic task.
 	tickInterval = 100 * time.Millisecond
-	// heartbeatInterval is how long a router says nothing if nothing has changed.
+	// heartbeatInterval is the interval at which a router sends to its peers if
+	// nothing has changed.
 	heartbeatInterval = 400 * time.Millisecond
-	// loadsInterval is the period at which peers hear of this router's load. Ten
-	// times a second leaves two requests per engine unseen at twenty requests
-	// a second each.
+	// loadsInterval is the interval at which this router sends its load to
+	// peers. At ten reports a second and twenty requests a second per engine,
+	// peers miss two requests per engine.
 	loadsInterval = 100 * time.Millisecond
-	// fullSumsInterval is the period at which the peer of a link hears all sums anew,
-	// those of upstreams included that one side did not know before.
+	// fullSumsInterval is the interval at which all sums are sent again over a
+	// link, including those of upstreams that one side did not know before.
 	fullSumsInterval = 2 * time.Second
-	// minUrgentGap bounds how often long prompts make this router tell its load,
-	// before its turn. In a tree the same goes for what others' links bring, and
-	// linkGap for each link of this router if that is more, so that a router
-	// with many does not spend more on them than one with few.
+	// minUrgentGap is the shortest time between two load reports that long
+	// prompts trigger before the next interval. In a tree, loads received over
+	// other links trigger reports as well, and the gap is at least
+	// urgentGapPerLink for each link of this router, so that a router with many
+	// links does not spend more on reports than a router with few.
 	minUrgentGap     = 20 * time.Millisecond
 	urgentGapPerLink = 2500 * time.Microsecond
-	// longPromptTokens is the number of tokens that keeps an engine from other
-	// prompts for so long that peers must not wait to hear of it: some fifty
-	// milliseconds.
+	// longPromptTokens is the number of pending prefill tokens from which peers
+	// are informed at once. Such a prompt occupies an engine for about 50 ms,
+	// so other routers must not send it further prompts meanwhile.
 	longPromptTokens = 3000
-	// spendingInterval is the same for workspaces, whose shares are measured
-	// over seconds.
+	// spendingInterval is the interval at which the usage of workspaces is
+	// sent. Shares are computed over seconds.
 	spendingInterval = 250 * time.Millisecond
-	// maxTickDelay is a delay of the ticker that tells of a pause of the process
-	// or a busy processor; catchUp is how long what waited then may take to
-	// be read.
+	// maxTickDelay is the time between two ticks above which the process is
+	// assumed to have been paused or to lack CPU time. resumeGrace is the time
+	// after such a pause in which the data that arrived meanwhile is read.
 	maxTickDelay = 3 * tickInterval
 	resumeGrace  = time.Second
 )
 
-// sender takes messages for peers and returns at once; a message to a peer
-// without a session is lost. The mesh is one.
+// sender sends messages to peers without blocking. A message to a peer without
+// a session is lost. The peer mesh implements it.
 type sender interface {
 	Send(to state.Router, env *peerpb.Envelope) bool
 	SendEach(to []state.Router, env *peerpb.Envelope)
-	// Select says which routers sessions are wanted with, Drop which not.
+	// Select sets the routers that sessions are wanted with. Drop closes the
+	// session with a router.
 	Select(selected membership.SelectionChanged)
 	Drop(router state.Router)
 }
 
 var _ sender = (*peer.Mesh)(nil)
 
-// readerClaim is a peer's last word that it reads the store.
+// readerClaim is the last message of a peer that it reads the store.
 type readerClaim struct {
 	receivedAt time.Time
-	// upstreamDigest is the digest of those that it holds.
+	// upstreamDigest is the digest of the upstreams that the peer holds.
 	upstreamDigest uint64
 }
 
-// fleet talks with the peers.
+// fleet exchanges objects, loads and usage with the peers.
 type fleet struct {
 	self       scheduler.Peer
 	dispatcher *dispatcher
@@ -75,35 +78,38 @@
 	log        zerolog.Logger
 	now        func() time.Time
 
-	// storeReadDelay is how long after its start the router does not read the store.
+	// storeReadDelay is the time after the start in which the router does not
+	// read the store.
 	storeReadDelay time.Duration
 	startedAt      time.Time
 
 	mu sync.Mutex
-	// overlay decides on sessions and links, live are the routers that it
-	// knows to live.
+	// overlay decides on sessions and links. livePeers are the routers that it
+	// regards as live, including this one.
 	overlay   *overlay.Overlay
 	livePeers []scheduler.Peer
-	// linkOutboxes are what waits to be told over links.
+	// linkOutboxes hold the messages that wait to be sent over each link.
 	linkOutboxes map[state.Router]*outbox
-	// peerNames are the upstreams that peers have numbered in their messages.
+	// peerNames are the upstream names that each peer has numbered in its
+	// messages.
 	peerNames    map[state.Router]upstreamNames
 	readerClaims map[state.Router]readerClaim
-	// lastAnswer is when the store last answered this router, failed when a
-	// call last failed; each kind is followed by itself.
+	// lastAnswer is the time of the store's last answer, and lastFailure that
+	// of the last failed call. Each kind of object is followed with its own
+	// calls.
 	lastAnswer  time.Time
 	lastFailure time.Time
 	// readingStore is set while this router reads the store.
 	readingStore bool
-	// noReaderSince is when a peer last said that it reads the store.
+	// noReaderSince is the last time at which a peer claimed to read the store.
 	noReaderSince time.Time
 	catchUp       exchange.CatchUp
 	fetch         exchange.Fetch
-	// caughtUp is set once a peer has told all that it holds: what other answers
-	// bring that is new is told to the other links.
+	// caughtUp is set once a peer has sent all its objects. From then on, new
+	// objects in further answers are forwarded over the other links.
 	caughtUp bool
-	// lastTick is when stalled requests were last looked for, resumed when
-	// that was last late; used by run alone.
+	// lastTick is the time of the last search for stalled requests. resumedAt
+	// is the time of the last tick that was late. Only run uses them.
 	lastTick  time.Time
 	resumedAt time.Time
 }
@@ -118,8 +124,8 @@
 	return f
 }
 
-// join makes this router known to the overlay under an address and incarnation.
-// It is called before any session opens.
+// join adds this router to the overlay with its address and incarnation. It
+// must be called before any session opens.
 func (f *fleet) join(self membership.Member) {
 	f.self.Incarnation = self.Incarnation
 	f.overlay = overlay.New(self)
@@ -139,15 +145,17 @@
 	f.lastFailure = f.now()
 }
 
-// mayClaimReading says whether this router may tell peers that it follows the store.
+// mayClaimReading reports whether this router may announce to peers that it
+// follows the store.
 func (f *fleet) mayClaimReading() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.readingStore && !f.lastAnswer.IsZero() && f.lastAnswer.After(f.lastFailure) && f.now().Sub(f.lastAnswer) <= readingClaimedFor
 }
 
-// checkStalled skips a round after a pause of this process, in which every
-// upstream looks silent: what they sent meanwhile has yet to be read.
+// checkStalled cancels stalled requests. It does nothing for a while after a
+// pause of this process: every upstream looks silent then, because the data
+// that arrived during the pause was not read yet.
 func (f *fleet) checkStalled() {
 	now := f.now()
 	if f.lastTick.IsZero() {
@@ -167,7 +175,7 @@
 	}
 }
 
-// updatePressure logs when the router becomes busy or calm.
+// updatePressure logs when the router becomes overloaded or recovers.
 func (f *fleet) updatePressure(sinceLastTick time.Duration) {
 	p := f.dispatcher.pressure
 	overloaded, changed := p.observe(min(max(sinceLastTick-tickInterval, 0), time.Second), sinceLastTick)
--- a/transport/edge/fleet_test.go
+++ b/transport/edge/fleet_test.go
@@ -21,7 +21,7 @@
 	return fleet
 }
 
-// discardSender takes messages that no test looks at.
+// discardSender discards all messages.
 type discardSender struct{}
 
 func (discardSender) Send(state.Router, *peerpb.Envelope) bool  { return false }
@@ -37,8 +37,8 @@
 	return peers
 }
 
-// Of many routers a few read the store for all, without any agreement beyond
-// what each says of itself.
+// Only a few routers of a large fleet read the store for all others. They agree
+// on it only through what each announces about itself.
 func TestFewRoutersReadTheStore(t *testing.T) {
 	const routers = 20
 	clock := newClock()
@@ -74,8 +74,9 @@
 	require.Equal(t, targetReaders, reading)
 }
 
-// The routers that read the store lose power: no reset, no word. The others
-// must notice by their silence and read for themselves.
+// The routers that read the store lose power, without a reset or a last
+// message. The others must notice the missing claims and read the store
+// themselves.
 func TestSilentReadersAreReplaced(t *testing.T) {
 	f := newFixture()
 	fleet := f.fleet("r09")
@@ -90,8 +91,8 @@
 	require.True(t, fleet.shouldReadStore())
 }
 
-// The store is away from all. A few routers look for its return eagerly, the
-// others now and then: each call is paid for.
+// The store is unavailable to all routers. A few of them retry often to detect
+// its return, the others rarely, because each call is billed.
 func TestFewRoutersCallAnUnavailableStore(t *testing.T) {
 	firstFixture, lastFixture := newFixture(), newFixture()
 	first, last := firstFixture.fleet("r00"), lastFixture.fleet("r09")
@@ -105,15 +106,15 @@
 	require.True(t, first.shouldReadStore())
 	require.False(t, last.shouldReadStore())
 	lastFixture.clock.advance(noReaderTimeout)
-	require.True(t, last.shouldReadStore(), "nobody says that it reads")
+	require.True(t, last.shouldReadStore(), "no router claims to read the store")
 	empty := newFixture().fleet("r09")
 	empty.onPeers(peersNamed(10))
-	require.True(t, empty.shouldReadStore(), "who holds nothing does not wait")
+	require.True(t, empty.shouldReadStore(), "a router without a configuration does not wait")
 }
 
-// A router starts in a running fleet. It gives its peers a moment to tell it all
-// before it calls the store itself, and longer while the fleet starts for the
-// first time; only seeds read at once.
+// A router joins a running fleet. It gives its peers a short time to send their
+// objects before it calls the store itself, and a longer time if the whole
+// fleet starts for the first time. Only seeds read the store at once.
 func TestStartingRouterWaitsForItsPeers(t *testing.T) {
 	settings := Settings{Addresses: Addresses{Peers: "10.0.0.9:1"}, Seeds: []string{"10.0.0.1:1"}}
 	require.Equal(t, startReadDelay, storeReadDelay(settings))
@@ -122,7 +123,7 @@
 	fleet.storeReadDelay = storeReadDelay(settings)
 	require.False(t, fleet.shouldReadStore())
 	f.clock.advance(startReadDelay)
-	require.True(t, fleet.shouldReadStore(), "nobody told it")
+	require.True(t, fleet.shouldReadStore(), "no peer has sent its objects")
 	settings.FirstStart = true
 	require.Equal(t, firstStartReadDelay, storeReadDelay(settings))
 	settings.Seeds = []string{"10.0.0.9:1"}
@@ -130,13 +131,13 @@
 	require.Zero(t, storeReadDelay(Settings{}))
 }
 
-// The store turns this router away. It must not tell peers that it follows the
-// store, or they would rely on it.
+// The store rejects this router's calls. It must not claim to follow the store,
+// or its peers would rely on it.
 func TestRouterRejectedByTheStoreDoesNotClaimToRead(t *testing.T) {
 	f := newFixture()
 	fleet := f.fleet("r00")
 	require.True(t, fleet.shouldReadStore())
-	require.False(t, fleet.mayClaimReading(), "no answer yet")
+	require.False(t, fleet.mayClaimReading(), "the store has not answered yet")
 	f.clock.advance(time.Second)
 	fleet.onStoreAnswer()
 	require.True(t, fleet.mayClaimReading())
@@ -145,8 +146,9 @@
 	require.False(t, fleet.mayClaimReading())
 }
 
-// A configuration and a leaving upstream reach a router that the store turns
-// away through a peer; so does the word that the peer's view is the newest.
+// A configuration and an upstream that leaves reach a router through a peer
+// while the store rejects its calls. So does the confirmation that the peer's
+// configuration is the newest.
 func TestPeersProvideWhatTheStoreDoesNot(t *testing.T) {
 	f := newFixture()
 	fleet := f.fleet("r00")
@@ -155,7 +157,7 @@
 	fleet.onEnvelope(from, objectEnvelope(KindUpstream, upstreamObject("u", 6, false)))
 	require.EqualValues(t, 2, f.dispatcher.Table().Version())
 	require.Equal(t, 1, f.usableUpstreams())
-	require.True(t, f.dispatcher.ConfigCurrent(), "it has just read the store")
+	require.True(t, f.dispatcher.ConfigCurrent(), "a new configuration from a peer is the newest")
 	f.clock.advance(configCurrentFor + time.Second)
 	require.False(t, f.dispatcher.ConfigCurrent())
 	fleet.onEnvelope(from, fleet.readingEnvelope(true))
@@ -166,9 +168,10 @@
 	require.False(t, f.dispatcher.ConfigCurrent())
 }
 
-// A router starts and learns the configuration from a peer. A caller with an
-// unknown key must not be put off, if that peer follows the store; if it does
-// not, the key may be one that was added meanwhile.
+// A router starts and receives the configuration from a peer. If that peer
+// follows the store, a caller with an unknown key is refused for good. If it
+// does not, the key may have been added meanwhile, and the caller must be able
+// to retry.
 func TestCatalogueFromAReaderIsCurrent(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		f := newFixture()
@@ -185,8 +188,8 @@
 	}
 }
 
-// This process stood still for two seconds. All upstreams look silent then,
-// and the requests on them must not be given up for that.
+// This process was paused for two seconds. All upstreams look silent then, but
+// their requests must not be cancelled for that.
 func TestNothingIsCancelledAfterAPause(t *testing.T) {
 	f := newFixture()
 	fleet := f.fleet("r00")
--- a/transport/edge/flood_test.go
+++ b/transport/edge/flood_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What a small VM's processor spends, and the streams that it relays.
+// CPU times of a small VM's operations, in time of a whole core, and the shape
+// of the streams that it relays.
 const (
 	floodAcceptCost  = 16 * time.Microsecond
 	floodListenCost  = 40 * time.Microsecond
@@ -28,23 +29,26 @@
 	floodWarmUp       = 2 * time.Second
 )
 
-// floodedVM plays a router on a processor that runs what waits for it in order of
+// floodedVM simulates a router on a CPU that runs waiting tasks in order of
 // arrival.
 type floodedVM struct {
 	p   *pressure
 	now time.Time
-	// cpuQueue is what waits for the processor, timers what waits for its time.
+	// cpuQueue holds tasks that are ready to run on the CPU. timers holds tasks
+	// that are due at a later time, in order of time.
 	cpuQueue []func()
 	timers   []floodTimer
-	// backlog are connections that were not accepted yet.
+	// backlog is the number of connections that were not accepted yet.
 	backlog   int
 	accepting bool
-	// portClosed is set while the port is closed.
+	// portClosed is set while the router's port is closed.
 	portClosed bool
-	// overShareFraction is the part of requests that are refused for their share.
+	// overShareFraction is the fraction of requests that are refused because
+	// their workspace is over its share.
 	overShareFraction float64
 	random            *rand.Rand
-	// onTime counts streams that were relayed without a long pause, admitted all.
+	// onTime counts streams without an event gap above floodOnTimeGap, and
+	// admitted counts all admitted streams.
 	onTime, admitted int
 }
 
@@ -59,7 +63,8 @@
 	return vm
 }
 
-// useCPU lets the processor work for a time of a whole core.
+// useCPU advances the clock by the time that the VM's share of a core needs for
+// a CPU time of a whole core.
 func (vm *floodedVM) useCPU(cost time.Duration) {
 	vm.now = vm.now.Add(time.Duration(float64(cost) / smallVMCores))
 }
@@ -71,7 +76,7 @@
 
 func (vm *floodedVM) enqueue(task func()) { vm.cpuQueue = append(vm.cpuQueue, task) }
 
-// run plays until a time.
+// run runs tasks and timers until a time.
 func (vm *floodedVM) run(until time.Time) {
 	for vm.now.Before(until) {
 		for len(vm.timers) > 0 && !vm.timers[0].at.After(vm.now) {
@@ -92,7 +97,7 @@
 	}
 }
 
-// connect has a connection arrive.
+// connect simulates a new connection.
 func (vm *floodedVM) connect() {
 	if vm.portClosed {
 		return
@@ -104,7 +109,8 @@
 	}
 }
 
-// accept takes what has arrived, as an accepting loop does that never has to wait.
+// accept accepts all connections of the backlog, as an accept loop does that
+// never has to wait.
 func (vm *floodedVM) accept() {
 	for ; vm.backlog > 0; vm.backlog-- {
 		vm.useCPU(floodAcceptCost)
@@ -118,7 +124,8 @@
 	vm.accepting = false
 }
 
-// closePort closes the port, with what has not been accepted, until there is room.
+// closePort closes the port and drops the backlog. The port reopens when the
+// router has capacity again.
 func (vm *floodedVM) closePort() {
 	vm.portClosed, vm.accepting, vm.backlog = true, false, 0
 	var reopen func()
@@ -150,7 +157,7 @@
 	}
 }
 
-// stream relays an answer whose events come steadily.
+// stream relays a stream with events at a constant interval.
 func (vm *floodedVM) stream() {
 	afterWarmUp := vm.now.Sub(frozen()) >= floodWarmUp
 	if afterWarmUp {
@@ -181,7 +188,7 @@
 	vm.at(lastEventAt, func() { vm.enqueue(func() { event(0) }) })
 }
 
-// observe is the router's periodic task.
+// observe runs the router's periodic task.
 func (vm *floodedVM) observe(due time.Time) {
 	last := due.Add(-tickInterval)
 	vm.enqueue(func() {
@@ -190,8 +197,9 @@
 	})
 }
 
-// simulate plays connections that arrive at a rate, and returns the streams a second
-// that were relayed on time after the first seconds.
+// simulate runs connections that arrive at random with a mean rate per second.
+// It returns the number of streams per second that were relayed on time after
+// the warm-up.
 func (vm *floodedVM) simulate(perSecond float64) float64 {
 	start := vm.now
 	for at := time.Duration(0); at < floodDuration; {
@@ -203,8 +211,8 @@
 	return float64(vm.onTime) / (floodDuration - floodWarmUp).Seconds()
 }
 
-// Guards against a small VM that reads and refuses a flood instead of relaying what
-// it admitted.
+// Guards against a small VM that spends its CPU time on reading and refusing
+// requests instead of relaying the streams that it admitted.
 func TestFloodedRouterStillRelaysStreams(t *testing.T) {
 	const stream = floodAcceptCost + floodReadCost + floodRequestCost + floodStreamEvents*floodEventCost
 	possible := smallVMCores / stream.Seconds()
@@ -214,9 +222,9 @@
 		overShare float64
 	}{
 		{"three times what it can relay", 3 * possible, 0},
-		{"six times, half of it beyond its share", 6 * possible, 0.5},
+		{"six times, half of it over share", 6 * possible, 0.5},
 		{"twelve times", 12 * possible, 0},
-		{"twelve times, half of it beyond its share", 12 * possible, 0.5},
+		{"twelve times, half of it over share", 12 * possible, 0.5},
 		{"twenty times", 20 * possible, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/transport/edge/follower.go
+++ b/transport/edge/follower.go
@@ -13,56 +13,60 @@
 )
 
 const (
-	// watchWait bounds one watch. An open connection may fall silent for
-	// good; a new call on a new connection then finds out, well within the
-	// seconds in which a configuration must be in force.
+	// watchWait limits one watch call. An open connection may stop receiving
+	// data without an error. A new call on a new connection then detects it,
+	// well within the few seconds in which a configuration must be in force.
 	watchWait = 1500 * time.Millisecond
-	// upstreamWatchInterval gathers changes of upstreams into one call. Each
-	// upstream changes its entry about once a second, so that without a
-	// pause each router would make a call for each of them. A leaving
-	// upstream is still seen well within the two seconds it is given.
+	// upstreamWatchInterval is the mean pause between two watch calls for
+	// upstreams, so that one call returns several changes. Each upstream
+	// changes its entry about once a second, and without a pause each router
+	// would make a call for each of these changes. A leaving upstream is still
+	// noticed well within the two seconds that it has.
 	upstreamWatchInterval = 500 * time.Millisecond
-	// configWatchInterval keeps a storm of configurations to ten calls a second.
+	// configWatchInterval limits the calls for configurations to ten per second
+	// if many change in a short time.
 	configWatchInterval = 100 * time.Millisecond
-	// readerCheckInterval is how often a router that does not read looks whether it
-	// should.
+	// readerCheckInterval is the interval at which a router that does not read
+	// the store checks whether it should.
 	readerCheckInterval = 100 * time.Millisecond
-	// callTimeout bounds a call beyond the time it may wait by itself. The
-	// store answers within some ms; slow, within a third of a second.
+	// callTimeout limits a call in addition to the time for which the call
+	// itself may wait. The store answers within milliseconds, or within a third
+	// of a second when it is slow.
 	callTimeout = 1200 * time.Millisecond
-	// minRetryDelay and lastRetry bound the back-off after failed calls. The
-	// last keeps a router within a second of the store's return.
+	// minRetryDelay and maxRetryDelay limit the back-off after failed calls.
+	// With the maximum, a router notices the store's return within a second.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 700 * time.Millisecond
 )
 
-// follower keeps a catalogue in step with one kind of the store's objects.
+// follower keeps a catalogue up to date with one kind of the store's objects.
 type follower struct {
 	kind      Kind
 	store     ObjectStore
 	catalogue *catalogue
 	log       zerolog.Logger
-	// shouldRead says whether this router is to read, or hears of changes from
-	// peers that do.
+	// shouldRead reports whether this router has to read the store. Otherwise
+	// it receives changes from peers that read it.
 	shouldRead func() bool
-	// onAnswer hears of each answer of the store, onFailure of each call
-	// without one; onNews receives what was new.
+	// onAnswer is called after each answer of the store and onFailure after
+	// each failed call. onChanged receives changed objects.
 	onAnswer  func()
 	onFailure func()
 	onChanged func(kind Kind, objects []Object)
 
-	// retryDelay may lengthen the pause after a failed call; nil keeps it.
-	retryDelay func(pause time.Duration) time.Duration
+	// retryDelay may lengthen the pause after a failed call. If nil, the pause
+	// is unchanged.
+	retryDelay func(delay time.Duration) time.Duration
 
 	listed   bool
 	revision uint64
 }
 
-// run follows until the context ends.
+// run follows the store until the context ends.
 func (f *follower) run(ctx context.Context) {
 	retry := backoff.NewExponentialBackOff()
 	if f.retryDelay == nil {
-		f.retryDelay = func(pause time.Duration) time.Duration { return pause }
+		f.retryDelay = func(delay time.Duration) time.Duration { return delay }
 	}
 	retry.InitialInterval, retry.MaxInterval = minRetryDelay, maxRetryDelay
 	for ctx.Err() == nil {
@@ -117,7 +121,7 @@
 	return nil
 }
 
-// sourceStore is the source of what the store told, in logs.
+// sourceStore is the source of the store's objects in log lines.
 const sourceStore = "store"
 
 func (f *follower) list(ctx context.Context) error {
--- a/transport/edge/follower_test.go
+++ b/transport/edge/follower_test.go
@@ -18,8 +18,8 @@
 	}, changed
 }
 
-// A watch goes on where the list was read, and what it brings is told to peers
-// once.
+// A watch continues from the revision of the list, and each change is sent to
+// peers once.
 func TestFollowerWatchesFromTheListedRevision(t *testing.T) {
 	f := newFixture()
 	f.platform.list = func(Kind) ([]Object, uint64, error) { return []Object{upstreamObject("a", 3, false)}, 5, nil }
@@ -37,8 +37,8 @@
 	require.Equal(t, 3, f.usableUpstreams())
 }
 
-// The store drops its history while an upstream leaves. The watch fails with
-// "gone"; only a new list shows the leaving.
+// The store drops its history while an upstream leaves. The watch fails because
+// the history has expired, and only a new list shows that the upstream left.
 func TestFollowerListsAgainAfterLostHistory(t *testing.T) {
 	f := newFixture()
 	entries := []Object{upstreamObject("a", 3, false), upstreamObject("b", 4, false)}
@@ -57,7 +57,7 @@
 	require.Equal(t, 1, f.usableUpstreams())
 }
 
-// While the store is away the router keeps what it knows.
+// While the store is unavailable, the router keeps its last view.
 func TestFollowerKeepsItsViewThroughAnOutage(t *testing.T) {
 	f := newFixture()
 	f.platform.list = func(Kind) ([]Object, uint64, error) { return []Object{upstreamObject("a", 3, false)}, 5, nil }
@@ -83,9 +83,9 @@
 	f := newFixture()
 	follower, _ := newFollower(f, KindConfig)
 	ctx, cancel := context.WithCancel(context.Background())
-	asked := 0
+	checks := 0
 	follower.shouldRead = func() bool {
-		if asked++; asked == 2 {
+		if checks++; checks == 2 {
 			cancel()
 		}
 		return false
--- a/transport/edge/lapse_test.go
+++ b/transport/edge/lapse_test.go
@@ -23,7 +23,8 @@
 	return n
 }
 
-// deliverFromStore gives routers that follow the store an object, which they pass on.
+// deliverFromStore delivers an object from the store to routers that follow it.
+// They forward it to their peers.
 func (n *network) deliverFromStore(o Object, routers ...state.Router) {
 	for _, router := range routers {
 		one := n.nodes[router]
@@ -35,7 +36,7 @@
 	}
 }
 
-// disconnectStore takes the store away from routers.
+// disconnectStore makes the store unavailable to routers.
 func (n *network) disconnectStore(routers ...state.Router) {
 	for _, router := range routers {
 		n.nodes[router].fleet.onStoreFailure()
@@ -43,7 +44,8 @@
 	}
 }
 
-// reconnectStore gives the store back to a router, which lists it anew.
+// reconnectStore makes the store available to a router again, which reads a new
+// list from it.
 func (n *network) reconnectStore(router state.Router, at uint64, listed ...Object) {
 	one := n.nodes[router]
 	one.fixture.catalogue.markStoreAvailable()
@@ -54,7 +56,7 @@
 	}
 }
 
-// advanceReading lets time pass while routers go on reading the store.
+// advanceReading advances the time while routers continue to read the store.
 func (n *network) advanceReading(d time.Duration, routers ...state.Router) {
 	for range d / tickInterval {
 		for _, router := range routers {
@@ -64,19 +66,16 @@
 	}
 }
 
-// usableUpstreams counts the upstreams that a router uses, without the engines that
-// each router of the network begins with.
+// usableUpstreams counts the upstreams that a router uses, without the four
+// engines that each router of the network starts with.
 func (n *network) usableUpstreams(router state.Router) int {
 	return n.nodes[router].fixture.usableUpstreams() - 4
 }
 
-// A caller's request reached an engine 2.9 s after it had said that it leaves.
-// A data centre was cut off, so that the entry of an engine in it lapsed; the
-// routers outside, which reached the store all the time, took it as gone. The
-// cut healed, the engine said that it leaves, and a router of the data centre
-// reached the store again, which held no entry. It logged "upstream may have
-// lapsed" and used the engine for another 2.2 s, as if the store had been
-// away; but the router was, and its peers knew that the engine was gone.
+// A request reached an engine 2.9 s after the engine had announced that it
+// leaves. Its entry had expired during a partition, and the routers outside had
+// removed it. After the partition a router inside found no entry in the store
+// and kept the engine for 2.2 s, as if the store had been unavailable.
 func TestEngineRemovedDuringAPartitionIsNotKept(t *testing.T) {
 	n := newConfiguredNetwork(8, 4)
 	outside := []state.Router{"r001", "r002", "r003"}
@@ -90,7 +89,7 @@
 	n.advanceReading(3*time.Second, outside...)
 	n.deliverFromStore(removal("u", 47), outside...)
 	n.advanceReading(3*time.Second, outside...)
-	require.Equal(t, 1, n.usableUpstreams("r000"), "a data centre that is cut off goes on serving")
+	require.Equal(t, 1, n.usableUpstreams("r000"), "a partitioned data centre continues to serve")
 	require.Zero(t, n.usableUpstreams("r005"))
 
 	n.partitioned = ""
@@ -98,15 +97,13 @@
 	n.reconnectStore("r000", 56)
 	n.advanceReading(500*time.Millisecond, append(outside, "r000")...)
 	require.Zero(t, n.usableUpstreams("r000"))
-	require.Zero(t, n.usableUpstreams("r004"), "its neighbour, which has not reached the store yet")
+	require.Zero(t, n.usableUpstreams("r004"), "its neighbour, which cannot reach the store yet")
 }
 
-// A data centre was cut off, and an engine in it left for good. After the cut
-// its routers left it to others to read the store. Each asked its neighbour for
-// what it had missed, which had missed the same, and went on sending requests
-// to the engine for 1.9 s after the cut. What the readers held differed all the
-// time, but the data centre's other engines registered again one by one, and
-// each began the wait for a lasting difference anew.
+// Routers that were partitioned asked their neighbours for missed changes,
+// which had missed the same, and used a removed engine for 1.9 s. Other engines
+// of the data centre registered again one by one, and each change restarted the
+// wait for a lasting difference to the readers.
 func TestPartitionedRoutersDoNotCatchUpFromEachOther(t *testing.T) {
 	n := newConfiguredNetwork(8, 4)
 	outside := []state.Router{"r001", "r002", "r003"}
@@ -129,12 +126,10 @@
 	require.Equal(t, 5, n.usableUpstreams("r004"))
 }
 
-// The store is away from all for some seconds, and an entry lapses. One router
-// regains the store before the others and lists it. Nobody knows better than
-// that the entry may have lapsed, so that all go on using the upstream for two
-// seconds, those too that have not noticed the store's return or its absence.
-// While the first told the others that the entry was gone, they dropped the
-// upstream at once.
+// The store is unavailable to all routers, and an entry expires. The router
+// that reached the store first reported the entry as removed, and the others
+// dropped the upstream at once. All must keep it for two seconds, also routers
+// that have not noticed the outage or its end.
 func TestPossiblyExpiredEntryIsNotReportedAsRemoved(t *testing.T) {
 	n := newConfiguredNetwork(8, 4)
 	readers := []state.Router{"r000", "r001", "r002"}
@@ -158,9 +153,10 @@
 	}
 }
 
-// The store turns one router away and serves the others. When it lets that one
-// in again, an entry has just gone that the readers have not heard of yet. As
-// soon as one of them does, the upstream is gone for all.
+// The store rejects the calls of one router and serves the others. When it
+// accepts that router again, an entry has just been removed that the readers do
+// not know of yet. As soon as one of them does, all routers must drop the
+// upstream.
 func TestRejectedRouterReceivesTheRemovalFromPeers(t *testing.T) {
 	n := newConfiguredNetwork(8, 4)
 	readers := []state.Router{"r001", "r002"}
@@ -178,9 +174,9 @@
 	}
 }
 
-// A data centre is cut off, and with it the only routers that read the store.
-// Nobody outside has anything to say of an entry that lapsed meanwhile. It may
-// have lapsed as well because the store was away.
+// A data centre is partitioned, and with it the only routers that read the
+// store. The routers outside know nothing of an entry that expired meanwhile,
+// so it may have expired because the store was unavailable.
 func TestRoutersPartitionedTogetherKeepTheUpstream(t *testing.T) {
 	n := newConfiguredNetwork(8, 4)
 	n.deliverFromStore(upstreamObject("u", 23, false), "r000", "r004")
@@ -203,38 +199,38 @@
 	}
 }
 
-// What peers say of an upstream that may have lapsed here.
+// Lists what peers may report of an upstream whose entry may have expired here.
 func TestPeerReportsOnAPossiblyExpiredEntry(t *testing.T) {
 	for name, c := range map[string]struct {
-		word Object
-		want int
+		report Object
+		want   int
 	}{
-		"gone after what was held here":        {removal("u", 47), 0},
-		"gone as the revision that was held":   {removal("u", 23), 0},
-		"gone after the list":                  {removal("u", 60), 0},
-		"gone before what was held here":       {removal("u", 22), 1},
-		"leaving before it went":               {upstreamObject("u", 44, true), 0},
-		"leaving after it came back":           {upstreamObject("u", 60, true), 0},
-		"there before it went":                 {upstreamObject("u", 44, false), 1},
-		"there as it was held":                 {upstreamObject("u", 23, false), 1},
-		"back after the list":                  {upstreamObject("u", 60, false), 1},
-		"another upstream is gone, not this":   {removal("v", 60), 1},
-		"another upstream is there, with this": {upstreamObject("v", 22, true), 1},
+		"removed after the held revision":      {removal("u", 47), 0},
+		"removed at the held revision":         {removal("u", 23), 0},
+		"removed after the list":               {removal("u", 60), 0},
+		"removed before the held revision":     {removal("u", 22), 1},
+		"leaving before its entry was missing": {upstreamObject("u", 44, true), 0},
+		"leaving after it registered again":    {upstreamObject("u", 60, true), 0},
+		"present before its entry was missing": {upstreamObject("u", 44, false), 1},
+		"present at the held revision":         {upstreamObject("u", 23, false), 1},
+		"registered again after the list":      {upstreamObject("u", 60, false), 1},
+		"another upstream is removed":          {removal("v", 60), 1},
+		"another upstream is leaving":          {upstreamObject("v", 22, true), 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture()
 			f.catalogue.applyObject(KindUpstream, upstreamObject("u", 23, false), sourceStore)
 			f.catalogue.markStoreUnavailable(errSilent)
 			f.catalogue.markStoreAvailable()
-			require.Empty(t, f.catalogue.replaceUpstreams(nil, 56, sourceStore), "nothing to tell yet")
-			f.catalogue.applyObject(KindUpstream, c.word, "peer")
+			require.Empty(t, f.catalogue.replaceUpstreams(nil, 56, sourceStore), "nothing to send to peers yet")
+			f.catalogue.applyObject(KindUpstream, c.report, "peer")
 			require.Equal(t, c.want, f.usableUpstreams())
 		})
 	}
 }
 
-// An upstream that was gone for the peers comes back with a newer revision. No
-// older word of its end may take it away again.
+// An upstream that peers have removed registers again with a newer revision.
+// Older reports of its removal must not remove it again.
 func TestUpstreamThatRegisteredAgainIsUsed(t *testing.T) {
 	f := newFixture()
 	f.catalogue.applyObject(KindUpstream, upstreamObject("u", 23, false), sourceStore)
--- a/transport/edge/left.go
+++ b/transport/edge/left.go
@@ -18,11 +18,11 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// callerClosed says whether the caller's connection is closed, from either end, by
-// what the kernel has received. net/http learns it from a read in a goroutine of its
-// own; on a processor that is used up that goroutine runs too late, and of the
-// requests of callers who had left two dozen were sent on within seconds. One
-// look costs a system call.
+// callerClosed reports whether the caller's connection is closed at either end,
+// according to the data that the kernel has received. net/http detects a close
+// with a read in its own goroutine, which runs too late if the CPU is fully
+// used: about two dozen requests of disconnected callers were sent to upstreams
+// within seconds. One check costs a system call.
 func callerClosed(r *http.Request) bool {
 	conn, ok := r.Context().Value(connKey{}).(syscall.Conn)
 	if !ok {
--- a/transport/edge/left_test.go
+++ b/transport/edge/left_test.go
@@ -12,8 +12,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A caller gives up while its request waits for the processor. Its close has
-// arrived, but nothing has read it yet; the request must not be sent on.
+// A caller disconnects while its request waits for the CPU. The close has
+// arrived in the kernel, but the process has not read it yet. The request must
+// not be sent to an upstream.
 func TestClosedCallerConnectionIsDetected(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -33,10 +34,10 @@
 	first := make([]byte, len("another request"))
 	_, err = io.ReadFull(conn, first)
 	require.NoError(t, err)
-	require.Equal(t, "another request", string(first), "looking takes nothing away")
+	require.Equal(t, "another request", string(first), "peeking does not consume bytes")
 	require.NoError(t, caller.Close())
 	require.Eventually(t, func() bool { return callerClosed(request) }, time.Second, time.Millisecond)
 	require.NoError(t, conn.Close())
-	require.True(t, callerClosed(request), "nothing can be answered on a connection that is closed at this end")
-	require.False(t, callerClosed(httptest.NewRequest(http.MethodGet, "/", nil)), "no connection is known")
+	require.True(t, callerClosed(request), "the connection is closed at this end")
+	require.False(t, callerClosed(httptest.NewRequest(http.MethodGet, "/", nil)), "the request has no connection")
 }
--- a/transport/edge/links.go
+++ b/transport/edge/links.go
@@ -12,7 +12,8 @@
 	"github.com/figstile/figstile/transport/peer"
 )
 
-// onPeers takes the routers that sessions are held with, this one included.
+// onPeers updates the routers that have a session with this one, which is
+// included in the list.
 func (f *fleet) onPeers(peers []scheduler.Peer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -20,7 +21,8 @@
 	f.performActions()
 }
 
-// onSession tells a peer of this router's work: messages may have been lost.
+// onSession sends this router's state to a peer at the start of a session,
+// since earlier messages may have been lost.
 func (f *fleet) onSession(s peer.Session) {
 	now := f.now()
 	f.mu.Lock()
@@ -47,7 +49,7 @@
 	f.performActions()
 }
 
-// onMembers takes a peer's word of the fleet.
+// onMembers handles a peer's message about the members of the fleet.
 func (f *fleet) onMembers(from state.Router, m *peerpb.Members) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,7 +57,7 @@
 	f.performActions()
 }
 
-// tickOverlay lets time pass.
+// tickOverlay runs the overlay's periodic task.
 func (f *fleet) tickOverlay() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,8 +65,9 @@
 	f.performActions()
 }
 
-// performActions does what the overlay decided. The caller holds the lock, so that
-// messages leave in the order of the decisions; none of the calls waits.
+// performActions performs the actions that the overlay decided on. The caller
+// holds the lock, so that messages are sent in the order of the decisions. None
+// of the calls blocks.
 func (f *fleet) performActions() {
 	for _, action := range f.overlay.Actions() {
 		switch a := action.(type) {
@@ -84,7 +87,7 @@
 	f.updateLivePeers()
 }
 
-// openLink begins to tell a peer of this side.
+// openLink starts to send the loads of this side of a link to a peer.
 func (f *fleet) openLink(router state.Router) {
 	f.dispatcher.forgetPeer(router)
 	f.linkOutboxes[router] = &outbox{}
@@ -92,8 +95,8 @@
 	f.log.Info().Str("router", string(router)).Msg("linked")
 }
 
-// updateLivePeers tells the dispatcher of a change of the live routers. The caller holds
-// the lock.
+// updateLivePeers passes changes of the live routers to the dispatcher. The
+// caller holds the lock.
 func (f *fleet) updateLivePeers() {
 	live := f.overlay.LiveRouters()
 	if slices.Equal(f.livePeers, live) {
@@ -107,7 +110,7 @@
 	f.dispatcher.setLiveRouters(len(live), removed)
 }
 
-// removedRouters returns the routers of before that are not among the live.
+// removedRouters returns the routers in before that are missing from live.
 func removedRouters(before, live []scheduler.Peer) []state.Router {
 	remaining := make(map[state.Router]bool, len(live))
 	for _, p := range live {
@@ -122,8 +125,8 @@
 	return removed
 }
 
-// receivers returns the peers that all is told to: those of links in a tree,
-// else all live ones.
+// receivers returns the peers that every message is sent to: in a tree the
+// peers of this router's links, otherwise all live peers.
 func (f *fleet) receivers() (peers []state.Router, tree bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -138,7 +141,7 @@
 	return peers, false
 }
 
-// forward sends what came over one link over the others.
+// forward sends a message that was received over one link over all other links.
 func (f *fleet) forward(from state.Router, env *peerpb.Envelope) {
 	peers, tree := f.receivers()
 	if !tree {
@@ -151,8 +154,8 @@
 	}
 }
 
-// send sends a message to a router, through others if there is no session with
-// it.
+// send sends a message to a router, relayed through other routers if there is
+// no session with it.
 func (f *fleet) send(to state.Router, env *peerpb.Envelope) {
 	if f.mesh.Send(to, env) {
 		return
@@ -162,8 +165,8 @@
 	})
 }
 
-// relay sends a message on towards its receiver, but not back to where it came
-// from.
+// relay sends a message to the next router towards its receiver, but not back
+// to the router that it came from.
 func (f *fleet) relay(to, cameFrom state.Router, m *peerpb.Relay) {
 	f.mu.Lock()
 	next, ok := f.overlay.NextHop(to)
@@ -175,7 +178,8 @@
 	f.mesh.Send(next, &peerpb.Envelope{Body: &peerpb.Envelope_Relay{Relay: m}})
 }
 
-// onRelay takes a message that was sent through this router, or to it.
+// onRelay handles a relayed message: it forwards the message, or handles its
+// content if this router is the receiver.
 func (f *fleet) onRelay(from peer.Peer, m *peerpb.Relay) {
 	to := state.Router(m.GetTo())
 	if to != f.self.Router {
--- a/transport/edge/listener.go
+++ b/transport/edge/listener.go
@@ -9,13 +9,15 @@
 	"github.com/rs/zerolog"
 )
 
-// capacityPollInterval is how often a router that does not listen looks whether it has room.
+// capacityPollInterval is the interval at which a router with a closed port
+// checks whether it has capacity again.
 const capacityPollInterval = 5 * time.Millisecond
 
-// callerListener listens for callers while the router has room for them. While it
-// has none the port is closed: the kernel refuses connections at once and without
-// the process, which a flood would take up by their acceptance alone. A caller
-// that was never connected may try again elsewhere, whatever it asks for.
+// callerListener accepts connections of callers while the router has capacity
+// for them. Otherwise its port is closed, and the kernel refuses connections at
+// once without using the process, whose CPU time an overload would consume just
+// for accepting. A caller that was never connected may retry at another router,
+// whatever its request is.
 type callerListener struct {
 	config   net.ListenConfig
 	address  string
@@ -26,13 +28,13 @@
 	// inner is nil while the port is closed.
 	inner  *net.TCPListener
 	closed bool
-	// listenFailing is set while the port could not be opened again.
+	// listenFailing is set while attempts to reopen the port fail.
 	listenFailing bool
 }
 
-// listenCallers listens without probes of idle connections: unused ones are
-// closed after the configuration's limit, and to set the probes up took four
-// system calls for each connection.
+// listenCallers opens the port without TCP keep-alive probes. Idle connections
+// are closed after the configured limit anyway, and enabling the probes took
+// four system calls for each connection.
 func listenCallers(address string, p *pressure, log zerolog.Logger) (*callerListener, error) {
 	l := &callerListener{config: net.ListenConfig{KeepAlive: -1}, address: address, pressure: p, log: log}
 	if err := l.listen(); err != nil {
@@ -42,7 +44,7 @@
 	return l, nil
 }
 
-// listen opens the port. The caller holds the lock, or nobody else knows of l.
+// listen opens the port. The caller holds the lock, or is the only user of l.
 func (l *callerListener) listen() error {
 	inner, err := l.config.Listen(context.Background(), "tcp", l.address)
 	if err != nil {
@@ -68,7 +70,7 @@
 	}
 }
 
-// waitForPort waits for room and returns the open port.
+// waitForPort waits until the router has capacity and returns the open port.
 func (l *callerListener) waitForPort() (*net.TCPListener, error) {
 	for {
 		if inner, err := l.tryOpenPort(); inner != nil || err != nil {
@@ -98,7 +100,7 @@
 	return l.inner, nil
 }
 
-// closePort closes the port until there is room.
+// closePort closes the port until the router has capacity again.
 func (l *callerListener) closePort() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/transport/edge/listener_test.go
+++ b/transport/edge/listener_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// smallVMCores is a processor share in cores of a small VM.
+// smallVMCores is the CPU share of a small VM, in cores.
 const smallVMCores = 0.2
 
-// applyLoad has a pressure expect that a part of its processor share is taken by
-// events, as after some seconds at that rate.
+// applyLoad simulates events at a constant rate for some seconds, so that the
+// expected CPU use becomes the given part of the VM's CPU share.
 func applyLoad(p *pressure, cpuShare float64) {
 	const event = 25 * time.Microsecond
 	perRound := int(cpuShare * smallVMCores * float64(tickInterval) / float64(event))
@@ -26,7 +26,8 @@
 	}
 }
 
-// Guards against a flooded router whose refusals take the time of its streams.
+// Guards against an overloaded router whose refusals use the CPU time of its
+// streams.
 func TestRefusalsLeaveTimeForStreams(t *testing.T) {
 	now := frozen()
 	p := newPressure(0, smallVMCores, func() time.Time { return now })
@@ -39,12 +40,12 @@
 	require.True(t, p.admitConn())
 }
 
-// Guards against connections that are read only to be refused.
+// Guards against reading requests only to refuse them.
 func TestFullRouterShedsAtOnce(t *testing.T) {
 	p := newPressure(0, smallVMCores, frozen)
 	applyLoad(p, 1)
 	require.True(t, p.atCapacity())
-	require.False(t, p.admitConn(), "nothing was refused yet")
+	require.False(t, p.admitConn(), "shed although nothing was refused yet")
 }
 
 func TestNothingIsShedBelowCapacity(t *testing.T) {
@@ -56,7 +57,7 @@
 	require.True(t, p.admitConn())
 }
 
-// Guards against more connections that wait to be read than there is room for.
+// Guards against more connections waiting to be read than the budget covers.
 func TestUnreadConnectionsReserveBudget(t *testing.T) {
 	p := newPressure(0, smallVMCores, frozen)
 	admitted := 0
@@ -84,7 +85,7 @@
 	require.True(t, p.admitConn())
 }
 
-// Guards against callers of a full router who wait until their deadlines.
+// Guards against a full router whose callers wait until their deadlines.
 func TestShedConnectionIsClosedAtOnce(t *testing.T) {
 	p := newPressure(0, smallVMCores, frozen)
 	applyLoad(p, 1)
@@ -102,7 +103,7 @@
 	require.NoError(t, err)
 	defer shed.Close()
 	_, err = shed.Read(make([]byte, 1))
-	require.Error(t, err, "the connection has ended")
+	require.Error(t, err, "the connection was closed")
 	require.Empty(t, accepted)
 	require.Eventually(t, func() bool {
 		conn, err := net.Dial("tcp", listener.Addr().String())
@@ -110,7 +111,7 @@
 			_ = conn.Close()
 		}
 		return err != nil
-	}, 5*time.Second, time.Millisecond, "further ones are refused")
+	}, 5*time.Second, time.Millisecond, "further connections are refused")
 	applyLoad(p, 0)
 	require.Eventually(t, func() bool {
 		conn, err := net.Dial("tcp", listener.Addr().String())
@@ -122,7 +123,8 @@
 	_ = (<-accepted).Close()
 }
 
-// Guards against a listener that waits for room for good, or listens again, after its close.
+// Guards against a listener that waits forever for capacity, or listens again,
+// after it was closed.
 func TestClosedListenerStaysClosed(t *testing.T) {
 	p := newPressure(0, smallVMCores, frozen)
 	applyLoad(p, 1)
@@ -152,7 +154,7 @@
 	require.Equal(t, 2*time.Second, p.sum(now.Add(time.Minute)))
 }
 
-// Guards against connections that end unread and leave the budget empty.
+// Guards against unread connections that end and leave the budget empty.
 func TestUnreadConnectionsReturnTheirBudget(t *testing.T) {
 	p := newPressure(0, smallVMCores, frozen)
 	for range 100 {
@@ -165,7 +167,8 @@
 	}
 }
 
-// Guards against a router that says it is ready while its port is closed for seconds.
+// Guards against a router that reports ready while its port is closed for
+// seconds.
 func TestClosedPortIsNotReady(t *testing.T) {
 	clock := newClock()
 	p := newPressure(0, smallVMCores, clock.now)
@@ -177,7 +180,7 @@
 	clock.advance(capacityPollInterval)
 	p.portClosed.end(clock.now())
 	round()
-	require.True(t, p.acceptsNewCallers(), "a moment without room is no reason to go")
+	require.True(t, p.acceptsNewCallers(), "a short closure does not make the router not ready")
 	p.portClosed.begin(clock.now())
 	round()
 	round()
--- a/transport/edge/messages.go
+++ b/transport/edge/messages.go
@@ -8,11 +8,11 @@
 	"github.com/figstile/figstile/state"
 )
 
-// upstreamNumbering numbers the upstreams that a peer is told of, so that each name is
-// sent once on a session. The zero value is usable.
+// upstreamNumbering assigns numbers to the upstreams that are sent to a peer,
+// so that each name is sent once per session. The zero value is usable.
 type upstreamNumbering struct {
 	numbers map[state.Upstream]uint32
-	// unsentNames are the names that the peer has not been sent.
+	// unsentNames are the names that were not sent to the peer yet.
 	unsentNames []string
 }
 
@@ -26,7 +26,8 @@
 	return number
 }
 
-// loadsMessage builds a message for a peer that knows a numbering.
+// loadsMessage builds a message with loads and placed prompts for a peer that
+// knows the numbers assigned so far.
 func (n *upstreamNumbering) loadsMessage(loads map[state.Upstream]placement.Load, prompts []placement.PlacedPrompt) *peerpb.Loads {
 	message := &peerpb.Loads{Reset_: n.numbers == nil}
 	if n.numbers == nil {
@@ -58,10 +59,11 @@
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Loads{Loads: message}}
 }
 
-// upstreamNames are the upstreams that a peer has numbered.
+// upstreamNames are the names of the upstreams that a peer has numbered, by
+// their number.
 type upstreamNames []state.Upstream
 
-// extend takes the names of a message.
+// extend adds the names of a message.
 func (n upstreamNames) extend(m *peerpb.Loads) upstreamNames {
 	if m.GetReset_() {
 		n = nil
@@ -72,7 +74,8 @@
 	return n
 }
 
-// loads returns the loads of a message; not ok if it is malformed.
+// loads returns the loads of a message. ok is false if the message is
+// malformed.
 func (n upstreamNames) loads(m *peerpb.Loads) (map[state.Upstream]placement.Load, bool) {
 	if len(m.GetUpstreams()) != len(m.GetRunning()) || len(m.GetUpstreams()) != len(m.GetUnread()) {
 		return nil, false
@@ -87,7 +90,8 @@
 	return loads, true
 }
 
-// prompts returns the placed prompts of a message; not ok if it is malformed.
+// prompts returns the placed prompts of a message. ok is false if the message
+// is malformed.
 func (n upstreamNames) prompts(m *peerpb.Loads) ([]placement.PlacedPrompt, bool) {
 	if len(m.GetPromptUpstreams()) != len(m.GetPromptParts()) || len(m.GetParts()) != len(m.GetPartTokens()) {
 		return nil, false
--- a/transport/edge/messages_test.go
+++ b/transport/edge/messages_test.go
@@ -13,7 +13,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// linkMessage is what a link of a large fleet carries many times a second.
+// linkMessage returns loads and prompts that a link of a large fleet carries
+// many times a second.
 func linkMessage() (map[state.Upstream]placement.Load, []placement.PlacedPrompt) {
 	loads := make(map[state.Upstream]placement.Load)
 	var prompts []placement.PlacedPrompt
@@ -47,19 +48,19 @@
 		require.Equal(t, prompts, gotPrompts)
 	}
 	receiver = receiver.extend(new(upstreamNumbering).loadsMessage(nil, nil))
-	require.Empty(t, receiver, "numbers begin anew")
+	require.Empty(t, receiver, "a reset clears the names")
 }
 
-// A message that does not fit together must not be taken in part.
+// No part of an inconsistent message may be applied.
 func TestMalformedLoadsAreRejected(t *testing.T) {
 	n := upstreamNames{"a", "b"}
 	for name, m := range map[string]*peerpb.Loads{
-		"unknown number":    {Upstreams: []uint32{2}, Running: []uint32{1}, Unread: []uint32{1}},
-		"lists differ":      {Upstreams: []uint32{0, 1}, Running: []uint32{1}, Unread: []uint32{1, 1}},
-		"unknown prompt":    {PromptUpstreams: []uint32{2}, PromptParts: []uint32{0}},
-		"too many parts":    {PromptUpstreams: []uint32{0}, PromptParts: []uint32{2}, Parts: []uint64{1}, PartTokens: []uint32{1}},
-		"tokens missing":    {PromptUpstreams: []uint32{0}, PromptParts: []uint32{1}, Parts: []uint64{1}},
-		"unknown interfere": {PromptUpstreams: []uint32{0}, PromptParts: []uint32{0}, Interfering: []uint32{1}},
+		"unknown number":             {Upstreams: []uint32{2}, Running: []uint32{1}, Unread: []uint32{1}},
+		"lists differ":               {Upstreams: []uint32{0, 1}, Running: []uint32{1}, Unread: []uint32{1, 1}},
+		"unknown prompt upstream":    {PromptUpstreams: []uint32{2}, PromptParts: []uint32{0}},
+		"too many parts":             {PromptUpstreams: []uint32{0}, PromptParts: []uint32{2}, Parts: []uint64{1}, PartTokens: []uint32{1}},
+		"tokens missing":             {PromptUpstreams: []uint32{0}, PromptParts: []uint32{1}, Parts: []uint64{1}},
+		"unknown interfering prompt": {PromptUpstreams: []uint32{0}, PromptParts: []uint32{0}, Interfering: []uint32{1}},
 	} {
 		_, loads := n.loads(m)
 		_, prompts := n.prompts(m)
--- a/transport/edge/objects.go
+++ b/transport/edge/objects.go
@@ -9,11 +9,12 @@
 	"github.com/figstile/figstile/state"
 )
 
-// announceMinBytes is the size of an object from which peers are told its revision
-// only, and fetch it from one that holds it, once.
+// announceMinBytes is the size in bytes from which only an object's revision is
+// sent to peers. Each peer then fetches the object once, from a router that
+// holds it.
 const announceMinBytes = 2 << 10
 
-// publishObjects tells peers of objects that are new here.
+// publishObjects sends objects that changed at this router to its peers.
 func (f *fleet) publishObjects(kind Kind, objects []Object) {
 	peers, _ := f.receivers()
 	for _, o := range objects {
@@ -21,8 +22,9 @@
 	}
 }
 
-// changeEnvelope tells of a changed object: a large configuration by what changed
-// since the one before, or if that is much as well, by its revision.
+// changeEnvelope builds the message for a changed object. A large configuration
+// is sent as a delta of the previous one, or as an announcement of its revision
+// if the delta is large as well.
 func (f *fleet) changeEnvelope(kind Kind, o Object) *peerpb.Envelope {
 	if kind != KindConfig || len(o.Spec) < announceMinBytes {
 		return objectEnvelope(kind, o)
@@ -35,7 +37,8 @@
 	}}}
 }
 
-// onVersions takes a peer's word that it holds a revision of the configuration.
+// onVersions handles a peer's announcement that it holds a revision of the
+// configuration.
 func (f *fleet) onVersions(from state.Router, m *peerpb.ConfigVersions) {
 	for _, v := range m.GetVersions() {
 		if kind, _, ok := parseKey(v.GetKey()); ok && kind == KindConfig {
@@ -44,7 +47,7 @@
 	}
 }
 
-// onConfigOffered notes that a peer holds a revision of the configuration.
+// onConfigOffered records that a peer holds a revision of the configuration.
 func (f *fleet) onConfigOffered(from state.Router, revision uint64) {
 	currentRevision := f.catalogue.contentSummary().ConfigRevision
 	f.mu.Lock()
@@ -53,7 +56,8 @@
 	f.fetchAnnouncedConfig()
 }
 
-// fetchAnnouncedConfig asks a peer for a newer configuration, if one was announced.
+// fetchAnnouncedConfig requests a newer configuration from a peer, if one was
+// announced.
 func (f *fleet) fetchAnnouncedConfig() {
 	current := f.catalogue.configRef()
 	f.mu.Lock()
@@ -70,8 +74,8 @@
 	}
 }
 
-// onConfigRequest sends a peer the configuration, as a change of the one that it
-// holds if that is known here.
+// onConfigRequest sends the configuration to a peer, as a delta of the revision
+// that the peer holds if that revision is known here.
 func (f *fleet) onConfigRequest(from state.Router, m *peerpb.ConfigRequest) {
 	peerRevision := uint64(0)
 	if len(m.GetHeld()) > 0 {
@@ -84,7 +88,7 @@
 	f.mesh.Send(from, &peerpb.Envelope{Body: &peerpb.Envelope_ConfigObject{ConfigObject: o}})
 }
 
-// onObject takes an object that a peer holds.
+// onObject handles an object received from a peer.
 func (f *fleet) onObject(from state.Router, m *peerpb.ConfigObject) {
 	kind, name, ok := parseKey(m.GetKey())
 	if !ok {
@@ -110,7 +114,8 @@
 		return
 	}
 	if first {
-		// Peers that have just started as well can ask this router now.
+		// Peers that have also just started can now fetch the configuration
+		// from this router.
 		peers, _ := f.receivers()
 		f.mesh.SendEach(peers, f.readingEnvelope(f.mayClaimReading()))
 	}
@@ -135,7 +140,7 @@
 	f.fetchAnnouncedConfig()
 }
 
-// sendCatalogue tells a peer all objects that are held and that it may lack.
+// sendCatalogue sends a peer all objects that it may lack.
 func (f *fleet) sendCatalogue(to state.Router, m *peerpb.CatalogueRequest) {
 	if o, ok := f.catalogue.encodedConfig(m.GetConfigRevision()); ok && o.GetVersion() > m.GetConfigRevision() {
 		o.Answer = true
@@ -150,12 +155,13 @@
 	f.send(to, &peerpb.Envelope{Body: &peerpb.Envelope_CatalogueEnd{CatalogueEnd: end}})
 }
 
-// keySeparator stands between the kind and the name of an object.
+// keySeparator separates the kind and the name in the key of an object.
 const keySeparator = "/"
 
 func objectKey(kind Kind, name string) string { return kind.String() + keySeparator + name }
 
-// parseKey splits the key of an object; it is not ok for one that is malformed.
+// parseKey splits the key of an object into kind and name. ok is false if the
+// key is malformed.
 func parseKey(key string) (kind Kind, name string, ok bool) {
 	kindName, name, ok := strings.Cut(key, keySeparator)
 	if !ok || len(key) > wire.MaxNameBytes {
--- a/transport/edge/observer.go
+++ b/transport/edge/observer.go
@@ -11,16 +11,16 @@
 	"github.com/figstile/figstile/transport/metrics"
 )
 
-// observer turns finished requests into metrics and counts the work.
+// observer records finished requests in the metrics and counts their CPU cost.
 type observer struct {
 	metrics  *metrics.Metrics
 	pressure *pressure
 }
 
 // Decided implements ingress.Observer.
-func (o observer) Decided(r admission.Request, reason admission.Reason, repeat bool) {
+func (o observer) Decided(r admission.Request, reason admission.Reason, retry bool) {
 	o.metrics.CountDecision(r.Service, reason.String())
-	if r.Cost > 0 && !repeat {
+	if r.Cost > 0 && !retry {
 		o.metrics.AddAdmissionCost(r.Workspace, reason.String(), r.Cost)
 	}
 }
--- a/transport/edge/outbox.go
+++ b/transport/edge/outbox.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// maxPrompts bounds the prompts that wait for a link. It is more than a
-	// fleet places between two messages; what is left out, engines are believed
-	// not to hold.
+	// maxPrompts limits the prompts that wait to be sent over a link. It is
+	// more than a fleet places between two messages. The receivers do not know
+	// of further prompts and assume that engines have not cached them.
 	maxPrompts = 2000
-	// maxRefusals bounds the refusals that wait for a link.
+	// maxRefusals limits the refusals that wait to be sent over a link.
 	maxRefusals = 4096
 )
 
-// outbox is what waits to be told over a link.
+// outbox holds the data that waits to be sent over a link.
 type outbox struct {
 	prompts []placement.PlacedPrompt
 	refused []uint32
-	// numbering is of the upstreams that the peer was told of; used by
-	// publishSums alone.
+	// numbering holds the numbers of the upstreams that were sent to the peer.
+	// Only publishLoadSums uses it.
 	numbering upstreamNumbering
-	// sentAt is when the peer was last told anything, summed when it was told all
-	// sums.
+	// sentAt is the time of the last message to the peer, and fullSumsSentAt
+	// that of the last message with all sums.
 	sentAt, fullSumsSentAt time.Time
 }
 
@@ -35,15 +35,16 @@
 	o.refused = append(o.refused, refused[:min(len(refused), maxRefusals-len(o.refused))]...)
 }
 
-// outboxes returns those of all links by peer.
+// outboxes returns a copy of the map of outboxes by peer.
 func (f *fleet) outboxes() map[state.Router]*outbox {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return maps.Clone(f.linkOutboxes)
 }
 
-// enqueue queues prompts and refusals for all links but one. Refusals stay in
-// their data centre, where callers come back.
+// enqueue adds prompts and refusals to the outboxes of all links but one.
+// Refusals are only sent within the data centre, as refused callers retry
+// there.
 func (f *fleet) enqueue(prompts []placement.PlacedPrompt, refused []uint32, except state.Router) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,14 +60,15 @@
 	}
 }
 
-// inSameDataCentre says whether a peer is of this data centre. The caller holds the lock.
+// inSameDataCentre reports whether a peer is in this router's data centre. The
+// caller holds the lock.
 func (f *fleet) inSameDataCentre(router state.Router) bool {
 	dc, ok := f.overlay.DataCentre(router)
 	return ok && dc == f.self.DataCentre
 }
 
-// publishLoadSums tells each link the sums of this side, or what changed of them,
-// with what waits for it.
+// publishLoadSums sends over each link the load sums of this side, or those
+// that changed, together with the content of the outbox.
 func (f *fleet) publishLoadSums(now time.Time) {
 	for router, box := range f.outboxes() {
 		f.mu.Lock()
--- a/transport/edge/pauses.go
+++ b/transport/edge/pauses.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// closedTimer measures how long a router turned away all new connections.
+// closedTimer measures the total time in which a router rejected all new
+// connections because its port was closed.
 type closedTimer struct {
 	mu    sync.Mutex
 	since time.Time
@@ -27,7 +28,7 @@
 	p.since = time.Time{}
 }
 
-// sum returns the time of all pauses, that under way included.
+// sum returns the total closed time, including a period that has not ended.
 func (p *closedTimer) sum(now time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/transport/edge/platform.go
+++ b/transport/edge/platform.go
@@ -11,27 +11,29 @@
 	"github.com/figstile/figstile/transport/ingress"
 )
 
-// Errors of Objects.
+// The errors of an ObjectStore.
 var (
-	// ErrHistoryGone: the changes since a revision are no longer held; list
-	// anew.
-	ErrHistoryExpired = errors.New("edge: the store's history is gone")
-	// ErrUnavailable: the store did nothing, or its answer did not come.
+	// ErrHistoryExpired reports that the store no longer holds the changes
+	// since a revision. The caller has to list all objects again.
+	ErrHistoryExpired = errors.New("edge: the store's history has expired")
+	// ErrUnavailable reports that the store did not perform a call or that its
+	// answer was lost.
 	ErrUnavailable = errors.New("edge: the store is unavailable")
 )
 
-// Kind names a group of objects of the store.
+// Kind is the kind of an object in the store.
 type Kind uint8
 
-// The kinds that a router follows.
+// The kinds of objects that a router follows.
 const (
-	// KindConfig holds the operators' configuration, one object.
+	// KindConfig is the kind of the operators' configuration, a single object.
 	KindConfig Kind = iota
-	// KindUpstream holds one object for each upstream.
+	// KindUpstream is the kind of the upstreams' entries, one object per
+	// upstream.
 	KindUpstream
 )
 
-// String returns the kind's name in logs and between peers.
+// String returns the kind's name in log lines and in messages between routers.
 func (k Kind) String() string {
 	if k == KindConfig {
 		return "config"
@@ -42,64 +44,68 @@
 // Object is one object of the store.
 type Object struct {
 	Name string
-	// Revision of its last change.
+	// Revision is the store's revision of the last change.
 	Revision uint64
-	// Removed is set in events for objects that are gone.
+	// Removed is set in change events for objects that were removed.
 	Removed bool
-	// Spec is what its writer said, encoded.
+	// Spec is the encoded content.
 	Spec []byte
 }
 
-// ObjectStore is the store.
+// ObjectStore is the interface of the platform's store.
 type ObjectStore interface {
-	// List returns all objects of a kind and the revision they were read at.
+	// List returns all objects of a kind and the revision at which they were
+	// read.
 	List(ctx context.Context, kind Kind) ([]Object, uint64, error)
-	// Watch waits for changes after a revision, at most for wait, and returns
-	// them with the revision to go on from.
+	// Watch waits up to wait for changes after a revision. It returns the
+	// changes and the revision from which to continue.
 	Watch(ctx context.Context, kind Kind, after uint64, wait time.Duration) ([]Object, uint64, error)
 }
 
-// Platform is the store with its formats.
+// Platform is the store together with its formats.
 type Platform interface {
 	ObjectStore
 	ingress.Dialect
-	// DecodeConfig reads a configuration. It calls yield between parts of a
-	// large one. It is not called concurrently.
+	// DecodeConfig decodes a configuration. It calls yield between the parts of
+	// a large one. It is not called concurrently.
 	DecodeConfig(spec []byte, yield func()) (routing.Config, error)
-	// DecodeUpstream reads what an upstream says of itself. Its error means
-	// that the object names no upstream to use.
+	// DecodeUpstream decodes an upstream's entry. It returns an error if the
+	// entry does not describe a usable upstream.
 	DecodeUpstream(name string, spec []byte) (directory.Upstream, error)
 }
 
-// Addresses are where a router listens.
+// Addresses are the addresses that a router listens on.
 type Addresses struct {
-	// Callers, Ready and Peers are for callers, for the question whether the
-	// router is ready, and for other routers.
+	// Callers is the address for callers, Ready that for readiness probes, and
+	// Peers that for other routers.
 	Callers, Ready, Peers string
-	// Metrics is for the router's figures; empty serves none.
+	// Metrics is the address of the metrics endpoint. If empty, no metrics are
+	// served.
 	Metrics string
 }
 
-// Settings are a router's settings as its platform gives them.
+// Settings are a router's settings, as read by its platform.
 type Settings struct {
 	Router     state.Router
 	DataCentre state.DataCentre
 	Addresses  Addresses
-	// Seeds are peer addresses to join through.
+	// Seeds are the addresses of peers through which the router joins the
+	// fleet.
 	Seeds []string
 	// FirstStart is set if the whole fleet starts for the first time, some
-	// seconds before its callers come.
+	// seconds before its callers.
 	FirstStart bool
-	// MemoryBytes is what the process may use; 0 if not limited.
+	// MemoryBytes is the memory limit of the process; 0 means no limit.
 	MemoryBytes int64
-	// MaxFiles is the number of descriptors the process may open; 0 if not
-	// limited.
+	// MaxFiles is the maximum number of open file descriptors; 0 means no
+	// limit.
 	MaxFiles int
-	// CPUCores is the VM's share in cores; 0 if not limited.
+	// CPUCores is the VM's CPU share in cores; 0 means no limit.
 	CPUCores float64
-	// GracePeriod is how long a stop may take.
+	// GracePeriod is the longest time that a stop may take.
 	GracePeriod time.Duration
-	// Retries bound repeats over the fleet.
+	// RetryRatio, RetrySlack and RetryWindow limit the retries of the whole
+	// fleet.
 	RetryRatio, RetrySlack float64
 	RetryWindow            time.Duration
 }
--- a/transport/edge/pressure.go
+++ b/transport/edge/pressure.go
@@ -11,80 +11,91 @@
 	"github.com/figstile/figstile/coordination/workload"
 )
 
-// Balancers choose a router by a hash of the caller, so that one router may
-// get ten times as much as the next. It holds two descriptors for each running
-// request and has a small part of a core. The parts below are of the
-// descriptors that the process may open.
+// Load balancers choose a router by a hash of the caller, so one router may get
+// ten times the load of another. A router uses two descriptors for each running
+// request and has a fraction of a core. The file shares below compare the
+// number of open connections with the number of descriptors that the process
+// may open, less reservedFiles.
 const (
-	// closeCallersFileShare is how many callers' connections there may be before
-	// answers ask to close them. Connections that callers leave idle would take
-	// the descriptors, and new callers wait for their opening packet to be sent
-	// again.
+	// closeCallersFileShare is the share of the descriptors used by callers'
+	// connections above which answers ask callers to close them. Otherwise idle
+	// connections use up the descriptors, and new callers wait until their SYN
+	// packet is sent again.
 	closeCallersFileShare = 0.25
-	// notReadyFileShare is how many connections of all kinds there may be before the
-	// router says that it is not ready, so that new callers go to others, and
-	// calmShare how few there must be before it is ready again.
+	// notReadyFileShare is the share of the descriptors used by all connections
+	// above which the router reports not ready, so that new callers use other
+	// routers. It becomes ready again at readyFileShare.
 	notReadyFileShare = 0.5
 	readyFileShare    = 0.4
-	// refuseFileShare is how many there may be before requests are refused. At the
-	// limit itself neither callers nor upstreams get connections, and callers
-	// wait in vain for seconds.
+	// refuseFileShare is the share of the descriptors used by all connections
+	// above which requests are refused. Without free descriptors neither
+	// callers nor upstreams can be connected, and callers wait in vain for
+	// seconds.
 	refuseFileShare = 0.85
-	// reservedFiles are descriptors that are not for sockets.
+	// reservedFiles is the number of descriptors that are not used for
+	// connections.
 	reservedFiles = 200
-	// notReadyCPUShare is the part of the VM's processor share that relaying may
-	// be expected to take before the router counts as busy, and calmProcessor
-	// what it must fall to. Streams that run on hold the load for seconds after
-	// new callers have gone elsewhere.
+	// notReadyCPUShare is the fraction of the VM's CPU share above which the
+	// expected CPU use for callers makes the router report not ready. It
+	// recovers at readyCPUShare. Running streams keep up the load for seconds
+	// after new callers have gone elsewhere.
 	notReadyCPUShare = 0.55
 	readyCPUShare    = 0.4
-	// refuseCPUShare is the part from which requests are refused, to come back
-	// at once: their callers then reach another router, and the requests that
-	// run here are not late.
+	// refuseCPUShare is the fraction of the CPU share above which the expected
+	// CPU use for relaying makes the router refuse requests with an immediate
+	// retry. The callers then reach another router, and the requests running
+	// here are not delayed.
 	refuseCPUShare = 0.85
-	// nearCapacityCPUShare is the same for workspaces that have had their fair
-	// shares, so that others whose callers meet the same router are served.
+	// nearCapacityCPUShare is the same for workspaces that have used their fair
+	// shares, so that other workspaces with callers at this router are still
+	// served.
 	nearCapacityCPUShare = 0.75
-	// nearCapacityBudget is the part of the burst of processor time from which what is
-	// left is kept for them as well.
+	// nearCapacityBudget is the fraction of the CPU budget's burst that is
+	// reserved for those other workspaces as well.
 	nearCapacityBudget = 0.25
-	// reopenBudget is the part of it that has to be left before a router that turned
-	// callers away takes them on again.
+	// reopenBudget is the fraction of the CPU budget's burst that must be
+	// available before a router with a closed port accepts callers again.
 	reopenBudget = 0.25
-	// notReadyClosedShare is the part of the time, on average over some rounds, in which
-	// callers are turned away from which the router counts as busy, and calmPaused
-	// what it must fall to.
+	// notReadyClosedShare is the fraction of time with a closed port, averaged
+	// over some ticks, above which the router reports not ready. It recovers at
+	// readyClosedShare.
 	notReadyClosedShare = 0.1
 	readyClosedShare    = 0.05
-	// refuseReadDelay is how late requests may be read before callers are turned away.
+	// refuseReadDelay is the delay between accepting a connection and reading
+	// its request above which callers are turned away.
 	refuseReadDelay = 150 * time.Millisecond
-	// notReadyTickLag is the lateness of a periodic task, on average over some
-	// rounds, from which the processor counts as overloaded.
+	// notReadyTickLag is the delay of the periodic task, averaged over some
+	// ticks, above which the CPU counts as overloaded. The router recovers at
+	// half of it.
 	notReadyTickLag = 120 * time.Millisecond
-	// smoothingWeight is the weight of one round.
+	// smoothingWeight is the weight of one tick in these averages.
 	smoothingWeight = 0.2
 )
 
-// pressure tells how near the process is to its limits.
+// pressure tracks how close the process is to its limits on descriptors and
+// CPU.
 type pressure struct {
 	fileLimit     float64
 	callerConns   atomic.Int64
 	upstreamConns atomic.Int64
 	overloaded    atomic.Bool
 	notReady      readinessBackoff
-	// tickLag is the average lateness; only the periodic task writes it.
+	// tickLag is the average delay of the periodic task in nanoseconds. Only
+	// that task writes it.
 	tickLag atomic.Int64
 	now     func() time.Time
-	// cpuEstimate estimates the processor's use, budget bounds what is taken on.
+	// cpuEstimate estimates the CPU use. cpuBudget limits the work that is
+	// accepted.
 	cpuEstimate *workload.Estimator
 	cpuBudget   *workload.CPUBudget
-	// portClosed is how long new connections were turned away, pausedBefore the same by
-	// the last round; only the periodic task uses the latter.
+	// portClosed measures how long the port was closed. portClosedBefore is its
+	// sum at the last tick; only the periodic task uses it.
 	portClosed       closedTimer
 	portClosedBefore time.Duration
-	// portClosedShare is the average part of the time; only the periodic task uses it.
+	// portClosedShare is the average fraction of time for which the port was
+	// closed. Only the periodic task uses it.
 	portClosedShare float64
-	// readDelay measures how late requests are read.
+	// readDelay measures how long requests wait before they are read.
 	readDelay *readDelayTracker
 }
 
@@ -110,13 +121,14 @@
 	p.cpuBudget.ChargeStream(p.now())
 }
 
-// countRefusal counts a request that is refused.
+// countRefusal counts a refused request.
 func (p *pressure) countRefusal() {
 	p.cpuEstimate.AddRefusal()
 	p.cpuBudget.ChargeRefusal(p.now())
 }
 
-// countStreamEnd counts a stream that ended; events is 0 if it was not answered whole.
+// countStreamEnd counts the end of a stream. events is 0 if the stream was not
+// answered completely.
 func (p *pressure) countStreamEnd(emitting bool, events int) {
 	p.cpuEstimate.StreamEnded(emitting)
 	if events > 0 {
@@ -124,10 +136,11 @@
 	}
 }
 
-// countUnsentStream notes that a stream's upstream did not take it.
+// countUnsentStream refunds the cost of a stream that its upstream did not
+// accept.
 func (p *pressure) countUnsentStream() { p.cpuBudget.RefundStream(p.now()) }
 
-// connStateChanged is the callers' server's hook on the state of connections.
+// connStateChanged is the ConnState hook of the callers' server.
 func (p *pressure) connStateChanged(conn net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -141,7 +154,7 @@
 	}
 }
 
-// dial counts the connections that a dialer opens.
+// dial returns a dial function that counts the open connections.
 func (p *pressure) dial(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
@@ -153,7 +166,7 @@
 	}
 }
 
-// countedConn tells once that it was closed.
+// countedConn is a connection that calls onClose once when it is closed.
 type countedConn struct {
 	net.Conn
 	onClose func()
@@ -172,24 +185,27 @@
 
 func (p *pressure) openConns() int64 { return p.callerConns.Load() + p.upstreamConns.Load() }
 
-// Crowded says whether callers should close their connections.
+// shouldCloseCallers reports whether answers should ask callers to close their
+// connections.
 func (p *pressure) shouldCloseCallers() bool {
 	return p.overloaded.Load() || p.exceedsFileShare(p.callerConns.Load(), closeCallersFileShare)
 }
 
-// atCapacity says whether there is no room for another request.
+// atCapacity reports whether the router has no capacity for another request.
 func (p *pressure) atCapacity() bool {
 	return p.cpuBudget.RemainingFraction(p.now()) < 0 || p.cpuEstimate.ExpectedRelayLoad() > refuseCPUShare || p.exceedsFileShare(p.openConns(), refuseFileShare) || p.readDelay.backlogDelay() > refuseReadDelay
 }
 
-// nearCapacity says whether there is little room left.
+// nearCapacity reports whether the remaining capacity is reserved for
+// workspaces below their fair shares.
 func (p *pressure) nearCapacity() bool {
 	return p.cpuEstimate.ExpectedRelayLoad() > nearCapacityCPUShare || p.cpuBudget.RemainingFraction(p.now()) < nearCapacityBudget
 }
 
-// admitConn says whether a new connection is taken on; else it is to be closed unread.
-// To read a request only to refuse it takes a good part of what relaying one does,
-// and the streams that were admitted would wait behind it.
+// admitConn reports whether a new connection is accepted. If not, it must be
+// closed without reading from it. Reading a request only to refuse it takes a
+// large part of the CPU time that relaying it would take, and delays the
+// streams that were admitted.
 func (p *pressure) admitConn() bool {
 	if !p.cpuBudget.Bounded() {
 		return true
@@ -202,8 +218,9 @@
 	return false
 }
 
-// canReopen says whether a router that turned callers away takes them on again:
-// for more than one at a time, since each change takes system calls.
+// canReopen reports whether a router with a closed port has capacity again. It
+// requires capacity for several connections, since each change of the port
+// takes system calls.
 func (p *pressure) canReopen() bool {
 	if !p.cpuBudget.Bounded() {
 		return true
@@ -211,8 +228,9 @@
 	return !p.atCapacity() && p.cpuBudget.RemainingFraction(p.now()) >= reopenBudget
 }
 
-// observe takes how late a periodic task ran and how long after the last time,
-// and says whether the router became busy or calm.
+// observe runs on each tick. lateness is the tick's delay and interval the time
+// since the last tick. It reports whether the router is overloaded, and whether
+// that changed.
 func (p *pressure) observe(lateness, interval time.Duration) (overloaded, changed bool) {
 	lag := p.tickLag.Load()
 	lag += int64(smoothingWeight * float64(int64(lateness)-lag))
@@ -231,7 +249,8 @@
 	return overloaded, overloaded != wasOverloaded
 }
 
-// observeClosedTime takes for how much of a round callers were turned away.
+// observeClosedTime updates the average fraction of time for which the port was
+// closed.
 func (p *pressure) observeClosedTime(interval time.Duration) {
 	closedTotal := p.portClosed.sum(p.now())
 	if interval > 0 {
@@ -241,5 +260,5 @@
 	p.portClosedBefore = closedTotal
 }
 
-// acceptsNewCallers says whether new callers may come.
+// acceptsNewCallers reports whether load balancers may send new callers.
 func (p *pressure) acceptsNewCallers() bool { return !p.overloaded.Load() && !p.notReady.active.Load() }
--- a/transport/edge/pressure_test.go
+++ b/transport/edge/pressure_test.go
@@ -9,12 +9,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// frozen is the time of tests in which none passes.
+// frozen is the clock of tests in which no time passes.
 func frozen() time.Time { return time.Unix(1000, 0) }
 
-// Balancers send one router most callers of a data centre. Before it runs out
-// of descriptors it has to ask callers to close, then to go elsewhere, and in
-// the end refuse; with fewer it takes callers again.
+// Load balancers send most callers of a data centre to one router. Before it
+// runs out of descriptors it has to ask callers to close connections, then to
+// report not ready, and finally to refuse requests. With fewer connections it
+// recovers.
 func TestPressureByDescriptors(t *testing.T) {
 	p := newPressure(1000+reservedFiles, 0, frozen)
 	open := func(n int) {
@@ -36,7 +37,7 @@
 	require.True(t, p.atCapacity())
 	p.upstreamConns.Add(-500)
 	overloaded, _ = p.observe(0, tickInterval)
-	require.True(t, overloaded, "not calm yet")
+	require.True(t, overloaded, "above the recovery limit")
 	p.upstreamConns.Add(-100)
 	overloaded, changed = p.observe(0, tickInterval)
 	require.True(t, !overloaded && changed)
@@ -56,7 +57,7 @@
 		p.observe(0, tickInterval)
 	}
 	require.False(t, p.overloaded.Load())
-	require.False(t, p.atCapacity(), "no limit of descriptors is known")
+	require.False(t, p.atCapacity(), "no descriptor limit is set")
 }
 
 func TestCountedConnCountsOnce(t *testing.T) {
@@ -69,8 +70,8 @@
 	require.Equal(t, 1, closed)
 }
 
-// A small VM gets most callers of its data centre. Its timers still fire in
-// time while its part of a core is used up and requests wait in its sockets.
+// A small VM gets most callers of its data centre. Its timers still fire on
+// time although its CPU share is used up and requests wait in its sockets.
 func TestPressureByCPUUse(t *testing.T) {
 	p := newPressure(0, 0.2, frozen)
 	relay := func(perSecond int) {
@@ -93,7 +94,7 @@
 	require.True(t, p.atCapacity())
 	relay(3800)
 	require.False(t, p.atCapacity())
-	require.True(t, p.overloaded.Load(), "not calm yet")
+	require.True(t, p.overloaded.Load(), "above the recovery limit")
 	relay(2500)
 	require.False(t, p.overloaded.Load())
 }
--- a/transport/edge/prober.go
+++ b/transport/edge/prober.go
@@ -9,13 +9,13 @@
 	"github.com/figstile/figstile/transport/pause"
 )
 
-// probeInterval is the pause between rounds of probes. A partition that heals
-// is noticed within it; a probe is one connection, made while the upstream
-// gets no requests.
+// probeInterval is the pause between two rounds of probes. The end of a
+// partition is noticed within it. A probe opens one connection while the
+// upstream gets no requests.
 const probeInterval = 400 * time.Millisecond
 
-// probeUnreachable finds out which unreachable upstreams can be reached again, so that no
-// request has to be the one that tries.
+// probeUnreachable detects which unreachable upstreams can be connected to
+// again, so that no request has to try them.
 func (r *Router) probeUnreachable(ctx context.Context) {
 	dialer := NewDialer()
 	for pause.For(ctx, probeInterval) == nil {
--- a/transport/edge/publish.go
+++ b/transport/edge/publish.go
@@ -10,11 +10,13 @@
 	"github.com/figstile/figstile/state"
 )
 
-// run tells peers of loads and spending until the context ends.
+// run sends loads and workspace usage to peers and runs the fleet's periodic
+// task until the context ends.
 func (f *fleet) run(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	// urgent fires when a long prompt has waited its gap.
+	// urgent fires when the minimum gap for a report of a long prompt has
+	// passed.
 	urgent := time.NewTimer(time.Hour)
 	urgent.Stop()
 	defer urgent.Stop()
@@ -51,14 +53,15 @@
 	return max(minUrgentGap, time.Duration(len(peers))*urgentGapPerLink)
 }
 
-// publishConfirmedRemovals tells peers of upstreams that are gone after it was in doubt.
+// publishConfirmedRemovals sends removals of upstreams to peers that were
+// pending and are now confirmed.
 func (f *fleet) publishConfirmedRemovals() {
 	if removed := f.catalogue.confirmDueRemovals(); len(removed) > 0 {
 		f.publishObjects(KindUpstream, removed)
 	}
 }
 
-// publishTimes are when peers were last told of what.
+// publishTimes records when each kind of report was last sent to peers.
 type publishTimes struct {
 	readingSent    bool
 	readingSentAt  time.Time
@@ -66,7 +69,7 @@
 	spendingSentAt time.Time
 }
 
-// publishDue tells peers what is due.
+// publishDue sends the reports that are due.
 func (f *fleet) publishDue(last *publishTimes) {
 	now := f.now()
 	f.publishReading(now, last)
@@ -79,8 +82,8 @@
 	}
 }
 
-// publishReading tells all peers that this router follows the store, and once
-// that it no longer does.
+// publishReading announces to all peers that this router follows the store, and
+// once when it no longer does.
 func (f *fleet) publishReading(now time.Time, last *publishTimes) {
 	reading := f.mayClaimReading()
 	if reading == last.readingSent && (!reading || now.Sub(last.readingSentAt) < heartbeatInterval) {
@@ -93,8 +96,8 @@
 	f.mesh.SendEach(peers, env)
 }
 
-// publishLoads tells what has changed, or after a while that nothing has, and
-// returns when peers were last told.
+// publishLoads sends changed loads, or a heartbeat if nothing has changed for
+// heartbeatInterval. It returns the time of the last message to peers.
 func (f *fleet) publishLoads(now, last time.Time) time.Time {
 	placed, refused := f.dispatcher.takePlacedPrompts(), f.dispatcher.takeRefusedRequests()
 	peers, tree := f.receivers()
@@ -128,7 +131,8 @@
 	}
 }
 
-// sendLostRequest tells peers of a request under which an upstream fell.
+// sendLostRequest reports a request to peers that was running when an
+// upstream's run ended.
 func (f *fleet) sendLostRequest(fingerprint state.Fingerprint, run quarantine.Run) {
 	peers, _ := f.receivers()
 	f.mesh.SendEach(peers, &peerpb.Envelope{Body: &peerpb.Envelope_Crash{Crash: &peerpb.Crash{
--- a/transport/edge/readers.go
+++ b/transport/edge/readers.go
@@ -10,36 +10,42 @@
 )
 
 const (
-	// targetReaders is how many routers follow the store for all. Three are lost
-	// at once only if a data centre falls together with another VM.
+	// targetReaders is the number of routers that read the store for the whole
+	// fleet. Three are only lost at once if a data centre fails together with
+	// another VM.
 	targetReaders = 3
-	// eagerReaders is how many routers, by name, step in where readers are
-	// missing, and aloneFor how long nobody may read before all others do.
+	// eagerReaders is the number of routers, in order of their names, that
+	// start to read the store if there are fewer than targetReaders.
+	// noReaderTimeout is the time without any reader after which all other
+	// routers start to read it too.
 	eagerReaders    = 2 * targetReaders
 	noReaderTimeout = 500 * time.Millisecond
-	// firstStartReadDelay is how long a router leaves it to the seeds to read the
-	// store when the whole fleet starts for the first time, and waits for a
-	// peer to tell it what they read, so that a large fleet does not exceed the
-	// store's rate at its start. Balancers ask for readiness once a second.
+	// firstStartReadDelay is the time for which other routers leave reading to
+	// the seeds, and wait for a peer to send the objects, when the whole fleet
+	// starts for the first time. It keeps a large starting fleet below the
+	// store's rate limit. Load balancers probe readiness once a second.
 	firstStartReadDelay = 700 * time.Millisecond
-	// startReadDelay is the same for any other start. Live peers answer within
-	// some ten milliseconds; if the whole fleet has lost power, callers wait
-	// and sessions with seeds that start a moment later take a second.
+	// startReadDelay is the delay for any other start. Live peers answer within
+	// about ten milliseconds. It is short because after a power loss of the
+	// whole fleet callers are waiting, and a session with a seed that starts a
+	// moment later takes a second to open.
 	startReadDelay = 100 * time.Millisecond
-	// nonReaderRetryDelay is the mean pause of the others between two calls to a store
-	// that does not answer.
+	// nonReaderRetryDelay is the mean pause of routers that are not eager
+	// readers between two calls to a store that does not answer.
 	nonReaderRetryDelay = 2500 * time.Millisecond
-	// claimExpiry is the age at which a peer's word that it reads the store
-	// no longer counts: it would have said so ten times since.
+	// claimExpiry is the age at which a peer's claim to read the store expires.
+	// A peer repeats it every heartbeatInterval.
 	claimExpiry = 1200 * time.Millisecond
-	// readingClaimedFor is how long after the store's last answer this router still
-	// says that it reads: a watch may wait for most of it.
+	// readingClaimedFor is the time after the store's last answer for which
+	// this router still claims to read it. A watch call may wait for most of
+	// that time.
 	readingClaimedFor = watchWait + callTimeout
 )
 
-// shouldReadStore says whether this router is to read the store: if it comes early enough
-// by name among the peers that say they do, while too few do and it comes early
-// by name among all, and if for a while nobody does.
+// shouldReadStore reports whether this router has to read the store. A reader
+// continues while fewer than targetReaders claimants precede it by name.
+// Another router starts if there are too few claimants and it is an eager
+// reader, or if there was no claimant for noReaderTimeout.
 func (f *fleet) shouldReadStore() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,8 +66,8 @@
 	return reading
 }
 
-// countReaders counts the peers that say they read the store, and those of them
-// that come before this router by name.
+// countReaders counts the peers that claim to read the store, and those of them
+// that precede this router by name.
 func (f *fleet) countReaders(now time.Time) (before, all int) {
 	for router, claim := range f.readerClaims {
 		if now.Sub(claim.receivedAt) > claimExpiry || !f.isLive(router) {
@@ -76,8 +82,9 @@
 	return before, all
 }
 
-// readersWithOtherUpstreams returns the live peers that read the store and hold other
-// upstreams than this router. One that holds the same has nothing to tell.
+// readersWithOtherUpstreams returns the live peers that read the store and hold
+// other upstreams than this router. Peers that hold the same have no news for
+// it.
 func (f *fleet) readersWithOtherUpstreams(now time.Time, upstreams uint64) []scheduler.Peer {
 	var readers []scheduler.Peer
 	for _, p := range f.livePeers {
@@ -93,9 +100,10 @@
 	return slices.ContainsFunc(f.livePeers, func(p scheduler.Peer) bool { return p.Router == router })
 }
 
-// isEagerReader says whether this router comes early by name among the live ones. When
-// the store is away all routers would call it again and again: on 73 routers
-// that was two thousand calls in six seconds, each of which is paid for.
+// isEagerReader reports whether this router is one of the first live routers by
+// name, or holds no configuration. If every router called an unavailable store
+// again and again, 73 routers would make two thousand calls in six seconds, and
+// each call is billed.
 func (f *fleet) isEagerReader() bool {
 	earlier := 0
 	for _, p := range f.livePeers {
@@ -107,7 +115,7 @@
 }
 
 // retryDelay lengthens the pause after a failed call for routers that are not
-// among the first to read.
+// eager readers.
 func (f *fleet) retryDelay(delay time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/transport/edge/receive.go
+++ b/transport/edge/receive.go
@@ -11,7 +11,7 @@
 	"github.com/figstile/figstile/transport/peer"
 )
 
-// onEnvelope takes a message of a peer.
+// onEnvelope handles a message from a peer.
 func (f *fleet) onEnvelope(from peer.Peer, env *peerpb.Envelope) {
 	f.markAlive(from.Router)
 	switch body := env.GetBody().(type) {
@@ -40,22 +40,22 @@
 	}
 }
 
-// markAlive notes that a link's peer lives.
+// markAlive records that a message was received from a peer.
 func (f *fleet) markAlive(from state.Router) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.overlay.MarkAlive(f.now(), from)
 }
 
-// acceptsLoadFrom says whether what a peer tells of work counts: with links, only what
-// comes over one of them.
+// acceptsLoadFrom reports whether a peer's loads and usage are applied. In a
+// tree, only those received over a link are.
 func (f *fleet) acceptsLoadFrom(from state.Router) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.overlay.TreeMode() || f.linkOutboxes[from] != nil
 }
 
-// onLoads takes what a peer, or all on its side of a link, have at upstreams.
+// onLoads handles the loads of a peer, or of all routers on its side of a link.
 func (f *fleet) onLoads(from state.Router, m *peerpb.Loads) {
 	upstreams := f.extendNames(from, m)
 	loads, loadsOK := upstreams.loads(m)
@@ -76,8 +76,8 @@
 	}
 }
 
-// extendNames returns the upstreams that a peer has numbered, those of a message
-// included.
+// extendNames adds the names in a message to the upstreams that a peer has
+// numbered, and returns all of them.
 func (f *fleet) extendNames(from state.Router, m *peerpb.Loads) upstreamNames {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -85,7 +85,8 @@
 	return f.peerNames[from]
 }
 
-// onSpending takes the counts of a peer, or of all on its side of a link.
+// onSpending handles the workspace usage of a peer, or of all routers on its
+// side of a link.
 func (f *fleet) onSpending(from state.Router, m *peerpb.Spending) {
 	if !f.acceptsLoadFrom(from) || len(m.GetEntries()) > wire.MaxEntries {
 		return
@@ -97,14 +98,15 @@
 	f.dispatcher.receiveSpending(from, usage)
 }
 
-// onCrash takes a peer's word that an upstream broke off under a request.
+// onCrash handles a peer's report of a request that was running when an
+// upstream's run ended.
 func (f *fleet) onCrash(from state.Router, m *peerpb.Crash, env *peerpb.Envelope) {
 	f.dispatcher.receiveLost(state.Fingerprint(m.GetFingerprint()),
 		quarantine.Run{Upstream: state.Upstream(m.GetUpstream()), Boot: m.GetBoot()})
 	f.forward(from, env)
 }
 
-// onReading takes a router's word on whether it follows the store.
+// onReading handles a router's message on whether it reads the store.
 func (f *fleet) onReading(from state.Router, m *peerpb.Reading) {
 	reader := from
 	if m.GetRouter() != "" {
@@ -127,8 +129,8 @@
 	}
 }
 
-// fetchCatalogue asks a peer for all objects if some may be missing here, or
-// upstreams may be gone that are still used.
+// fetchCatalogue requests all objects from a peer if some may be missing here,
+// or if upstreams may have been removed that are still in use.
 func (f *fleet) fetchCatalogue() {
 	pendingRemovals, ownSummary := f.catalogue.hasPendingRemovals(), f.catalogue.contentSummary()
 	f.mu.Lock()
@@ -145,8 +147,8 @@
 	}
 }
 
-// catalogueSources returns the peers that a catalogue can be asked of without others
-// between. The caller holds the lock.
+// catalogueSources returns the peers that can be asked for their catalogue
+// without a relay. The caller holds the lock.
 func (f *fleet) catalogueSources() []scheduler.Peer {
 	if f.overlay.TreeMode() {
 		return f.overlay.Sessions()
@@ -154,9 +156,9 @@
 	return f.livePeers
 }
 
-// onCatalogueEnd takes the end of a peer's answer. A router that has just
-// started may say at once that a thing does not exist, if its configuration
-// comes from one that follows the store.
+// onCatalogueEnd handles the end of a peer's answer. If that peer follows the
+// store, this router's configuration is the newest, and a router that has just
+// started may tell callers at once that something does not exist.
 func (f *fleet) onCatalogueEnd(from state.Router, m *peerpb.CatalogueEnd) {
 	f.mu.Lock()
 	f.catchUp.Answered(f.now(), from, m.GetHolds())
--- a/transport/edge/router.go
+++ b/transport/edge/router.go
@@ -27,30 +27,30 @@
 )
 
 const (
-	// memoryShare of the VM's memory is what Go's runtime aims to stay
-	// within; stacks of the kernel's sockets count on top.
+	// memoryShare is the fraction of the VM's memory that is set as the Go
+	// runtime's memory limit. The kernel's socket buffers come on top of it.
 	memoryShare = 0.7
-	// upstreamKeepIdle is how long an unused connection to an upstream is kept.
-	// It is short, because a request that meets the upstream's own close is
-	// lost with an unknown outcome.
+	// upstreamKeepIdle is how long an idle connection to an upstream is kept.
+	// It is short because a request that crosses the upstream's own close of
+	// the connection is lost with an unknown outcome.
 	upstreamKeepIdle = 2 * time.Second
-	// maxIdlePerUpstream bounds unused connections to one upstream: all routers
-	// share what it accepts.
+	// maxIdlePerUpstream limits the idle connections to one upstream, since all
+	// routers share the connections that it accepts.
 	maxIdlePerUpstream = 8
-	// headerTimeout and headerBytes bound callers' heads before the
-	// configuration's own limit is looked at.
+	// headerTimeout and maxHeaderBytes limit callers' request heads before the
+	// configured limit applies.
 	headerTimeout  = 5 * time.Second
 	maxHeaderBytes = 64 << 10
-	// peerFlushTimeout bounds the end of the sessions with peers at a stop. Little is
-	// left of the grace period by then: beside one peer that does not read, such
-	// as one that stops as well, the process was killed and its last log lines
-	// were lost.
+	// peerFlushTimeout limits the time to close the sessions with peers at a
+	// stop. Little is left of the grace period by then. When one peer did not
+	// read, for example because it was stopping as well, the process was killed
+	// and its last log lines were lost.
 	peerFlushTimeout = 150 * time.Millisecond
-	// fleetName keeps routers apart that talk to different stores.
+	// fleetName separates routers that use different stores.
 	fleetName = "edge"
 )
 
-// Router is one router.
+// Router is a router of the fleet.
 type Router struct {
 	settings    Settings
 	log         zerolog.Logger
@@ -63,8 +63,9 @@
 	handler     *ingress.Handler
 	pressure    *pressure
 	connTracker *conntrack.Tracker
-	// loggedTotals is the work that was told of, pausedBefore the time of pauses; used by
-	// tend alone.
+	// loggedTotals is the work that was logged so far, and loggedClosedTime the
+	// time for which the port was closed until then. Only runHousekeeping uses
+	// them.
 	loggedTotals     workload.Totals
 	loggedClosedTime time.Duration
 
@@ -73,7 +74,7 @@
 	metricsListener net.Listener
 }
 
-// New opens the listeners and wires a router.
+// New creates a router and opens its listeners.
 func New(settings Settings, platform Platform, log zerolog.Logger) (*Router, error) {
 	if settings.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(float64(settings.MemoryBytes) * memoryShare))
@@ -109,8 +110,8 @@
 	return r, nil
 }
 
-// storeReadDelay returns how long a router waits for its peers before it reads the
-// store. Seeds have nobody to wait for.
+// storeReadDelay returns how long a router waits for its peers before it reads
+// the store. Seeds do not wait.
 func storeReadDelay(settings Settings) time.Duration {
 	switch {
 	case len(settings.Seeds) == 0 || slices.Contains(settings.Seeds, settings.Addresses.Peers):
@@ -142,7 +143,7 @@
 	})
 }
 
-// cpuHundredths returns the processor share of the VM in hundredths of a core.
+// cpuHundredths returns the VM's CPU share in hundredths of a core.
 func cpuHundredths(settings Settings) uint32 { return uint32(math.Round(settings.CPUCores * 100)) }
 
 func (r *Router) listen(incarnation state.Incarnation) error {
@@ -202,11 +203,11 @@
 	}
 }
 
-// AddSeeds adds peer addresses that new settings name.
+// AddSeeds adds the addresses of peers that new settings name.
 func (r *Router) AddSeeds(addresses []string) { r.mesh.AddSeeds(addresses) }
 
-// Run serves until the context ends, then finishes what it has within the
-// grace period.
+// Run serves until the context ends, and then finishes running requests within
+// the grace period.
 func (r *Router) Run(ctx context.Context) error {
 	r.log.Info().Str("router", string(r.settings.Router)).Str("data_centre", string(r.settings.DataCentre)).
 		Str("callers", r.settings.Addresses.Callers).Msg("started")
@@ -238,7 +239,7 @@
 	return err
 }
 
-// server is one HTTP server with its open socket.
+// server is an HTTP server with its open listener.
 type server struct {
 	listener net.Listener
 	server   *http.Server
@@ -252,7 +253,7 @@
 	return err
 }
 
-// servers returns the HTTP servers, that of callers first.
+// servers returns the HTTP servers. The callers' server is the first.
 func (r *Router) servers() []server {
 	callers := &http.Server{
 		Handler:           r.handler,
@@ -275,7 +276,8 @@
 	return all
 }
 
-// readinessHandler answers whether new callers are welcome, whatever the path.
+// readinessHandler returns a handler that reports, on any path, whether the
+// router is ready for new callers.
 func (r *Router) readinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !r.dispatcher.ready() {
@@ -285,16 +287,17 @@
 }
 
 const (
-	// stopPollInterval is how often a stop looks at the clock. It counts a VM's
-	// suspension, which a sleep does not.
+	// stopPollInterval is the interval at which a stop checks the clock. The
+	// clock includes the time of a VM's suspension, which a sleep does not.
 	stopPollInterval = 10 * time.Millisecond
-	// minAnswerTime is kept to answer what a stop cuts off, even if the VM was
-	// suspended until its end.
+	// minAnswerTime is the shortest time reserved for answering requests that a
+	// stop cuts off, even if the VM was suspended until the end of the grace
+	// period.
 	minAnswerTime = 100 * time.Millisecond
 )
 
-// stop lets balancers and callers move on, waits for what runs, and answers what
-// has not ended in time.
+// stop gives load balancers and callers time to use other routers, waits for
+// running requests, and answers those that have not ended in time.
 func (r *Router) stop() {
 	r.log.Info().Msg("stopping")
 	drain := r.dispatcher.beginDrain()
--- a/transport/edge/run_test.go
+++ b/transport/edge/run_test.go
@@ -16,25 +16,26 @@
 	"github.com/figstile/figstile/transport/logging"
 )
 
-// signedPlatform takes every answer for an upstream's own.
+// signedPlatform accepts every answer as an upstream's own.
 type signedPlatform struct{ *fakePlatform }
 
 func (signedPlatform) Answer(int, http.Header) ingress.AnswerHead {
 	return ingress.AnswerHead{Signed: true}
 }
 
-// runRouter runs a whole router before one engine, with a route for streams
-// below /a/, until the test ends or stop is called. stop returns once the router
-// has ended, within the grace period.
+// runRouter runs a whole router with one engine and a route for streams below
+// /a/, until the test ends or stop is called. stop returns once the router has
+// stopped, within the grace period.
 func runRouter(tb testing.TB, engine string, slots int, grace time.Duration) (router *Router, stop func()) {
 	tb.Helper()
 	return runRouterWithFiles(tb, engine, slots, grace, testMaxFiles)
 }
 
-// testMaxFiles are more descriptors than any test opens.
+// testMaxFiles is a number of descriptors that no test exceeds.
 const testMaxFiles = 10000
 
-// runRouterWithFiles is runRouter for a process that may open so many descriptors.
+// runRouterWithFiles is runRouter for a process that may open at most maxFiles
+// descriptors.
 func runRouterWithFiles(tb testing.TB, engine string, slots int, grace time.Duration, maxFiles int) (router *Router, stop func()) {
 	tb.Helper()
 	spec, err := json.Marshal(routing.Config{
--- a/transport/edge/stop_test.go
+++ b/transport/edge/stop_test.go
@@ -11,11 +11,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A router stops while an engine still reads a caller's prompt. At the end of
-// the grace period the caller's connection was closed without an answer, so that
-// it could not tell whether the request had run: the server was closed under its
-// handlers. On a day with two stops of each router 3 tries ended so, 7.5 s after
-// a SIGTERM, at "requests cut off at the end of the grace period".
+// A router stops while an engine reads a prompt. At the end of the grace
+// period, 7.5 s after SIGTERM, the server was closed while its handlers ran.
+// Three callers lost their connections without an answer, and so could not tell
+// whether their requests had run on the engine.
 func TestStopAnswersUnfinishedRequests(t *testing.T) {
 	engine, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -40,7 +39,7 @@
 	answer, err := http.ReadResponse(bufio.NewReader(caller), nil)
 	require.NoError(t, err)
 	defer answer.Body.Close()
-	require.Equal(t, http.StatusBadGateway, answer.StatusCode, "it may have run")
+	require.Equal(t, http.StatusBadGateway, answer.StatusCode, "the request may have run")
 	require.Empty(t, answer.Header.Get("Retry-After"))
 	_, err = io.ReadAll(answer.Body)
 	require.NoError(t, err)
