--- a/transport/ingress/admit.go
+++ b/transport/ingress/admit.go
@@ -15,7 +15,8 @@
 	"github.com/figstile/figstile/state/routing"
 )
 
-// admit reads and checks a request. It returns the refusal if it is not ok.
+// admit reads and checks a request. If ok is false, it returns the result of
+// the refusal.
 func (x *exchange) admit() (result.Result, bool) {
 	x.table = x.h.Dispatcher.Table()
 	if x.table == nil {
@@ -40,7 +41,8 @@
 	return result.Result{}, true
 }
 
-// requestHeadBytes is the size of a request's head as its caller sent it.
+// requestHeadBytes returns the size in bytes of a request's head as its caller
+// sent it.
 func requestHeadBytes(r *http.Request) int {
 	const separators = len(": \r\n")
 	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + separators + len("Host") + len(r.Host) + separators
@@ -93,9 +95,10 @@
 	return result.Result{}, true
 }
 
-// unknownResult refuses what the configuration lacks. A router that may have missed
-// a newer configuration cannot say that a thing does not exist; one that says
-// so wrongly turns a caller away for good.
+// unknownResult returns the refusal of a request for a route or key that the
+// configuration does not contain. A router that may lack a newer configuration
+// must not claim that something does not exist: the caller would give up for
+// good.
 func (x *exchange) unknownResult(code result.Code) result.Result {
 	if x.h.Dispatcher.ConfigCurrent() {
 		return result.New(code, "")
@@ -103,7 +106,7 @@
 	return result.New(result.NotReady, "The router may not hold the newest configuration.")
 }
 
-// pickService draws one of a route's services by weight.
+// pickService selects one of a route's services at random by weight.
 func pickService(backends []routing.Backend) state.Service {
 	total := 0
 	for _, b := range backends {
@@ -153,8 +156,9 @@
 	return result.Result{}, true
 }
 
-// checkWorkspaceCapacity refuses a workspace that has had its part while the process has little
-// room left, so that others whose callers share the router are served.
+// checkWorkspaceCapacity refuses a workspace that has used its share while the
+// process is near its capacity, so that other workspaces with callers at this
+// router are still served.
 func (x *exchange) checkWorkspaceCapacity() (result.Result, bool) {
 	if x.h.Dispatcher.AtCapacityFor(x.workspace) {
 		return result.New(result.TooManyRequests, "").WithRetryAfter(admission.OtherRouterRetryAfter), false
@@ -162,7 +166,9 @@
 	return result.Result{}, true
 }
 
-// prepareRequest works out what is decided on, and refuses what is known to do harm.
+// prepareRequest computes the fields that decisions depend on. It refuses
+// requests that crashed upstreams, and requests that arrive too late in a
+// drain.
 func (x *exchange) prepareRequest() (result.Result, bool) {
 	x.fingerprint = x.computeFingerprint()
 	timeout := x.deadline.Sub(x.arrivedAt)
@@ -197,16 +203,17 @@
 	return x.inbound.MaxOutput
 }
 
-// costUnits counts a generation's prompt tokens once and its expected output twice,
-// as engines' throughput is stated. Parts that an engine may still hold count as
-// well: whether they do is luck, and a workspace whose prompts share much would
-// else be given several times what it is owed.
+// costUnits returns the cost of a generation: its prompt tokens once and its
+// expected output tokens twice, the unit in which the throughput of engines is
+// stated. Parts of the prompt that an engine may have cached count as well.
+// Whether they are cached is a matter of chance, and a workspace whose prompts
+// share long prefixes would otherwise receive a multiple of its share.
 func (x *exchange) costUnits() float64 {
 	return float64(x.inbound.PromptTokens + 2*x.expectedOutputTokens())
 }
 
-// computeFingerprint recognises a request that is sent again: same workspace, path and
-// body.
+// computeFingerprint returns a digest of workspace, host, method, path and
+// body, by which a request is recognised when it is sent again.
 func (x *exchange) computeFingerprint() state.Fingerprint {
 	d := xxhash.New()
 	for _, part := range []string{string(x.workspace), x.r.Host, x.r.Method, x.r.RequestURI} {
--- a/transport/ingress/attempt.go
+++ b/transport/ingress/attempt.go
@@ -15,37 +15,41 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// rejectedRetryAfter is when to come back after upstreams that were believed to be
-// free rejected a request: a few requests' time at a plain worker.
+// rejectedRetryAfter is the Retry-After time if upstreams that were expected to
+// be free rejected a request. An application worker runs a few requests in that
+// time.
 const rejectedRetryAfter = 250 * time.Millisecond
 
-// errStalled ends an attempt whose upstream will not answer, so that the
-// request can go to another one.
+// errStalled cancels an attempt that its upstream will not answer, so that the
+// request can be sent to another one.
 var errStalled = errors.New("ingress: the upstream fell silent or passed the request over")
 
-// attemptStatus says what became of a request at one upstream.
+// attemptStatus is the outcome of a request at one upstream.
 type attemptStatus uint8
 
 const (
-	// fateDelivered: the caller has its final answer, or has left.
+	// attemptDelivered means that the caller has received its final answer, or
+	// has disconnected.
 	attemptDelivered attemptStatus = iota
-	// fateUnsent: nothing reached the upstream.
+	// attemptNotSent means that nothing was sent to the upstream.
 	attemptNotSent
-	// fateNotRun: the upstream says that it did not run the request.
+	// attemptNotRun means that the upstream has stated that it did not run the
+	// request.
 	attemptNotRun
-	// fateFailed: the upstream failed, or its answer broke; it may have run.
+	// attemptFailed means that the upstream failed or its answer broke off. The
+	// request may have run.
 	attemptFailed
 )
 
-// attemptEnd is the end of one attempt.
+// attemptEnd describes the end of one attempt.
 type attemptEnd struct {
 	status attemptStatus
-	// res is the final result if delivered, else the one to give if nothing
-	// better can be done.
+	// res is the final result if the answer was delivered. Otherwise it is the
+	// result to use if no further attempt succeeds.
 	res result.Result
 }
 
-// dispatch sends the request until it has its final answer.
+// dispatch sends the request to upstreams until it has a final answer.
 func (x *exchange) dispatch(ctx context.Context) result.Result {
 	notSent := 0
 	for {
@@ -79,7 +83,7 @@
 	}
 }
 
-// mayRetry says whether the request may go to another upstream.
+// mayRetry reports whether the request may be sent to another upstream.
 func (x *exchange) mayRetry(end attemptEnd) bool {
 	switch {
 	case end.status == attemptNotSent:
@@ -93,7 +97,7 @@
 	}
 }
 
-// refusal maps a verdict to its result.
+// refusal returns the result for a verdict that does not admit a request.
 func refusal(v admission.Verdict) result.Result {
 	code := result.Overloaded
 	switch v.Reason {
@@ -107,7 +111,8 @@
 	return result.New(code, "").WithRetryAfter(v.RetryAfter)
 }
 
-// finalResult is the result of a request that goes to no further upstream.
+// finalResult returns the result of a request that is not sent to a further
+// upstream.
 func (x *exchange) finalResult(ctx context.Context, end attemptEnd) result.Result {
 	switch {
 	case ctx.Err() == nil:
@@ -123,9 +128,9 @@
 	}
 }
 
-// answerFinal gives the caller its final answer: an upstream's own failure if there
-// is one, else the router's. Once an upstream may have run the request, no
-// answer says that it did not.
+// answerFinal sends the caller its final answer: an upstream's own error answer
+// if there is one, otherwise the router's. Once an upstream may have run the
+// request, no answer claims that it did not run.
 func (x *exchange) answerFinal(res result.Result) result.Result {
 	if x.fallback != nil && !x.headSent {
 		return x.deliver(x.fallback)
@@ -143,8 +148,8 @@
 	x.h.Dispatcher.OnStall(ticket, func() { cancel(errStalled) })
 	var end attemptEnd
 	outcome := placement.Withdrawn
-	// A ticket that did not end would count as load for good, so it ends even
-	// if handling the answer panics.
+	// A ticket that is not ended would count as load forever, so it is ended
+	// even if handling the answer panics.
 	defer func() { x.h.Dispatcher.End(ticket, outcome) }()
 	end, outcome = x.sendAttempt(inner, ticket)
 	x.retryPaid = x.headSent && errors.Is(context.Cause(inner), errStalled)
@@ -192,7 +197,7 @@
 	}
 }
 
-// buildAttempt builds the attempt for an upstream.
+// buildAttempt builds the request that is sent to an upstream.
 func (x *exchange) buildAttempt(now time.Time, ticket *placement.Ticket) upstream.Attempt {
 	header := make(http.Header, len(x.r.Header)+4)
 	endtoend.Copy(header, x.r.Header)
@@ -213,7 +218,8 @@
 	}
 }
 
-// classifySendError classifies an attempt without an answer.
+// classifySendError returns the end and the outcome of an attempt without an
+// answer.
 func (x *exchange) classifySendError(err error, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
 	if upstream.StageOf(err) == upstream.StageNotSent {
 		return attemptEnd{attemptNotSent, result.New(result.NoUpstream, err.Error()).WithRetryAfter(rejectedRetryAfter)}, placement.Unconnected
@@ -222,8 +228,8 @@
 	return attemptEnd{attemptFailed, result.New(result.UpstreamLost, err.Error())}, placement.Broken
 }
 
-// reportLost notes a request whose upstream went away under it, unless the router
-// itself ended the attempt.
+// reportLost reports a request whose upstream's connection broke, unless the
+// router itself ended the attempt.
 func (x *exchange) reportLost(err error, ticket *placement.Ticket) {
 	if errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded) || errors.Is(err, upstream.ErrCrossed) || errors.Is(err, errStalled) {
 		return
--- a/transport/ingress/bench_test.go
+++ b/transport/ingress/bench_test.go
@@ -18,12 +18,12 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// benchEvents is the length of a usual stream of the large deployments.
+// benchEvents is the number of events of a typical stream in large deployments.
 const benchEvents = 60
 
-// BenchmarkStream measures a whole stream through the handler; the upstream
-// and the caller are plain loops over sockets, so that most of the time is the
-// router's: 0.36 ms for a request of sixty events, most of it system calls.
+// BenchmarkStream relays a whole stream through the handler. The upstream and
+// the caller are plain loops over sockets, so most of the time is the router's:
+// about 0.36 ms for a request of sixty events, most of it in system calls.
 func BenchmarkStream(b *testing.B) {
 	address := startRawEngine(b)
 	dispatcher := newScriptedDispatcher(benchTable())
@@ -59,8 +59,8 @@
 	})
 }
 
-// startRawEngine answers each request with a stream whose events are written
-// one by one.
+// startRawEngine starts an engine that answers each request with a stream and
+// writes its events one by one.
 func startRawEngine(b *testing.B) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(b, err)
--- a/transport/ingress/dispatcher.go
+++ b/transport/ingress/dispatcher.go
@@ -10,44 +10,50 @@
 	"github.com/figstile/figstile/state/routing"
 )
 
-// Dispatcher makes the decisions on requests. It is safe for concurrent use and does
-// not block.
+// Dispatcher makes the decisions on requests. It is safe for concurrent use and
+// does not block.
 type Dispatcher interface {
-	// Table returns the routes in force, nil before there are any.
+	// Table returns the current routes, or nil if none were received yet.
 	Table() *routing.Table
-	// ConfigCurrent says whether the routes are known to be the newest, so that
-	// what they lack does not exist.
+	// ConfigCurrent reports whether the routes are known to be the newest. Then
+	// a route or key that they do not contain does not exist.
 	ConfigCurrent() bool
-	// Admit decides on a request. Repeat is set for a request that was sent
-	// before: it counts once. The ticket is nil unless the verdict admits, and
-	// must be ended.
-	Admit(r admission.Request, repeat bool) (admission.Verdict, *placement.Ticket)
-	// OnStall lets the dispatcher end an attempt whose answer will not come. If the
-	// caller has the beginning of the answer, the dispatcher has spent a repeat on
-	// it then.
-	OnStall(t *placement.Ticket, giveUp func())
-	// ReportOutput notes that a part of an answer came; first is set for the first
-	// event of a stream.
+	// Admit decides on a request. retry is set for a request that was sent
+	// before, since a request counts only once. The ticket is nil unless the
+	// verdict admits the request, and must be ended with End.
+	Admit(r admission.Request, retry bool) (admission.Verdict, *placement.Ticket)
+	// OnStall sets the function that the dispatcher calls to cancel an attempt
+	// that it does not expect to be answered. If the caller has already
+	// received a part of the answer, the dispatcher has then spent a retry for
+	// it.
+	OnStall(t *placement.Ticket, cancel func())
+	// ReportOutput reports that a part of an answer was received. first is set
+	// for the first event of a stream.
 	ReportOutput(t *placement.Ticket, first bool)
-	// End ends a ticket.
+	// End ends the attempt of a ticket with its outcome.
 	End(t *placement.Ticket, outcome placement.Outcome)
-	// SpendRetry spends one repeat of a service's budget, if it has one.
+	// SpendRetry spends one retry of a service's budget and reports whether one
+	// was available.
 	SpendRetry(service state.Service) bool
-	// ElapsedSinceFirst returns how long ago the caller first sent a request, as far as
-	// it was refused since.
+	// ElapsedSinceFirst returns the time since the caller first sent this
+	// request, if it was refused then, or 0.
 	ElapsedSinceFirst(f state.Fingerprint) time.Duration
-	// Quarantined says whether a request has taken down upstreams and must not
+	// Quarantined reports whether a request has crashed upstreams and must not
 	// run again.
 	Quarantined(f state.Fingerprint) bool
-	// ReportLost notes that an upstream broke off while it ran a request.
+	// ReportLost reports that the connection to an upstream broke while it ran
+	// a request.
 	ReportLost(f state.Fingerprint, t *placement.Ticket)
-	// ReportServed notes that a request was answered whole.
+	// ReportServed reports that a request was answered completely.
 	ReportServed(f state.Fingerprint)
-	// Drain returns the course of the stop, zero until the router is told to.
+	// Drain returns the state of the router's stop. It is the zero value until
+	// the router is told to stop.
 	Drain() drain.Drain
-	// AtCapacity says whether the process has no room for another request.
+	// AtCapacity reports whether the process has no capacity for another
+	// request.
 	AtCapacity() bool
-	// AtCapacityFor says whether the process has so little room that what is left is
-	// for workspaces that are short of their shares, and this one is not.
+	// AtCapacityFor reports whether the remaining capacity of the process is
+	// reserved for workspaces below their shares, and this workspace has used
+	// its share.
 	AtCapacityFor(workspace state.Workspace) bool
 }
--- a/transport/ingress/doc.go
+++ b/transport/ingress/doc.go
@@ -1,13 +1,14 @@
 // Package ingress serves callers that reach upstreams through routes: by host
 // and path, with keys of workspaces, deadlines and attempts. It admits each
-// request, sends it to one upstream, and gives the caller the whole answer or
-// a truthful account of why not.
+// request, sends it to one upstream, and returns the complete answer to the
+// caller, or an error that correctly states whether the request ran.
 //
-// What runs at most once is decided here: a request that may have reached an
-// upstream is only sent again if its route says that it may be repeated, and
-// a refusal that promises "not run" is only given while nothing was sent, or
-// every upstream it was sent to has said that it did not run it.
+// This package ensures that requests which must run at most once do so. A
+// request that may have reached an upstream is only sent again if its route
+// allows repeating it. A refusal only states that the request did not run if
+// nothing was sent, or if every upstream that received it has stated that it
+// did not run it.
 //
-// How messages spell what is decided on is a Dialect's business; the decisions
-// on placing and admitting are a Dispatcher's.
+// A Dialect translates the headers of messages into the fields that decisions
+// depend on. A Dispatcher decides on admission and on the upstream.
 package ingress
--- a/transport/ingress/events.go
+++ b/transport/ingress/events.go
@@ -2,19 +2,19 @@
 
 import "bytes"
 
-// eventSplitter cuts a stream of events at the empty lines that end them.
+// eventSplitter splits a stream into events at the empty lines that end them.
 type eventSplitter struct {
-	// partial is the beginning of an event whose end has not come.
+	// partial is the beginning of an event whose end was not received yet.
 	partial []byte
-	// complete is what the last call returned; reused.
+	// complete is the result of the last call of add. Its memory is reused.
 	complete []byte
-	// lastID is the id of the last whole event, empty before the first.
+	// lastID is the id of the last complete event that has one, or empty.
 	lastID string
 }
 
 var idField = []byte("id:")
 
-// add takes bytes and returns the whole events that they complete. The result
+// add adds received bytes and returns the events that they complete. The result
 // is valid until the next call.
 func (s *eventSplitter) add(p []byte) []byte {
 	end := lastEventEnd(s.partial, p)
@@ -29,11 +29,12 @@
 	return s.complete
 }
 
-// hasPartial says whether an event has begun and not ended.
+// hasPartial reports whether the beginning of an event was received, but not
+// its end.
 func (s *eventSplitter) hasPartial() bool { return len(bytes.TrimSpace(s.partial)) > 0 }
 
-// lastEventEnd returns the end, within p, of the last event that ends there,
-// or -1. The empty line may begin in rest.
+// lastEventEnd returns the index in p after the last event that ends in p, or
+// -1 if none does. The empty line may begin in rest.
 func lastEventEnd(rest, p []byte) int {
 	for i := len(p) - 1; i >= 0; i-- {
 		if p[i] == '\n' && endsEvent(rest, p[:i]) {
@@ -43,7 +44,7 @@
 	return -1
 }
 
-// endsEvent says whether a newline after rest and p ends an empty line.
+// endsEvent reports whether a newline after rest and p ends an empty line.
 func endsEvent(rest, p []byte) bool {
 	last, ok := byteFromEnd(rest, p, 0)
 	if ok && last == '\r' {
@@ -52,7 +53,8 @@
 	return ok && last == '\n'
 }
 
-// byteFromEnd returns the byte that is back places before the end of rest and p.
+// byteFromEnd returns the byte that is back positions before the last byte of
+// rest followed by p.
 func byteFromEnd(rest, p []byte, back int) (byte, bool) {
 	if back < len(p) {
 		return p[len(p)-1-back], true
@@ -64,7 +66,7 @@
 	return 0, false
 }
 
-// recordID keeps the id of the last event that has one.
+// recordID records the id of the last event that has one.
 func (s *eventSplitter) recordID(events []byte) {
 	for len(events) > 0 {
 		line, before := events, []byte(nil)
--- a/transport/ingress/events_test.go
+++ b/transport/ingress/events_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// However a stream is cut into reads, whole events come out once and in order,
-// and what is left is the torn one.
+// For any division of a stream into reads, complete events are returned once
+// and in order, and the rest is the partial event.
 func TestEventsAreSplitAtAnyReadBoundary(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		newline := rapid.SampledFrom([]string{"\n", "\r\n"}).Draw(t, "newline")
--- a/transport/ingress/fakes_test.go
+++ b/transport/ingress/fakes_test.go
@@ -25,8 +25,8 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// rawUpstream answers each request with what its script says, byte by byte, so
-// that tests can break answers in any place.
+// rawUpstream answers each request with the bytes that its script writes, so
+// that tests can break off answers at any position.
 type rawUpstream struct {
 	listener net.Listener
 	script   func(conn net.Conn, request *http.Request)
@@ -80,17 +80,18 @@
 
 func (u *rawUpstream) address() string { return u.listener.Addr().String() }
 
-// writeText writes an answer as it stands.
+// writeText returns a script that writes a text unchanged.
 func writeText(text string) func(net.Conn, *http.Request) {
 	return func(conn net.Conn, _ *http.Request) { _, _ = conn.Write([]byte(text)) }
 }
 
-// completeAnswer is a complete signed answer that echoes the attempt "x".
+// completeAnswer returns a complete signed answer that echoes the attempt id
+// "x".
 func completeAnswer(status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d S\r\nSigned: 1\r\nAttempt: x\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// chunk frames a part of a chunked answer.
+// chunk encodes a text as one chunk of a chunked answer.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 const streamHead = "HTTP/1.1 200 OK\r\nSigned: first\r\nAttempt: x\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -147,11 +148,13 @@
 	return response
 }
 
-// scriptedDispatcher sends each request to its upstreams in turn.
+// scriptedDispatcher sends each request to the first upstream that was not
+// excluded.
 type scriptedDispatcher struct {
-	// panicOnServed makes the dispatcher panic at the end of an answer.
+	// panicOnServed makes ReportServed panic, at the end of an answer.
 	panicOnServed bool
-	// callerClosed is what the kernel knows of the caller's connection.
+	// callerClosed simulates that the kernel has received the close of the
+	// caller's connection.
 	callerClosed bool
 	table        *routing.Table
 	loadView     *placement.View
@@ -243,7 +246,7 @@
 	}
 }
 
-// endedOutcomes returns how attempts ended so far.
+// endedOutcomes returns the outcomes of all attempts that have ended.
 func (d *scriptedDispatcher) endedOutcomes() []placement.Outcome {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -252,7 +255,7 @@
 
 func (d *scriptedDispatcher) AtCapacity() bool { return d.atCapacity }
 
-// Drain returns a stop that has gone on for too long to take requests.
+// Drain returns a drain that no longer accepts requests if draining is set.
 func (d *scriptedDispatcher) Drain() drain.Drain {
 	if !d.draining {
 		return drain.Drain{}
@@ -260,8 +263,8 @@
 	return drain.Begin(time.Unix(1, 0), time.Second)
 }
 
-// awaitEnded waits until one attempt has ended, and checks how. An attempt ends
-// after its caller has the answer.
+// awaitEnded waits until one attempt has ended, and checks its outcome. An
+// attempt ends after its caller has received the answer.
 func (d *scriptedDispatcher) awaitEnded(t *testing.T, outcome placement.Outcome) {
 	t.Helper()
 	require.Eventually(t, func() bool { return len(d.endedOutcomes()) > 0 }, 10*time.Second, time.Millisecond)
@@ -272,7 +275,7 @@
 	return d.atCapacityFor != "" && d.atCapacityFor == ws
 }
 
-// plainDialect spells the few fields that tests need.
+// plainDialect is a Dialect with the few headers that tests need.
 type plainDialect struct{}
 
 func (plainDialect) Inbound(header http.Header) (Inbound, error) {
--- a/transport/ingress/handler.go
+++ b/transport/ingress/handler.go
@@ -21,17 +21,19 @@
 )
 
 const (
-	// defaultDeadline bounds a request whose caller and route name none.
+	// defaultDeadline limits a request if neither its caller nor its route sets
+	// a deadline.
 	defaultDeadline = time.Minute
-	// defaultMaxBodyBytes bounds a body while the configuration has no limit.
+	// defaultMaxBodyBytes limits the size of a body if the configuration does
+	// not.
 	defaultMaxBodyBytes = 4 << 20
-	// maxUnsentTries bounds how often a request is placed anew after no
-	// connection could be made. Such tries reach no upstream and cost the
-	// fleet nothing, but each may take a dial's timeout.
+	// maxUnsentTries limits how often a request is placed again after no
+	// connection could be opened. Such tries reach no upstream and cost the
+	// fleet nothing, but each may take as long as the dial timeout.
 	maxUnsentTries = 4
 )
 
-// Options wire a Handler.
+// Options configure a Handler.
 type Options struct {
 	Dialect    Dialect
 	Dispatcher Dispatcher
@@ -40,55 +42,57 @@
 	Log        zerolog.Logger
 	// Now is the clock for latencies.
 	Now func() time.Time
-	// ShouldClose says whether callers should close their connections after an
-	// answer, because so many are open; nil means never.
+	// ShouldClose reports whether answers should ask callers to close their
+	// connections, because too many are open. If nil, they never do.
 	ShouldClose func() bool
-	// CallerClosed says whether a request's caller has closed its connection, even if
-	// the request's context does not show it yet; nil leaves it to that.
+	// CallerClosed reports whether a request's caller has closed its
+	// connection, even if the request's context was not cancelled yet. If nil,
+	// only the context is checked.
 	CallerClosed func(r *http.Request) bool
-	// ReadDelay returns how long a request waited before it was read; nil means
-	// that none does.
+	// ReadDelay returns how long a request waited before it was read. If nil,
+	// the delay is 0.
 	ReadDelay func(r *http.Request) time.Duration
 }
 
-// Record describes one finished request to an Observer.
+// Record describes one finished request for an Observer.
 type Record struct {
 	Workspace state.Workspace
 	Class     string
 	Result    result.Result
-	// Attempts counts the upstreams that the request was sent to.
+	// Attempts is the number of upstreams that the request was sent to.
 	Attempts int
-	// QueueWait is the time until the last attempt began, First that to the first
-	// event or the answer, Total that to the end; zero where not reached.
+	// QueueWait is the time from the request's arrival to the start of its last
+	// attempt, FirstOutput that to the first event or to the answer, and
+	// TotalTime that to the end. They are 0 if not reached.
 	QueueWait, FirstOutput, TotalTime time.Duration
-	// Abandoned is set if the caller left first.
+	// Abandoned is set if the caller disconnected before the end.
 	Abandoned bool
 }
 
-// Observer hears of requests, for metrics. It must not block.
+// Observer receives events of requests for metrics. It must not block.
 type Observer interface {
-	// Decided hears each decision to send or refuse a request; repeat is set if
-	// the request was sent before.
-	Decided(r admission.Request, reason admission.Reason, repeat bool)
-	// Attempted hears how an attempt ended at its upstream.
+	// Decided is called for each decision to send or refuse a request. retry is
+	// set if the request was sent before.
+	Decided(r admission.Request, reason admission.Reason, retry bool)
+	// Attempted is called at the end of each attempt, with its outcome.
 	Attempted(upstream state.Upstream, outcome placement.Outcome)
 	Finished(rec Record)
 	ObserveEventGap(ws state.Workspace, class string, gap time.Duration)
 }
 
-// Handler serves callers.
+// Handler is the HTTP handler for callers.
 type Handler struct {
 	Options
 	running atomic.Int64
 }
 
-// NewHandler returns a handler.
+// NewHandler returns a handler with the given options.
 func NewHandler(opts Options) *Handler { return &Handler{Options: opts} }
 
-// Running counts the requests under way.
+// Running returns the number of running requests.
 func (h *Handler) Running() int64 { return h.running.Load() }
 
-// exchange is one caller's request under way. It belongs to the goroutine of
+// exchange is one running request of a caller. It belongs to the goroutine of
 // its HTTP handler.
 type exchange struct {
 	h          *Handler
@@ -96,8 +100,8 @@
 	r          *http.Request
 	controller *http.ResponseController
 	arrivedAt  time.Time
-	// readDelay is how long the request waited before that; its caller's time
-	// counts from there.
+	// readDelay is how long the request waited before arrivedAt to be read. The
+	// caller's deadline is counted from the beginning of that wait.
 	readDelay time.Duration
 
 	inbound     Inbound
@@ -108,38 +112,40 @@
 	body        []byte
 	fingerprint state.Fingerprint
 	request     admission.Request
-	// deadline is when the answer is due: when the caller leaves or the route's
-	// timeout passes, whichever is sooner.
+	// deadline is the time at which the answer is due: when the caller stops
+	// waiting or the route's timeout ends, whichever is earlier.
 	deadline time.Time
 
 	// mayHaveRun is set once an upstream may have run the request.
 	mayHaveRun bool
-	// attempts counts the upstreams that the request was sent to.
+	// attempts is the number of upstreams that the request was sent to.
 	attempts int
-	// headSent is set once the head of the answer went to the caller.
+	// headSent is set once the head of the answer was sent to the caller.
 	headSent bool
-	// retryPaid is set if the dispatcher spent a retry when it gave up the last
-	// attempt.
+	// retryPaid is set if the dispatcher spent a retry when it cancelled the
+	// last attempt.
 	retryPaid bool
-	// abortConn is set if the answer under way must not be ended cleanly.
+	// abortConn is set if the answer is incomplete, so that its connection must
+	// be aborted.
 	abortConn bool
-	// lastEvent is the last event that was passed on whole.
+	// lastEvent is the id of the last event that was relayed completely.
 	lastEvent string
-	// fallback is an upstream's own failure, delivered if no other upstream
-	// does better.
+	// fallback is an upstream's own error answer. It is delivered if no other
+	// upstream succeeds.
 	fallback *bufferedAnswer
 	verdict  admission.Verdict
 	record   Record
-	// stopAge is how long before the request the router was told to stop.
+	// stopAge is the time from the order to stop the router to the arrival of
+	// the request, or 0 without a stop.
 	stopAge time.Duration
-	// lastEventsAt is when the last part of a stream came, longest the longest time
-	// between two.
+	// lastEventsAt is the time at which the last events of a stream were
+	// received. longestGap is the longest time between two such times.
 	lastEventsAt time.Time
 	longestGap   time.Duration
 }
 
-// ServeHTTP runs one request to its final answer. An answer that broke off
-// ends with its connection, so that the caller's HTTP library sees it.
+// ServeHTTP handles one request up to its final answer. If the answer breaks
+// off, the connection is aborted, so that the caller's HTTP library detects it.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	stop := h.Dispatcher.Drain()
 	x := &exchange{h: h, w: w, r: r, controller: http.NewResponseController(w), arrivedAt: h.Now()}
@@ -160,9 +166,9 @@
 	}
 }
 
-// recoverPanic answers a request whose handling failed, or ends its connection if
-// an answer has begun; net/http would end it always, and print a stack to
-// standard error.
+// recoverPanic answers a request whose handling panicked, or aborts its
+// connection if the answer has begun. Without it, net/http would always abort
+// the connection and print a stack to standard error.
 func (x *exchange) recoverPanic() {
 	cause := recover()
 	if cause == nil {
@@ -187,7 +193,7 @@
 	return x.dispatch(ctx)
 }
 
-// refuse answers with a failure of the router's own.
+// refuse answers with an error of the router itself.
 func (x *exchange) refuse(res result.Result) result.Result {
 	if x.headSent {
 		x.abortConn = true
@@ -213,9 +219,10 @@
 	x.logRequest(res)
 }
 
-// logRequest writes the line of the request. One that was refused before its route was
-// looked up has no decision to tell of: a full router refuses hundreds a second,
-// and its processor would go into empty fields.
+// logRequest writes the log line of the request. A request that was refused
+// before its route was looked up has no decision to log: a router at capacity
+// refuses hundreds of requests a second and would spend its CPU time on empty
+// fields.
 func (x *exchange) logRequest(res result.Result) {
 	event := x.h.Log.Info()
 	if res.Code != result.OK {
--- a/transport/ingress/handler_test.go
+++ b/transport/ingress/handler_test.go
@@ -29,7 +29,7 @@
 	return string(body), err
 }
 
-// reset ends a connection with a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	_ = conn.(*net.TCPConn).SetLinger(0)
 	_ = conn.Close()
@@ -48,13 +48,13 @@
 	require.Equal(t, "/a/p?q=1", seen.RequestURI)
 	require.Equal(t, "h", seen.Host)
 	require.Equal(t, "w", seen.Header.Get("Workspace"))
-	require.Empty(t, seen.Header.Get("Key"), "the key is not the upstream's business")
+	require.Empty(t, seen.Header.Get("Key"), "the key is not sent to the upstream")
 	d.dispatcher.awaitEnded(t, placement.Answered)
 }
 
-// A visitor's page is fetched by a request that publishes something. The worker
-// reads it and its connection breaks. Sent again, the office would publish
-// twice; so the caller is told that nobody knows.
+// A request that publishes something reaches a worker, and its connection
+// breaks. Sending it again would publish twice, so the caller must receive an
+// error which states that the outcome is unknown.
 func TestRequestThatMayHaveRunIsNotRepeated(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
 	spare := startUpstream(t, writeText(completeAnswer(200, "second")))
@@ -92,8 +92,8 @@
 	}
 }
 
-// A fleet in trouble must not multiply its load: once the budget for repeats
-// is spent, a failed answer is the final one.
+// Retries must not multiply the load of an overloaded fleet: once the retry
+// budget is spent, a failed answer is final.
 func TestNoRepeatWithoutBudget(t *testing.T) {
 	u, spare := startUpstream(t, writeText(completeAnswer(500, "no"))), startUpstream(t, writeText(completeAnswer(200, "page")))
 	d := newHandlerFixture(t, repeatable, u, spare)
@@ -102,7 +102,7 @@
 	body, err := bodyOf(t, response)
 	require.NoError(t, err)
 	require.Equal(t, 500, response.StatusCode)
-	require.Equal(t, "no", body, "the upstream's own failure is passed on whole")
+	require.Equal(t, "no", body, "the upstream's own error answer is relayed completely")
 	require.Equal(t, "1", response.Header.Get("Signed"))
 	require.Empty(t, spare.receivedRequests())
 }
@@ -116,8 +116,9 @@
 	require.NotEmpty(t, response.Header.Get("Retry-After"))
 }
 
-// The first worker's connection breaks while it runs the request, the second
-// says that it did not run it. "Not run" would be false for the first.
+// The first worker's connection breaks while it runs the request, and the
+// second worker states that it did not run it. An answer that the request did
+// not run would be wrong for the first one.
 func TestRefusalAfterALossDoesNotSayNotRun(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
 	full := startUpstream(t, writeText("HTTP/1.1 503 S\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
@@ -132,18 +133,18 @@
 		change func(d *handlerFixture, r *http.Request)
 		status int
 	}{
-		"overload":        {func(d *handlerFixture, _ *http.Request) { d.dispatcher.verdict.Reason = admission.Overload }, 503},
-		"beyond share":    {func(d *handlerFixture, _ *http.Request) { d.dispatcher.verdict.Reason = admission.OverShare }, 429},
-		"no key":          {func(_ *handlerFixture, r *http.Request) { r.Header.Del("Key") }, 401},
-		"no route":        {func(_ *handlerFixture, r *http.Request) { r.Host = "other" }, 404},
-		"no table":        {func(d *handlerFixture, _ *http.Request) { d.dispatcher.table = nil }, 503},
-		"stale, no key":   {func(d *handlerFixture, r *http.Request) { d.dispatcher.configStale = true; r.Header.Del("Key") }, 503},
-		"stale, no route": {func(d *handlerFixture, r *http.Request) { d.dispatcher.configStale = true; r.Host = "other" }, 503},
-		"long head":       {func(_ *handlerFixture, r *http.Request) { r.Header.Set("Filler", strings.Repeat("x", 2000)) }, 431},
-		"blocked":         {func(d *handlerFixture, _ *http.Request) { d.dispatcher.quarantined = true }, 503},
-		"full":            {func(d *handlerFixture, _ *http.Request) { d.dispatcher.atCapacity = true }, 429},
-		"no room for it":  {func(d *handlerFixture, _ *http.Request) { d.dispatcher.atCapacityFor = "w" }, 429},
-		"closing":         {func(d *handlerFixture, _ *http.Request) { d.dispatcher.draining = true }, 503},
+		"overload":                      {func(d *handlerFixture, _ *http.Request) { d.dispatcher.verdict.Reason = admission.Overload }, 503},
+		"over share":                    {func(d *handlerFixture, _ *http.Request) { d.dispatcher.verdict.Reason = admission.OverShare }, 429},
+		"no key":                        {func(_ *handlerFixture, r *http.Request) { r.Header.Del("Key") }, 401},
+		"no route":                      {func(_ *handlerFixture, r *http.Request) { r.Host = "other" }, 404},
+		"no table":                      {func(d *handlerFixture, _ *http.Request) { d.dispatcher.table = nil }, 503},
+		"stale, no key":                 {func(d *handlerFixture, r *http.Request) { d.dispatcher.configStale = true; r.Header.Del("Key") }, 503},
+		"stale, no route":               {func(d *handlerFixture, r *http.Request) { d.dispatcher.configStale = true; r.Host = "other" }, 503},
+		"long head":                     {func(_ *handlerFixture, r *http.Request) { r.Header.Set("Filler", strings.Repeat("x", 2000)) }, 431},
+		"request quarantined":           {func(d *handlerFixture, _ *http.Request) { d.dispatcher.quarantined = true }, 503},
+		"at capacity":                   {func(d *handlerFixture, _ *http.Request) { d.dispatcher.atCapacity = true }, 429},
+		"at capacity for the workspace": {func(d *handlerFixture, _ *http.Request) { d.dispatcher.atCapacityFor = "w" }, 429},
+		"router draining":               {func(d *handlerFixture, _ *http.Request) { d.dispatcher.draining = true }, 503},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -155,15 +156,15 @@
 			require.NoError(t, err)
 			defer response.Body.Close()
 			require.Equal(t, c.status, response.StatusCode)
-			require.Empty(t, u.receivedRequests(), "what is refused does not run")
-			require.Equal(t, name == "closing", response.Close)
+			require.Empty(t, u.receivedRequests(), "a refused request is not sent to an upstream")
+			require.Equal(t, name == "router draining", response.Close)
 		})
 	}
 }
 
-// An engine breaks off within the third event of a guide. The caller must get
-// each event once: the torn one is dropped, and another engine goes on after
-// the last whole one, under the first engine's head.
+// An engine's connection breaks within the third event. The caller must receive
+// each event once: the partial event is dropped, and another engine resumes
+// after the last complete one, under the head of the first engine's answer.
 func TestStreamResumesAtAnotherUpstream(t *testing.T) {
 	partial := event(3)[:7]
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) {
@@ -180,15 +181,15 @@
 	require.Equal(t, "2", spare.receivedRequests()[0].Header.Get("Last-Event"))
 }
 
-// A stream that cannot be resumed breaks. The caller's library has to see
-// that it is not complete, and no second run may begin.
+// A stream that cannot be resumed breaks off. The caller's HTTP library must
+// detect that it is incomplete, and the request must not run again.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	for name, script := range map[string]func(net.Conn, *http.Request){
 		"reset": func(conn net.Conn, _ *http.Request) {
 			_, _ = conn.Write([]byte(streamHead + chunk(event(1))))
 			reset(conn)
 		},
-		"torn": writeText(streamHead + chunk(event(1)+"id: 2\nda") + "0\r\n\r\n"),
+		"partial event": writeText(streamHead + chunk(event(1)+"id: 2\nda") + "0\r\n\r\n"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			u, spare := startUpstream(t, script), startUpstream(t, writeText(streamHead+"0\r\n\r\n"))
@@ -207,12 +208,13 @@
 	d := newHandlerFixture(t, nonResumable, u)
 	response := d.post(t)
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
-	require.Empty(t, response.Header.Get("Signed"), "a failure of the router's own bears no signature")
+	require.Empty(t, response.Header.Get("Signed"), "an error of the router itself is not signed")
 }
 
-// A worker takes a request and its answer is lost: the connection stays open
-// and silent. The dispatcher sees that later requests were answered and gives it up;
-// the caller gets the page from another worker instead of waiting.
+// A worker receives a request and its answer is lost, while the connection
+// stays open without data. The dispatcher sees that later requests were
+// answered and cancels the attempt. The caller gets the answer of another
+// worker.
 func TestStalledAttemptIsRepeated(t *testing.T) {
 	reached := make(chan struct{})
 	u := startUpstream(t, func(net.Conn, *http.Request) { close(reached) })
@@ -227,9 +229,10 @@
 	require.Equal(t, "page", body)
 }
 
-// A stream stalls after its first event. The dispatcher has spent a retry on it when
-// it gives it up, so that the stream goes on at another engine even if nobody
-// else gets a retry now; asked again for one, its caller saw it break off.
+// A stream stalls after its first event. The dispatcher spends a retry when it
+// cancels the attempt, so the stream resumes at another engine even if the
+// budget has no retry left. When a second retry was required, the stream broke
+// off.
 func TestStalledStreamResumesWithoutAnotherRetry(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) {
 		_, _ = conn.Write([]byte(streamHead + chunk(event(1))))
@@ -245,8 +248,8 @@
 	require.Equal(t, event(1)+event(2), body)
 }
 
-// A caller leaves while its request runs. The worker notices by its connection
-// and stops; nothing is sent anywhere else.
+// A caller disconnects while its request runs. The worker detects the closed
+// connection and stops, and the request is not sent to another upstream.
 func TestCallerDisconnectCancelsTheAttempt(t *testing.T) {
 	reached, closed := make(chan struct{}), make(chan struct{})
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) {
@@ -267,9 +270,9 @@
 	require.Empty(t, spare.receivedRequests())
 }
 
-// A fault of the router's own ends the handling of a page that an upstream has
-// answered. Its caller saw the connection close and the router's log had no line
-// of the request, and the upstream counted as busy with it for good.
+// A fault of the router made a handler panic after the upstream had answered.
+// The caller's connection was closed, the log had no line for the request, and
+// the upstream counted as busy with it forever.
 func TestPanicWhileHandlingIsAnswered(t *testing.T) {
 	d := newHandlerFixture(t, repeatable, startUpstream(t, writeText(completeAnswer(200, "page"))))
 	d.dispatcher.panicOnServed = true
@@ -277,9 +280,9 @@
 	d.dispatcher.awaitEnded(t, placement.Withdrawn)
 }
 
-// A caller gave up while its request waited for the processor. Nothing has read
-// its close yet, but the kernel has it: the request goes to no upstream, and the
-// connection ends without anything that could be taken for an answer.
+// A caller disconnects while its request waits for the CPU. The kernel has
+// received the close, but the process has not read it. The request must not be
+// sent to an upstream, and the connection must end without any answer.
 func TestRequestOfADisconnectedCallerIsNotSent(t *testing.T) {
 	u := startUpstream(t, writeText(completeAnswer(200, "page")))
 	d := newHandlerFixture(t, repeatable, u)
@@ -290,8 +293,8 @@
 	d.dispatcher.awaitEnded(t, placement.Withdrawn)
 }
 
-// The operator's timeout passes while a worker is at it. The caller gets an
-// answer then, one that does not say that the request did not run.
+// The route's timeout ends while a worker runs the request. The caller must get
+// an answer that does not state that the request did not run.
 func TestTimeoutWhileRunning(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = conn.Read(make([]byte, 1)) })
 	route := runOnce
@@ -300,8 +303,9 @@
 	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
 }
 
-// A worker is gone and its address refuses connections. Nothing was sent, so
-// any request may go elsewhere, one that must not run twice as well.
+// A worker has stopped and its address refuses connections. Nothing was sent,
+// so any request may go to another worker, also a request that must not run
+// twice.
 func TestUnreachableUpstreamIsSkipped(t *testing.T) {
 	closed := startUpstream(t, writeText(""))
 	require.NoError(t, closed.listener.Close())
@@ -313,8 +317,8 @@
 	require.Equal(t, placement.Unconnected, d.dispatcher.endedOutcomes()[0])
 }
 
-// An answer without a length ends with its connection. Closed in order it is
-// whole; reset on the way it is not.
+// An answer without a length ends with its connection. It is complete after an
+// orderly close, and incomplete after a reset.
 func TestAnswerWithoutLength(t *testing.T) {
 	const unframed = "HTTP/1.1 200 OK\r\nSigned: 1\r\nAttempt: x\r\n\r\npage"
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = conn.Write([]byte(unframed)); _ = conn.Close() })
--- a/transport/ingress/held.go
+++ b/transport/ingress/held.go
@@ -12,19 +12,20 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// maxBufferedBytes is the longest answer that is read whole before any of it goes to
-// the caller, so that one that breaks off can still be answered cleanly or be
-// had from another upstream. Pages and JSON answers are far shorter.
+// maxBufferedBytes is the size in bytes up to which an answer is read
+// completely before any of it is sent to the caller. If such an answer breaks
+// off, the caller can still get a proper error or the answer of another
+// upstream. Pages and JSON answers are far shorter.
 const maxBufferedBytes = 256 << 10
 
-// bufferedAnswer is an upstream's whole answer.
+// bufferedAnswer is an upstream's answer with its complete body.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// relayBuffered passes on an answer that is no stream.
+// relayBuffered relays an answer that is not a stream.
 func (x *exchange) relayBuffered(answer *upstream.Answer, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
 	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedBytes))
 	if err != nil {
@@ -44,14 +45,14 @@
 		}
 	}
 	if x.headSent {
-		// A stream that was to go on got another answer instead.
+		// A stream was to be resumed, but the upstream sent a different answer.
 		return attemptEnd{attemptFailed, result.New(result.AnswerTruncated, "The stream could not be resumed.")}, placement.Failed
 	}
 	x.h.Dispatcher.ReportServed(x.fingerprint)
 	return attemptEnd{attemptDelivered, x.deliver(buffered)}, outcome
 }
 
-// deliver writes a whole answer.
+// deliver writes a complete answer to the caller.
 func (x *exchange) deliver(buffered *bufferedAnswer) result.Result {
 	x.beginAnswer(buffered)
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(buffered.body)))
@@ -78,10 +79,10 @@
 	}
 }
 
-// relayUnbuffered passes on an answer that is too long to hold.
+// relayUnbuffered relays an answer that is too long to be buffered.
 func (x *exchange) relayUnbuffered(answer *upstream.Answer, buffered *bufferedAnswer, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
-	// Nothing more is told of this answer: from here on it must not be taken
-	// for stalled, or its caller would see it break off.
+	// No further output of this answer is reported to the dispatcher. It must
+	// not be cancelled as stalled from here on, or the answer would break off.
 	x.h.Dispatcher.OnStall(ticket, func() {})
 	x.beginAnswer(buffered)
 	if length := answer.Header.Get("Content-Length"); length != "" {
--- a/transport/ingress/stream.go
+++ b/transport/ingress/stream.go
@@ -11,7 +11,8 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// streamBufferBytes holds some events of a stream; they are a few hundred bytes.
+// streamBufferBytes is the size of a read buffer. It holds several events of a
+// stream, which have a few hundred bytes each.
 const streamBufferBytes = 16 << 10
 
 var streamBufferPool = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
@@ -19,10 +20,10 @@
 // errPartialEvent ends a stream that stopped within an event.
 var errPartialEvent = errors.New("ingress: the stream stopped within an event")
 
-// relayStream passes on a series of events. Only whole events are passed on,
-// so that a stream that breaks can go on at another upstream after the last
-// one. The head goes out with the first event: until then the request can
-// still be answered cleanly.
+// relayStream relays a stream of events. It only writes complete events, so
+// that a broken stream can resume at another upstream after the last one. The
+// head is sent with the first event: until then the request can still be
+// answered with a proper error.
 func (x *exchange) relayStream(answer *upstream.Answer, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
 	buffer := streamBufferPool.Get().(*[streamBufferBytes]byte)
 	defer streamBufferPool.Put(buffer)
@@ -49,7 +50,7 @@
 	}
 }
 
-// writeEvents writes whole events and sends them on at once.
+// writeEvents writes complete events and flushes them at once.
 func (x *exchange) writeEvents(answer *upstream.Answer, events []byte, lastID string) error {
 	if !x.headSent {
 		x.beginAnswer(&bufferedAnswer{status: answer.Status, header: answer.Header})
@@ -81,7 +82,7 @@
 		return attemptEnd{attemptFailed, result.New(result.AnswerTruncated, err.Error())}, placement.Broken
 	}
 	if !x.headSent {
-		// A stream without an event: its head is all there is.
+		// The stream had no events: the answer consists of its head.
 		x.beginAnswer(&bufferedAnswer{status: answer.Status, header: answer.Header})
 		x.w.WriteHeader(http.StatusOK)
 	}
