--- a/transport/upstream/answer.go
+++ b/transport/upstream/answer.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Answer is an answer under way. Read returns io.EOF only once it is whole.
+// Answer is an answer that is being received. Read returns io.EOF only after
+// the complete body.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -35,8 +36,8 @@
 	}
 }
 
-// isFramed says whether the end of the body can be told from a broken
-// connection.
+// isFramed reports whether the end of the body can be distinguished from a
+// broken connection.
 func isFramed(resp *http.Response) bool {
 	if resp.Body == http.NoBody || resp.ContentLength >= 0 {
 		return true
@@ -44,11 +45,11 @@
 	return len(resp.TransferEncoding) > 0 && resp.TransferEncoding[0] == "chunked"
 }
 
-// Stage returns how far the answer came.
+// Stage returns how far the answer was received.
 func (a *Answer) Stage() Stage { return a.stage }
 
-// Read reads the body. Any end but a whole one is an *Error; one that wraps
-// ErrUnframed followed a clean close.
+// Read reads the body. If the body is incomplete, its error is an *Error. An
+// *Error that wraps ErrUnframed means that the connection was closed in order.
 func (a *Answer) Read(p []byte) (int, error) {
 	a.silenceTimer.Reset(a.idleTimeout)
 	n, err := a.body.Read(p)
@@ -74,7 +75,7 @@
 }
 
 // Close ends the attempt. Before the end of the answer it closes the
-// connection, by which upstreams notice a cancelled request.
+// connection, by which upstreams detect a cancelled request.
 func (a *Answer) Close() {
 	a.silenceTimer.Stop()
 	if a.stage != StageComplete {
--- a/transport/upstream/client.go
+++ b/transport/upstream/client.go
@@ -17,44 +17,49 @@
 )
 
 // AttemptHeader carries the attempt's id to the upstream. An upstream that
-// echoes it lets the router recognise a crossed answer.
+// echoes it allows the router to detect an answer that belongs to another
+// attempt.
 const AttemptHeader = "Figstile-Attempt"
 
 const (
-	// dialTimeout bounds making a connection. Upstreams are a few
-	// milliseconds away, so a second is only reached by a dead address.
+	// dialTimeout limits the time to open a connection. Upstreams are a few
+	// milliseconds away, so only an unreachable address takes a second.
 	dialTimeout = time.Second
-	// defaultKeepIdle is how long an unused connection is kept. It stays below the
-	// five seconds after which common HTTP servers close one, because a
-	// request that meets such a close is lost with an unknown outcome.
+	// defaultKeepIdle is how long an idle connection is kept. It is below the
+	// five seconds after which common HTTP servers close an idle connection,
+	// because a request that crosses such a close is lost with an unknown
+	// outcome.
 	defaultKeepIdle = 4 * time.Second
-	// defaultIdlePerUpstream bounds unused connections to one upstream: more than
-	// an engine has slots, so that steady load makes no new ones.
+	// defaultIdlePerUpstream limits the idle connections to one upstream. It is
+	// more than an engine has slots, so that a steady load needs no new
+	// connections.
 	defaultIdlePerUpstream = 256
-	// maxAnswerHeadBytes bounds the head of an answer.
+	// maxAnswerHeadBytes limits the size of an answer's head.
 	maxAnswerHeadBytes = 64 << 10
-	// defaultAnswerIdle is the longest silence within an answer.
+	// defaultAnswerIdle is the longest time without data within an answer.
 	defaultAnswerIdle = time.Minute
 )
 
-// Stage tells how far an attempt came.
+// Stage describes how far an attempt came.
 type Stage uint8
 
 // The stages of an attempt.
 const (
-	// StageNotSent: no byte of the request left the router, or ever will.
+	// StageNotSent means that no byte of the request has left the router, and
+	// none will.
 	StageNotSent Stage = iota
-	// StageSent: some of the request left, and no usable answer began.
+	// StageSent means that some of the request has left the router, and no
+	// usable answer began.
 	StageSent
-	// StageBegan: the head of the answer arrived.
+	// StageBegan means that the head of the answer was received.
 	StageBegan
-	// StageTruncated: the answer broke off.
+	// StageTruncated means that the answer broke off.
 	StageTruncated
-	// StageWhole: the answer arrived to its last byte.
+	// StageComplete means that the answer was received to its last byte.
 	StageComplete
 )
 
-// String returns the stage's name in logs.
+// String returns the stage's name for logs.
 func (s Stage) String() string {
 	names := [...]string{"not-sent", "sent", "began", "truncated", "whole"}
 	if int(s) >= len(names) {
@@ -63,24 +68,26 @@
 	return names[s]
 }
 
-// Reasons an answer does not count, beside those of net/http.
+// Reasons for which an answer is not accepted, in addition to those of
+// net/http.
 var (
-	// ErrCrossed: the answer names another attempt.
+	// ErrCrossed means that the answer names another attempt.
 	ErrCrossed = errors.New("upstream: answer belongs to another attempt")
-	// ErrUnframed: the answer ended with its connection and had neither a
-	// length nor chunks, so it cannot be told from a truncated one.
+	// ErrUnframed means that the answer ended with its connection and had
+	// neither a length nor chunks, so it cannot be distinguished from a
+	// truncated one.
 	ErrUnframed = errors.New("upstream: answer has no framing")
-	// ErrSilent: the upstream stopped sending within an answer.
+	// ErrSilent means that the upstream stopped sending within an answer.
 	ErrSilent = errors.New("upstream: answer fell silent")
 )
 
-// Error ends an attempt without a whole answer.
+// Error is the error of an attempt without a complete answer.
 type Error struct {
 	Stage Stage
 	Err   error
 }
 
-// Error names the stage and the cause.
+// Error returns a text with the stage and the cause.
 func (e *Error) Error() string {
 	return fmt.Sprintf("upstream: attempt ended %s: %v", e.Stage, e.Err)
 }
@@ -88,8 +95,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// StageOf returns the stage of an error of this package. Any other error
-// counts as sent, which never claims that nothing ran.
+// StageOf returns the stage of an error of this package. For any other error it
+// returns StageSent, which never claims that the request did not run.
 func StageOf(err error) Stage {
 	var failure *Error
 	if errors.As(err, &failure) {
@@ -98,23 +105,24 @@
 	return StageSent
 }
 
-// Attempt is one dispatch of one request.
+// Attempt is a request that is sent to one upstream once.
 type Attempt struct {
 	ID state.AttemptID
-	// BaseURL is the upstream's URL without a trailing slash; Target is the
+	// BaseURL is the upstream's URL without a trailing slash. Target is the
 	// escaped path and query below it.
 	BaseURL string
 	Target  string
 	Method  string
-	// Host is sent as the request's host; empty means that of BaseURL.
+	// Host is the request's Host header. If empty, the host of BaseURL is used.
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Token is what the upstream echoes in the client's EchoHeader; empty
-	// means the ID.
+	// Token is the value that the upstream echoes in the client's EchoHeader.
+	// If empty, the ID is used.
 	Token string
-	// NewConnection asks for a new connection. A request that must not run twice
-	// cannot be sent again when a kept-alive connection turns out closed.
+	// NewConnection requests a new connection. A request that must not run
+	// twice cannot be sent again when a kept-alive connection turns out to be
+	// closed.
 	NewConnection bool
 }
 
@@ -125,7 +133,8 @@
 	return a.ID.String()
 }
 
-// Client sends attempts. It never sends one twice and follows no redirects.
+// Client sends attempts. It sends each attempt at most once and does not follow
+// redirects.
 type Client struct {
 	keepAliveTransport *http.Transport
 	singleUseTransport *http.Transport
@@ -134,21 +143,22 @@
 	acceptUnframed     bool
 }
 
-// ClientOptions configure a Client. Zero values take the defaults.
+// ClientOptions configure a Client. Zero values select the defaults.
 type ClientOptions struct {
-	// AnswerIdle is the longest silence within an answer.
+	// AnswerIdle is the longest time without data within an answer.
 	AnswerIdle time.Duration
-	// Dial makes connections; tests count them through it.
+	// Dial opens connections. Tests use it to count them.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// EchoHeader carries the attempt's token and is echoed by upstreams;
-	// AttemptHeader if empty.
+	// EchoHeader is the header that carries the attempt's token and that
+	// upstreams echo. If empty, AttemptHeader is used.
 	EchoHeader string
-	// KeepIdle is how long an unused connection is kept.
+	// KeepIdle is how long an idle connection is kept.
 	KeepIdle time.Duration
-	// IdlePerUpstream bounds unused connections to one upstream.
+	// IdlePerUpstream limits the idle connections to one upstream.
 	IdlePerUpstream int
-	// AcceptUnframed takes the orderly close of a connection for the end of
-	// an answer that has neither a length nor chunks. A reset never ends one.
+	// AcceptUnframed accepts the orderly close of a connection as the end of an
+	// answer that has neither a length nor chunks. A reset is never accepted as
+	// the end.
 	AcceptUnframed bool
 }
 
@@ -185,9 +195,10 @@
 	}
 }
 
-// newTransport speaks HTTP/1.1 only: one attempt has its connection to itself,
-// which is what makes counting writes a proof. It uses no proxy and leaves the
-// encoding of bodies alone.
+// newTransport returns a transport for HTTP/1.1 only. One attempt then has its
+// connection to itself, so counting writes on the connection proves whether the
+// attempt was sent. It uses no proxy and does not change the encoding of
+// bodies.
 func newTransport(opts ClientOptions) *http.Transport {
 	return &http.Transport{
 		DialContext:            fencedDial(opts.Dial),
@@ -211,15 +222,15 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.keepAliveTransport.CloseIdleConnections()
 	c.singleUseTransport.CloseIdleConnections()
 }
 
-// Send sends the attempt once and returns the answer as soon as its head is
-// there. Its error is an *Error. The context bounds the attempt up to the end
-// of the answer.
+// Send sends the attempt once and returns the answer as soon as its head was
+// received. Its error is an *Error. The context limits the attempt up to the
+// end of the answer.
 func (c *Client) Send(ctx context.Context, a Attempt) (*Answer, error) {
 	transport := c.keepAliveTransport
 	if a.NewConnection {
@@ -229,8 +240,8 @@
 	if !reused || ctx.Err() != nil || StageOf(err) != StageNotSent {
 		return answer, err
 	}
-	// The kept connection closed before the first byte left, so this is no
-	// second copy; a new connection cannot fail the same way.
+	// The kept-alive connection was closed before the first byte left, so this
+	// is not a second copy. A new connection cannot fail in the same way.
 	answer, _, err = c.sendOver(ctx, c.singleUseTransport, a)
 	return answer, err
 }
@@ -259,8 +270,8 @@
 	return answer, false, nil
 }
 
-// newRequest sets no GetBody, so that net/http has no body to replay; the fence
-// holds where it would replay without one.
+// newRequest does not set GetBody, so that net/http has no body to replay. The
+// fence prevents replays of requests without a body.
 func (c *Client) newRequest(ctx context.Context, a Attempt) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, a.Method, a.BaseURL+a.Target, nil)
 	if err != nil {
--- a/transport/upstream/client_test.go
+++ b/transport/upstream/client_test.go
@@ -19,8 +19,9 @@
 
 var attemptID = state.AttemptID{Router: "laredo-1", Incarnation: 3, Sequence: 7}
 
-// flakyServer serves the first request of each connection and closes the connection
-// without an answer once it has read the second. It counts the second ones.
+// flakyServer answers the first request of each connection. It closes the
+// connection without an answer after reading a request for /drop, and counts
+// these requests.
 type flakyServer struct {
 	url     string
 	dropped atomic.Int64
@@ -63,25 +64,25 @@
 	}
 }
 
-// TestExactlyOneCopyIsSent: a guest is charged twice for one booking. A kept
-// connection breaks after the upstream has read the request; net/http takes
-// the request for idempotent and sends it again by itself. The control run
-// with a plain transport shows the second copy.
+// A kept-alive connection breaks after the upstream has read the request.
+// net/http takes the request for idempotent and sends it again by itself, so
+// that one booking was charged twice. The control run with a plain transport
+// shows the second copy.
 func TestExactlyOneCopyIsSent(t *testing.T) {
 	cases := map[string]Attempt{
-		"get":           {Method: http.MethodGet},
-		"empty keyed":   {Method: http.MethodPost, Header: http.Header{"Idempotency-Key": {"k"}}},
-		"keyed booking": {Method: http.MethodPost, Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte("seat")},
-		"fresh":         {Method: http.MethodPost, Body: []byte("seat"), NewConnection: true},
+		"get":            {Method: http.MethodGet},
+		"empty keyed":    {Method: http.MethodPost, Header: http.Header{"Idempotency-Key": {"k"}}},
+		"keyed booking":  {Method: http.MethodPost, Header: http.Header{"Idempotency-Key": {"k"}}, Body: []byte("seat")},
+		"new connection": {Method: http.MethodPost, Body: []byte("seat"), NewConnection: true},
 	}
 	for name, attempt := range cases {
 		t.Run(name, func(t *testing.T) {
 			server := startFlakyServer(t)
 			client := NewClient(ClientOptions{})
 			defer client.Close()
-			warm := attempt
-			warm.BaseURL, warm.Target = server.url, "/warm"
-			answer, err := client.Send(context.Background(), warm)
+			first := attempt
+			first.BaseURL, first.Target = server.url, "/warm"
+			answer, err := client.Send(context.Background(), first)
 			require.NoError(t, err)
 			_, err = io.ReadAll(answer)
 			require.NoError(t, err)
@@ -111,7 +112,8 @@
 	})
 }
 
-// blockedConn holds back the first write until the test releases it.
+// blockedConn accepts a write without delivering it. Read returns io.EOF after
+// that write has begun.
 type blockedConn struct {
 	net.Conn
 	reached chan struct{}
@@ -127,9 +129,9 @@
 	return 0, io.EOF
 }
 
-// TestNothingSentIsTruthful: a caller hears "not run" though its booking went
-// through. The router gives up while net/http still holds the request in a
-// buffer, and the buffer is written afterwards.
+// The router gives up while net/http still holds the request in a buffer, and
+// the buffer is written afterwards. The caller received "not run" although its
+// booking was processed.
 func TestNotSentIsReportedOnlyIfNothingLeaves(t *testing.T) {
 	t.Run("dial fails", func(t *testing.T) {
 		client := NewClient(ClientOptions{Dial: func(context.Context, string, string) (net.Conn, error) {
@@ -146,19 +148,19 @@
 		_, err := client.Send(context.Background(), Attempt{BaseURL: "http://127.0.0.1:1", Target: "/", Method: http.MethodPost, Body: []byte("x")})
 		require.Equal(t, StageSent, StageOf(err))
 	})
-	t.Run("no write begins after the statement", func(t *testing.T) {
+	t.Run("no write begins after the attempt has ended", func(t *testing.T) {
 		inner, _ := net.Pipe()
 		conn := &fencedConn{Conn: inner}
-		watch := &sendTracker{conn: conn}
-		stage, _ := watch.finish()
+		tracker := &sendTracker{conn: conn}
+		stage, _ := tracker.finish()
 		require.Equal(t, StageNotSent, stage)
 		_, err := conn.Write([]byte("late"))
 		require.ErrorIs(t, err, errFenced)
 	})
 }
 
-// TestTruncatedAnswers: a councillor files half a guide as the whole one. The
-// engine falls within the answer, and the missing end goes unnoticed.
+// An engine stops within an answer, and the missing end is not detected. The
+// caller took half of the text for the complete one.
 func TestTruncatedAnswers(t *testing.T) {
 	cases := map[string]struct {
 		raw   string
@@ -194,7 +196,8 @@
 	})
 }
 
-// sendRaw sends one attempt to a server that answers raw bytes and closes.
+// sendRaw sends one attempt to a server that answers with raw bytes and closes
+// the connection.
 func sendRaw(t *testing.T, raw string) (*Answer, error) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/transport/upstream/fence.go
+++ b/transport/upstream/fence.go
@@ -9,15 +9,17 @@
 	"sync"
 )
 
-// errFenced is the write error of a connection whose attempt is settled.
+// errFenced is the error of a write on a connection whose attempt has ended.
 var errFenced = errors.New("upstream: attempt already settled")
 
-// fencedConn counts the writes that were begun and can be closed for writing.
+// fencedConn counts the writes that were begun and can be closed for further
+// writes.
 //
-// It stops two failures. After a cancelled round trip net/http's write loop may
-// still write the request, while the router has already said "not run"; and
-// net/http replays some requests when a kept-alive connection fails, which runs
-// them twice. A write either begins before fence and is counted, or fails.
+// It prevents two failures. After a cancelled round trip, net/http's write loop
+// may still write the request, while the router has already answered that it
+// did not run. And net/http replays some requests when a kept-alive connection
+// fails, which runs them twice. A write either begins before the call of fence
+// and is counted, or fails.
 type fencedConn struct {
 	net.Conn
 	mu         sync.Mutex
@@ -49,7 +51,7 @@
 	return c.writeCount
 }
 
-// fence lets no further write begin and returns the writes begun so far.
+// fence prevents further writes and returns the number of writes begun so far.
 func (c *fencedConn) fence() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,9 +59,10 @@
 	return c.writeCount
 }
 
-// sendTracker follows one attempt over the connections net/http gives it.
+// sendTracker tracks one attempt over the connections that net/http uses for
+// it.
 type sendTracker struct {
-	// cancel ends the round trip when net/http wants to replay it.
+	// cancel ends the round trip when net/http tries to replay the request.
 	cancel context.CancelCauseFunc
 
 	mu           sync.Mutex
@@ -73,10 +76,11 @@
 	return &httptrace.ClientTrace{GotConn: w.gotConn}
 }
 
-// gotConn runs before the first write on a connection. If a connection before
-// it took part of the request, the new one is fenced at once: net/http wants to
-// replay, and a second copy must not leave. Cancelling keeps it from trying one
-// kept connection after the other.
+// gotConn is called before the first write on a connection. If an earlier
+// connection has taken a part of the request, the new one is fenced at once:
+// net/http is replaying the request, and a second copy must not leave.
+// Cancelling the round trip prevents net/http from trying one kept-alive
+// connection after the other.
 func (w *sendTracker) gotConn(info httptrace.GotConnInfo) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,7 +98,8 @@
 	}
 }
 
-// fenceCurrent fences the present connection and notes whether it took anything.
+// fenceCurrent fences the current connection and records whether it has taken a
+// part of the request.
 func (w *sendTracker) fenceCurrent() {
 	if w.conn != nil && w.conn.fence() > w.writesBefore {
 		w.sent = true
@@ -102,8 +107,8 @@
 	w.conn = nil
 }
 
-// finish ends the watch of a failed attempt. The statement is final: nothing
-// leaves after it.
+// finish ends the tracking of a failed attempt. Its result is final: nothing
+// leaves afterwards.
 func (w *sendTracker) finish() (stage Stage, reused bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -114,7 +119,8 @@
 	return StageNotSent, w.reused
 }
 
-// unwrapFenced returns the fenced connection under conn, or nil.
+// unwrapFenced returns the fenced connection below conn, or nil if there is
+// none.
 func unwrapFenced(conn net.Conn) *fencedConn {
 	if secure, ok := conn.(*tls.Conn); ok {
 		conn = secure.NetConn()
--- a/transport/upstream/poller.go
+++ b/transport/upstream/poller.go
@@ -16,36 +16,37 @@
 
 const (
 	// PollInterval is the mean time between two polls of one upstream. The
-	// owner counts what it has sent since a report, so that reports only
-	// have to show what it cannot know: a drain, a restart, or another
-	// router's work. One a second shows these well within the few seconds
-	// promised; four a second took most of an owner's control traffic.
+	// owner counts the requests that it has sent since a report, so reports
+	// only have to show changes that it cannot know of: a drain, a restart, or
+	// another router's work. One poll a second shows these well within the few
+	// seconds that are required. Four polls a second were most of an owner's
+	// control traffic.
 	PollInterval = time.Second
-	// pollJitter spreads the interval by this part either way, so that
-	// pollers that started together do not poll together.
+	// pollJitter is the fraction by which the interval varies in both
+	// directions, so that pollers that started together do not poll together.
 	pollJitter = 0.2
-	// pollTimeout bounds one poll. An upstream too busy to answer for a
-	// second is no place for new work.
+	// pollTimeout limits one poll. An upstream that is too busy to answer
+	// within a second must not get new requests.
 	pollTimeout = time.Second
 )
 
-// Target is one upstream whose load report is fetched.
+// Target is an upstream whose load report is fetched.
 type Target struct {
 	Upstream state.Upstream
 	BaseURL  string
 }
 
-// PollerOptions configure a Poller. Zero values take the defaults.
+// PollerOptions configure a Poller. Zero values select the defaults.
 type PollerOptions struct {
 	// Wait blocks for the duration or until the context ends.
 	Wait func(ctx context.Context, d time.Duration) error
-	// Seed makes the jitter repeatable.
+	// Seed makes the jitter reproducible.
 	Seed uint64
 	Log  zerolog.Logger
 }
 
-// Poller fetches the load report of a changing set of upstreams, each in a
-// goroutine of its own, so that a slow one delays no other.
+// Poller fetches the load reports of a changing set of upstreams. Each upstream
+// has its own goroutine, so that a slow one does not delay the others.
 type Poller struct {
 	client *http.Client
 	emit   func(scheduler.Event)
@@ -61,8 +62,8 @@
 }
 
 // NewPoller returns a poller that passes scheduler.Reported and
-// scheduler.Unreachable to emit, from several goroutines. A report under way
-// may still be passed on shortly after its target was removed.
+// scheduler.Unreachable to emit, from several goroutines. A report that is
+// being fetched may still be passed on shortly after its target was removed.
 func NewPoller(opts PollerOptions, emit func(scheduler.Event)) *Poller {
 	if opts.Wait == nil {
 		opts.Wait = pause.For
@@ -80,7 +81,8 @@
 	}
 }
 
-// SetTargets replaces the set of upstreams. Those that stay are not disturbed.
+// SetTargets replaces the set of upstreams. Polls of upstreams that stay in the
+// set are not interrupted.
 func (p *Poller) SetTargets(targets []Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +111,7 @@
 	go p.run(ctx, t)
 }
 
-// Close stops all polls and waits for them.
+// Close stops all polls and waits until they have ended.
 func (p *Poller) Close() {
 	p.mu.Lock()
 	p.cancel()
@@ -135,8 +137,9 @@
 	}
 }
 
-// logChange logs the first of a row of failures, and its end. An upstream whose
-// reports are refused gets no work, and nothing else would say why.
+// logChange logs the first of consecutive failures, and their end. An upstream
+// whose reports are rejected gets no requests, and no other log line states the
+// reason.
 func (p *Poller) logChange(t Target, failing bool, err error) {
 	switch {
 	case err != nil && !failing:
--- a/transport/upstream/poller_test.go
+++ b/transport/upstream/poller_test.go
@@ -29,8 +29,9 @@
 	return server.URL
 }
 
-// TestPollerFollowsItsTargets polls a changing set and tells reports from
-// failures, a report under another upstream's name among them.
+// TestPollerFollowsItsTargets polls a changing set of upstreams and checks that
+// reports and failures are distinguished. A report under another upstream's
+// name is a failure.
 func TestPollerFollowsItsTargets(t *testing.T) {
 	events := make(chan scheduler.Event)
 	rounds := make(chan struct{})
@@ -58,8 +59,8 @@
 	require.Equal(t, scheduler.Unreachable{Upstream: "worker-3"}, <-events)
 }
 
-// An engine reports nonsense and gets no work. An operator who looks for the
-// reason must find one line of it in the log, not four thousand an hour.
+// An engine sends invalid reports and gets no requests. Operators who search
+// for the reason must find one log line, not four thousand an hour.
 func TestRefusedReportsAreLoggedOnce(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"upstream":"u","boot":"1","running":-1}`))
--- a/transport/upstream/report.go
+++ b/transport/upstream/report.go
@@ -10,8 +10,9 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Bounds of a load report. They are far above any real engine and keep a
-// broken one from filling a router's memory or winning all of its work.
+// Limits of a load report. They are far above those of any real engine and
+// prevent a faulty engine from filling a router's memory or attracting all of
+// its requests.
 const (
 	maxReportBytes = 1 << 20
 	maxSlots       = 1 << 16
@@ -19,14 +20,14 @@
 	maxNameBytes   = 256
 )
 
-// ReportError is a load report that cannot be right.
+// ReportError is the error of an invalid or missing load report.
 type ReportError struct {
 	Upstream state.Upstream
 	Reason   string
 	Cause    error
 }
 
-// Error names the upstream and the reason.
+// Error returns a text with the upstream, the reason and the cause.
 func (e *ReportError) Error() string {
 	text := fmt.Sprintf("upstream: load report of %s: %s", e.Upstream, e.Reason)
 	if e.Cause != nil {
@@ -38,7 +39,7 @@
 // Unwrap returns the cause, which may be nil.
 func (e *ReportError) Unwrap() error { return e.Cause }
 
-// FetchReport reads an upstream's load report.
+// FetchReport fetches and checks an upstream's load report.
 func FetchReport(ctx context.Context, client *http.Client, baseURL string, upstream state.Upstream) (state.LoadReport, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, baseURL+"/load", nil)
 	if err != nil {
@@ -54,14 +55,15 @@
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxReportBytes))
 	if err != nil {
-		return state.LoadReport{}, &ReportError{Upstream: upstream, Reason: "no whole answer", Cause: err}
+		return state.LoadReport{}, &ReportError{Upstream: upstream, Reason: "incomplete answer", Cause: err}
 	}
 	return DecodeReport(upstream, body)
 }
 
 // DecodeReport decodes and checks the load report of an upstream. A report that
-// names another upstream was crossed or comes from a reused address; taken for
-// this one's, it would send work and orders by the wrong load.
+// names another upstream belongs to another request or comes from a reused
+// address. If it were accepted, requests and orders would be sent based on the
+// wrong load.
 func DecodeReport(upstream state.Upstream, body []byte) (state.LoadReport, error) {
 	var report state.LoadReport
 	if err := json.Unmarshal(body, &report); err != nil {
@@ -73,7 +75,7 @@
 	return report, nil
 }
 
-// CheckReport returns a *ReportError if nothing may go by the report.
+// CheckReport returns a *ReportError if the report is invalid.
 func CheckReport(upstream state.Upstream, report state.LoadReport) error {
 	if reason := reportFault(upstream, report); reason != "" {
 		return &ReportError{Upstream: upstream, Reason: reason}
@@ -81,7 +83,8 @@
 	return nil
 }
 
-// reportFault returns what is wrong with a report, or nothing.
+// reportFault returns the reason for which a report is invalid, or an empty
+// string.
 func reportFault(upstream state.Upstream, report state.LoadReport) string {
 	switch {
 	case report.Upstream != upstream:
--- a/transport/upstream/report_test.go
+++ b/transport/upstream/report_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzDecodeReport feeds answers of any upstream, broken ones too. Whatever is
-// accepted must be within bounds and must survive another round.
+// FuzzDecodeReport decodes arbitrary answers. A report that is accepted must be
+// within the limits and must be unchanged after encoding and decoding it again.
 func FuzzDecodeReport(f *testing.F) {
 	f.Add([]byte(`{"upstream":"u","boot":"u-1","running":1,"waiting":2,"slots":8,"models":["m"]}`))
 	f.Add([]byte(`{"upstream":"other","boot":"u-1"}`))
