--- a/transport/conntrack/conn.go
+++ b/transport/conntrack/conn.go
@@ -11,29 +11,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is a tracked connection. It is unused from when it is accepted, or its
-// last request was answered, until bytes of the next request are there.
+// conn is a tracked connection. It is unused from its acceptance, or from the
+// end of its last answer, until bytes of the next request were received.
 type conn struct {
 	*net.TCPConn
 	raw syscall.RawConn
 
 	mu   sync.Mutex
 	busy bool
-	// readAhead is set if bytes were read since the last ones were written.
+	// readAhead is set if bytes were read since the last write.
 	readAhead bool
 	// answered is set once a request was answered.
 	answered bool
-	// unusedSince is when it was last used, or accepted.
+	// unusedSince is the time of the last answer, or of the acceptance.
 	unusedSince time.Time
-	// closing is set once it is to be closed as unused.
+	// closing is set once the connection is to be closed as unused.
 	closing bool
 }
 
 // Read implements net.Conn. The close of an unused connection may cross the
-// arrival of a request, and a request that was read and dropped is lost to its
-// caller, who cannot know whether it ran. So reading and the decision to close
-// exclude each other: a connection that bytes were read from is not closed, and
-// from one that is to be closed nothing is read, which callers see as a reset.
+// arrival of a request. A request that was read and then dropped is lost to its
+// caller, who cannot know whether it ran. Therefore reading and the decision to
+// close exclude each other: a connection is not closed after bytes were read
+// from it, and nothing is read once it is to be closed, so that its caller sees
+// a reset.
 func (c *conn) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -56,7 +57,7 @@
 	}
 }
 
-// tryRead reads what is there.
+// tryRead reads available bytes without blocking.
 func (c *conn) tryRead(fd int, p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,33 +82,35 @@
 	return c.TCPConn.Write(p)
 }
 
-// ReadFrom implements io.ReaderFrom, which net/http takes instead of Write.
-func (c *conn) ReadFrom(from io.Reader) (int64, error) {
+// ReadFrom implements io.ReaderFrom, which net/http uses instead of Write.
+func (c *conn) ReadFrom(source io.Reader) (int64, error) {
 	c.beginAnswer()
-	return c.TCPConn.ReadFrom(from)
+	return c.TCPConn.ReadFrom(source)
 }
 
-// beginAnswer notes that bytes are written. It comes before the write: the caller's
-// next request may be read before a write returns.
+// beginAnswer records that bytes are being written. It must be called before
+// the write, because the caller's next request may be read before the write
+// returns.
 func (c *conn) beginAnswer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readAhead = false
 }
 
-// markBusy notes that the server has a request, which it may have had in its
-// buffers: of pipelined requests only the first one is read from here.
+// markBusy records that the server handles a request. The server may have had
+// the request in its buffers: of pipelined requests, only the first one is read
+// from this connection.
 func (c *conn) markBusy() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.busy = true
 }
 
-// markUnused notes that the last request was answered. Bytes that were read
-// after the answer are those of the next one, which the server may hold in its
-// buffers already. Nothing further would be read of it, and a close would lose
-// it; the connection stays busy. A request's own body is always read before its
-// answer is written, or the server closes the connection.
+// markUnused records that the last request was answered. Bytes that were read
+// after the answer belong to the next request, which the server may already
+// hold in its buffers. No further read would show that request, and a close
+// would lose it, so the connection stays busy. The body of a request is always
+// read before its answer is written, or the server closes the connection.
 func (c *conn) markUnused(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,15 +124,16 @@
 	return c.busy && !c.closing
 }
 
-// closeUnused closes the connection if it is unused and a condition on it holds.
+// closeUnused closes the connection if it is unused and fulfils a condition.
 func (c *conn) closeUnused(condition func(c *conn) bool) {
 	if c.markClosing(condition) {
 		_ = c.Close()
 	}
 }
 
-// markClosing says whether the connection is to be closed. One whose next request has
-// arrived but was not read yet is busy: its caller gets an answer, not a reset.
+// markClosing reports whether the connection is to be closed. A connection
+// whose next request was received by the kernel but not read yet is busy: its
+// caller gets an answer, not a reset.
 func (c *conn) markClosing(condition func(c *conn) bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,15 +145,16 @@
 	return c.closing
 }
 
-// hasUnreadBytes looks at what the kernel has received and takes nothing of it.
+// hasUnreadBytes reports whether the kernel has received bytes that were not
+// read yet. It does not consume them.
 func (c *conn) hasUnreadBytes() bool {
 	n, recvErr, err := Peek(c.raw)
 	return err == nil && recvErr == nil && n > 0
 }
 
-// Peek looks at what the kernel has received on a connection and takes nothing
-// of it: the number of bytes, at most one, or with what the call failed. The last
-// error is that the connection is closed at this end.
+// Peek checks for received bytes on a connection without consuming them. n is
+// the number of bytes, at most one. recvErr is the error of the receive call,
+// and closedErr is set if the connection is closed at this end.
 func Peek(raw syscall.RawConn) (n int, recvErr, closedErr error) {
 	var first [1]byte
 	closedErr = raw.Control(func(fd uintptr) {
--- a/transport/conntrack/doc.go
+++ b/transport/conntrack/doc.go
@@ -1,3 +1,3 @@
 // Package conntrack tracks the connections of an HTTP server, so that unused
-// ones can be closed, and the server stopped, without losing a request.
+// ones can be closed, and the server can be stopped, without losing a request.
 package conntrack
--- a/transport/conntrack/tracker.go
+++ b/transport/conntrack/tracker.go
@@ -11,62 +11,66 @@
 	"time"
 )
 
-// drainPollInterval is how often Drain looks whether requests are still under way.
+// drainPollInterval is the interval at which Drain checks whether requests are
+// still running.
 const drainPollInterval = 10 * time.Millisecond
 
-// errNotTCP is returned by Accept for a connection of another kind.
-var errNotTCP = errors.New("conntrack: the listener is not of TCP")
+// errNotTCP is the error of Accept for a connection that is not a TCP
+// connection.
+var errNotTCP = errors.New("conntrack: the listener is not a TCP listener")
 
-// ErrStopping is the cause with which CutOff ends the contexts of requests. Their
-// callers still get an answer; the mere close of their connections would leave
-// them to guess.
+// ErrStopping is the cause with which CancelRequests cancels the contexts of
+// requests. Their callers still get an answer. If their connections were only
+// closed, callers could not know whether their requests ran.
 var ErrStopping = errors.New("conntrack: the server stops")
 
-// IsCancelled says whether CutOff has ended a request's context.
+// IsCancelled reports whether CancelRequests has cancelled a request's context.
 func IsCancelled(ctx context.Context) bool { return errors.Is(context.Cause(ctx), ErrStopping) }
 
 // Tracker tracks the connections of one HTTP server. It is safe for concurrent
 // use.
 type Tracker struct {
 	now func() time.Time
-	// baseContext is the context of all requests, which cutOff ends.
+	// baseContext is the parent context of all requests. cancelRequests cancels
+	// it.
 	baseContext    context.Context
 	cancelRequests context.CancelCauseFunc
-	// accepting counts the calls of Accept, which may be about to add a
-	// connection.
+	// accepting is the number of running calls of Accept, which may be about to
+	// add a connection.
 	accepting atomic.Int64
 	mu        sync.Mutex
 	conns     map[*conn]struct{}
 }
 
-// New returns a tracker with a clock.
+// New returns a tracker that uses the given clock.
 func New(now func() time.Time) *Tracker {
 	t := &Tracker{now: now, conns: make(map[*conn]struct{})}
 	t.baseContext, t.cancelRequests = context.WithCancelCause(context.Background())
 	return t
 }
 
-// BaseContext is the server's hook for the context of its requests.
+// BaseContext is the server's BaseContext hook.
 func (t *Tracker) BaseContext(net.Listener) context.Context { return t.baseContext }
 
-// CancelRequests ends the contexts of the requests under way, and of any to come.
+// CancelRequests cancels the contexts of all running and later requests.
 func (t *Tracker) CancelRequests() { t.cancelRequests(ErrStopping) }
 
-// Listener returns a listener whose connections are tracked; inner must be of
-// TCP. The server must call StateChanged. What wraps the connections must give
-// the inner one by NetConn. Those of HTTP/2 are left to the server, whose
-// Shutdown tells their callers which requests it has not taken.
+// Listener returns a listener whose connections are tracked. inner must be a
+// TCP listener. The server must call StateChanged, and wrappers of connections
+// must return the inner one by a method NetConn. HTTP/2 connections are left to
+// the server, whose Shutdown informs callers which of their requests it has not
+// accepted.
 func (t *Tracker) Listener(inner net.Listener) net.Listener {
 	return &listener{Listener: inner, tracker: t}
 }
 
-// StateChanged is the server's hook on the state of connections.
-func (t *Tracker) StateChanged(of net.Conn, state http.ConnState) {
-	c, ok := trackedConn(of)
+// StateChanged is the server's ConnState hook.
+func (t *Tracker) StateChanged(netConn net.Conn, state http.ConnState) {
+	c, ok := trackedConn(netConn)
 	if !ok {
 		return
 	}
-	if speaksHTTP2(of) {
+	if speaksHTTP2(netConn) {
 		t.remove(c)
 		return
 	}
@@ -80,36 +84,37 @@
 	}
 }
 
-// trackedConn finds the tracked connection below TLS and other wrappers.
-func trackedConn(of net.Conn) (*conn, bool) {
+// trackedConn returns the tracked connection below TLS and other wrappers.
+func trackedConn(netConn net.Conn) (*conn, bool) {
 	for {
-		if c, ok := of.(*conn); ok {
+		if c, ok := netConn.(*conn); ok {
 			return c, true
 		}
-		wrapper, ok := of.(interface{ NetConn() net.Conn })
+		wrapper, ok := netConn.(interface{ NetConn() net.Conn })
 		if !ok {
 			return nil, false
 		}
-		of = wrapper.NetConn()
+		netConn = wrapper.NetConn()
 	}
 }
 
-// speaksHTTP2 says whether a connection is of HTTP/2. Frames come on it also
-// when no request is under way, so that what was read does not tell of one.
-func speaksHTTP2(of net.Conn) bool {
-	secured, ok := of.(*tls.Conn)
-	return ok && secured.ConnectionState().NegotiatedProtocol == "h2"
+// speaksHTTP2 reports whether a connection uses HTTP/2. Frames also arrive on
+// such a connection while no request is running, so bytes that were read do not
+// indicate a request.
+func speaksHTTP2(netConn net.Conn) bool {
+	tlsConn, ok := netConn.(*tls.Conn)
+	return ok && tlsConn.ConnectionState().NegotiatedProtocol == "h2"
 }
 
 // CloseIdle closes the connections that have waited for a further request for
-// longer than a limit. Those that wait for their first are left to the server's
-// ReadHeaderTimeout.
+// longer than a limit. Connections that wait for their first request are left
+// to the server's ReadHeaderTimeout.
 func (t *Tracker) CloseIdle(limit time.Duration) {
 	now := t.now()
 	t.closeUnused(func(c *conn) bool { return c.answered && now.Sub(c.unusedSince) > limit })
 }
 
-// closeUnused closes the unused connections that a condition holds for.
+// closeUnused closes the unused connections that fulfil a condition.
 func (t *Tracker) closeUnused(condition func(c *conn) bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,8 +123,8 @@
 	}
 }
 
-// Busy counts the connections on which a request, or a part of one, was read
-// that is not yet answered.
+// Busy returns the number of connections from which a request, or a part of
+// one, was read that is not answered yet.
 func (t *Tracker) Busy() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,11 +137,11 @@
 	return busy
 }
 
-// Drain waits until no request is under way and closes the connections. Until
-// then the server goes on answering: http.Server.Shutdown closes a connection
-// without an answer when a request arrives on it meanwhile, and a caller whose
-// request must not run twice cannot send it again. The listener must be closed
-// already. Drain returns false once the time for it has expired.
+// Drain waits until no request is running and closes the connections. Until
+// then the server continues to answer: http.Server.Shutdown would close a
+// connection without an answer if a request arrives on it meanwhile, and a
+// caller whose request must not run twice cannot send it again. The listener
+// must already be closed. Drain returns false once expired returns true.
 func (t *Tracker) Drain(expired func() bool) bool {
 	for !t.closeUnlessBusy() {
 		if expired() {
@@ -152,7 +157,7 @@
 		return false
 	}
 	t.closeUnused(func(*conn) bool { return true })
-	// A request may have arrived between the two looks.
+	// A request may have arrived between the two checks.
 	return t.Busy() == 0
 }
 
--- a/transport/conntrack/tracker_test.go
+++ b/transport/conntrack/tracker_test.go
@@ -18,13 +18,14 @@
 )
 
 // fixture is an HTTP server whose connections are tracked. Requests for /held
-// wait until the test releases them, those for /flushed after their answer.
+// wait until the test releases them before they are answered, those for
+// /flushed afterwards.
 type fixture struct {
 	tracker  *Tracker
 	listener net.Listener
 	address  string
 	useTLS   bool
-	// seconds is the time.
+	// seconds is the clock's time in Unix seconds.
 	seconds atomic.Int64
 	started chan struct{}
 	release chan struct{}
@@ -37,14 +38,15 @@
 	return f
 }
 
-// serveTLS serves over TLS, within the given limit on the time for a head.
+// serveTLS serves over TLS with a limit on the time to receive a request's
+// head.
 func serveTLS(t *testing.T, headerTimeout time.Duration) *fixture {
 	t.Helper()
 	f, server := newFixture(t)
 	f.useTLS = true
-	certified := httptest.NewTLSServer(http.NotFoundHandler())
-	certified.Close()
-	server.TLSConfig = &tls.Config{Certificates: certified.TLS.Certificates}
+	certificateServer := httptest.NewTLSServer(http.NotFoundHandler())
+	certificateServer.Close()
+	server.TLSConfig = &tls.Config{Certificates: certificateServer.TLS.Certificates}
 	server.ReadHeaderTimeout = headerTimeout
 	server.ErrorLog = log.New(io.Discard, "", 0)
 	go func() { _ = server.ServeTLS(f.tracker.Listener(f.listener), "", "") }()
@@ -82,7 +84,7 @@
 	<-f.release
 }
 
-// caller is a caller's end of a connection.
+// caller is the caller's end of a connection.
 type caller struct {
 	net.Conn
 	reader *bufio.Reader
@@ -94,9 +96,9 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	if f.useTLS {
-		secured := tls.Client(conn, &tls.Config{InsecureSkipVerify: true})
-		_ = secured.Handshake()
-		conn = secured
+		tlsConn := tls.Client(conn, &tls.Config{InsecureSkipVerify: true})
+		_ = tlsConn.Handshake()
+		conn = tlsConn
 	}
 	return &caller{conn, bufio.NewReader(conn)}
 }
@@ -116,8 +118,8 @@
 	require.Equal(t, "whole", string(body))
 }
 
-// open says whether the other end still holds the connection open; it looks for
-// a moment only.
+// open reports whether the other end keeps the connection open. It waits for 10
+// ms only.
 func (c *caller) open() bool {
 	_ = c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 	_, err := c.reader.ReadByte()
@@ -145,13 +147,14 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// awaitReadAhead waits until the server has read beyond its answer.
+// awaitReadAhead waits until the server has read more bytes after its answer.
 func (f *fixture) awaitReadAhead(t *testing.T) {
 	t.Helper()
 	require.Eventually(t, f.tracker.hasReadAhead, 10*time.Second, time.Millisecond)
 }
 
-// hasReadAhead says whether more was read on a connection after its last answer.
+// hasReadAhead reports whether more bytes were read from a connection after its
+// last answer.
 func (t *Tracker) hasReadAhead() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,9 +168,9 @@
 	return false
 }
 
-// Operators raise the limit on unused connections. Callers then count on theirs
-// for longer; one that is closed by the old limit costs them a new connection,
-// and the request that crosses the close may be lost.
+// Operators raise the limit on unused connections, and callers rely on it. A
+// connection that is closed by the old limit costs a new connection, and a
+// request that crosses the close may be lost.
 func TestIdleConnectionsCloseAtTheCurrentLimit(t *testing.T) {
 	f := serve(t)
 	idle, busy, neverUsed := f.dial(t), f.dial(t), f.dial(t)
@@ -189,9 +192,9 @@
 	busy.receive(t)
 }
 
-// A router stops while a page is under way. On a connection that was opened
-// before, a caller sends a request meanwhile: it is answered. The connections
-// are closed once nothing is under way, among them one that was never used.
+// A router stops while a request runs. A caller sends another request on an
+// open connection meanwhile, and it must be answered. All connections are
+// closed once no request is running, also a connection that was never used.
 func TestDrainAnswersRequestsThatArriveMeanwhile(t *testing.T) {
 	f := serve(t)
 	blocked, second, unused := f.dial(t), f.dial(t), f.dial(t)
@@ -223,8 +226,8 @@
 	blocked.receive(t)
 }
 
-// Half of a request's head was read when its connection is to be closed as
-// unused: it stays open, and the request is answered.
+// A part of a request's head was read when its connection is to be closed as
+// unused. The connection must stay open, and the request must be answered.
 func TestPartlyReadRequestKeepsItsConnection(t *testing.T) {
 	f := serve(t)
 	read, closed := f.dial(t), f.dial(t)
@@ -239,10 +242,10 @@
 	read.receive(t)
 }
 
-// A request's bytes have arrived and nothing has read them yet, as the processor
-// is used up. Its connection is not closed as unused: its caller would see a
-// reset where an answer could have been given. Once a connection is to be
-// closed, nothing is read from it any more.
+// The kernel has received a request's bytes, but they were not read as the CPU
+// is fully used. The connection must not be closed as unused, or its caller
+// would see a reset instead of an answer. Once a connection is to be closed,
+// nothing may be read from it.
 func TestUnreadBytesKeepAConnection(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -276,7 +279,7 @@
 	require.ErrorIs(t, err, net.ErrClosed)
 }
 
-// The tracker holds nothing of connections that are gone.
+// The tracker must not keep closed connections.
 func TestClosedConnectionsAreRemoved(t *testing.T) {
 	f := serve(t)
 	for range 3 {
@@ -288,11 +291,10 @@
 	f.awaitOpen(t, 0)
 }
 
-// A caller sends its next request as soon as it has its answer, which was
-// flushed before the handler returned. The router's stop then closed the
-// connection while that request ran: over TLS, and with two requests in one
-// segment, the server had it in its buffers when the first one ended, so that no
-// further read told of it.
+// A caller sends its next request as soon as it has an answer that was flushed
+// before its handler returned. The server then has that request in its buffers,
+// over TLS or with two requests in one segment, and no further read shows it. A
+// stop closed the connection while the request ran.
 func TestRequestReadAheadKeepsTheConnectionBusy(t *testing.T) {
 	for name, f := range map[string]*fixture{"plain": serve(t), "TLS": serveTLS(t, time.Minute)} {
 		t.Run(name, func(t *testing.T) {
@@ -312,9 +314,9 @@
 	}
 }
 
-// A caller sends two requests at once. The second is read ahead with the first;
-// while it runs, the connection counts as busy though nothing is read from it.
-// Closed as unused, it cut off a request that an upstream was running.
+// A caller sends two requests at once, and the second is read together with the
+// first. While it runs, the connection is busy although nothing is read from
+// it. When it was closed as unused, a running request was cut off.
 func TestPipelinedRequestKeepsTheConnectionBusy(t *testing.T) {
 	f := serve(t)
 	c := f.dial(t)
@@ -328,9 +330,9 @@
 	c.receive(t)
 }
 
-// A caller opens a connection over TLS ahead of its first request, which never
-// comes. Its handshake counts as a part of a request; the server's limit on the
-// time for a head ends that, so that it does not hold a stop for longer.
+// A caller opens a TLS connection in advance and never sends a request. Its
+// handshake counts as a part of a request. The server's limit on the time to
+// receive a head ends that, so that a stop does not wait longer.
 func TestHandshakeAloneDoesNotDelayADrain(t *testing.T) {
 	f := serveTLS(t, 100*time.Millisecond)
 	unused := f.dial(t)
@@ -339,9 +341,9 @@
 	unused.awaitClosed(t)
 }
 
-// Frames come on a connection of HTTP/2 also when no request is under way. A
-// drain that waited for their answers would not end, and one that closed the
-// connection would lose a request that arrives.
+// On an HTTP/2 connection, frames also arrive while no request is running. A
+// drain that waited for answers to them would not end, and a drain that closed
+// the connection would lose a request that arrives.
 func TestHTTP2IsLeftToTheServer(t *testing.T) {
 	f := serveTLS(t, time.Minute)
 	transport := &http.Transport{TLSClientConfig: &tls.Config{InsecureSkipVerify: true}, ForceAttemptHTTP2: true}
