--- a/transport/pause/pause.go
+++ b/transport/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits by the machine's clock and gives up with a context.
+// Package pause sleeps for a duration and stops early when a context ends.
 package pause
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// For waits for a duration and returns nil, or the context's error if that
-// ends first. A duration that is not positive waits for nothing.
+// For sleeps for a duration and returns nil, or the context's error if the
+// context ends first. If the duration is not positive, it returns at once.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
