--- a/transport/boottime/boottime.go
+++ b/transport/boottime/boottime.go
@@ -1,6 +1,7 @@
-// Package boottime is a clock that goes on while the VM is suspended. Go's own
-// monotonic clock stops then, so ages and deadlines taken from it come out too
-// young after a pause, and the time of day may jump either way.
+// Package boottime provides a clock that continues while the VM is suspended.
+// Go's monotonic clock stops during a suspension, so ages and deadlines
+// computed from it would be too short afterwards, and the wall clock may jump
+// in either direction.
 package boottime
 
 import (
@@ -9,23 +10,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// start is the reading of the boot clock that maps to the zero time below.
+// start is the reading of the boot clock at the start of the process. It
+// corresponds to origin.
 var start = read()
 
-// origin makes the readings ordinary times without a monotonic part, so that
-// Sub compares boot readings only.
+// origin is added to the readings. It has no monotonic part, so that Sub only
+// compares readings of the boot clock.
 var origin = time.Unix(1, 0)
 
 func read() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The call cannot fail on Linux with a valid clock; a kernel without
-		// it still has the monotonic one.
+		// The call cannot fail on Linux with a valid clock. A kernel without
+		// CLOCK_BOOTTIME still has the monotonic clock.
 		_ = unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts)
 	}
 	return time.Duration(ts.Nano())
 }
 
-// Now returns a time that is only good for differences with others of this
-// process.
+// Now returns the current time. It may only be compared with other times of
+// this process that Now has returned.
 func Now() time.Time { return origin.Add(read() - start) }
