--- a/transport/endtoend/endtoend.go
+++ b/transport/endtoend/endtoend.go
@@ -1,5 +1,5 @@
-// Package endtoend tells the headers that are meant for the other end of a
-// request from those that concern one connection only.
+// Package endtoend separates the headers of a message that are meant for its
+// final receiver from those that concern a single connection.
 package endtoend
 
 import (
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// hopByHopHeaders concern one connection only and are not passed on.
+// hopByHopHeaders are the headers that concern a single connection and are not
+// forwarded.
 var hopByHopHeaders = map[string]bool{
 	"Connection":          true,
 	"Expect":              true,
@@ -22,12 +23,12 @@
 	"Content-Length":      true,
 }
 
-// internalPrefix marks headers that only the project's own processes set. They are
-// dropped on the way through, so that a caller cannot pose as a router nor an
-// upstream state a result.
+// internalPrefix is the prefix of headers that only the project's own processes
+// set. They are not forwarded, so that a caller cannot impersonate a router,
+// and an upstream cannot state a result.
 const internalPrefix = "Figstile-"
 
-// Copy copies the headers that are meant for the other end.
+// Copy copies the headers that are meant for the final receiver.
 func Copy(to, from http.Header) {
 	for name, values := range from {
 		if hopByHopHeaders[name] || strings.HasPrefix(name, internalPrefix) {
