--- a/transport/problem/problem.go
+++ b/transport/problem/problem.go
@@ -1,4 +1,4 @@
-// Package problem writes refusals as problem documents, after RFC 9457.
+// Package problem writes refusals as problem documents according to RFC 9457.
 package problem
 
 import (
@@ -10,17 +10,17 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// The headers that state a result.
+// The headers that contain a result.
 const (
 	HeaderResult = "Figstile-Result"
 	HeaderRan    = "Figstile-Ran"
 )
 
-// defaultRetryAfter is when a refusal that carries Retry-After asks the caller
-// to come back if nobody knows better.
+// defaultRetryAfter is the Retry-After time of a result that asks callers to
+// retry without giving a time.
 const defaultRetryAfter = time.Second
 
-// Document is the body of a refusal, after RFC 9457.
+// Document is the body of a refusal, a problem document according to RFC 9457.
 type Document struct {
 	Type   string      `json:"type"`
 	Title  string      `json:"title"`
@@ -30,7 +30,7 @@
 	Ran    string      `json:"ran"`
 }
 
-// NewDocument describes a result.
+// NewDocument returns the problem document of a result.
 func NewDocument(res result.Result) Document {
 	entry := result.Lookup(res.Code)
 	detail := res.Detail
@@ -47,8 +47,8 @@
 	}
 }
 
-// Write answers with a refusal. Times to come back are rounded up to whole
-// seconds unless the header is set already.
+// Write answers a request with a refusal. The Retry-After time is rounded up to
+// whole seconds, and the header is left unchanged if it is already set.
 func Write(w http.ResponseWriter, res result.Result) {
 	document := NewDocument(res)
 	header := w.Header()
@@ -65,13 +65,14 @@
 	_ = json.NewEncoder(w).Encode(document)
 }
 
-// SetResult states a result in an answer's header.
+// SetResult sets the headers that contain a result.
 func SetResult(header http.Header, res result.Result) {
 	header.Set(HeaderResult, strconv.Itoa(int(res.Code)))
 	header.Set(HeaderRan, res.Ran.String())
 }
 
-// retryAfterSeconds rounds up: a caller that comes back early is refused again.
+// retryAfterSeconds returns the Retry-After time in seconds, or 0 for none. It
+// rounds up, because a caller that retries too early is refused again.
 func retryAfterSeconds(res result.Result) int64 {
 	after := res.RetryAfter
 	if after <= 0 && result.Lookup(res.Code).Retry {
