--- a/transport/edge/catalogue.go
+++ b/transport/edge/catalogue.go
@@ -37,7 +37,8 @@
 	log        zerolog.Logger
 	now        func() time.Time
 
-	// decodeMu is held while a configuration is decoded, without mu.
+	// decodeMu serialises the decoding of configurations, during which mu is
+	// not held.
 	decodeMu sync.Mutex
 
 	mu     sync.Mutex
@@ -191,10 +192,10 @@
 }
 
 // mayHaveExpired reports whether an entry that the store no longer holds may
-// only have expired while the store was unavailable. This router cannot
-// distinguish that from a partition between itself and the store, so only
-// removals read from the store are in doubt: a peer sends a removal only after
-// confirming it.
+// have expired only because the store was unavailable. This router cannot
+// distinguish an outage of the store from a partition between itself and the
+// store, so removals that it reads from the store are in doubt. Removals from
+// peers are not: a peer sends a removal only after confirming it.
 func (c *catalogue) mayHaveExpired(o Object, entry directory.Entry) bool {
 	id := state.Upstream(o.Name)
 	current, _ := c.directory.Entry(id)
--- a/transport/edge/config_transfer.go
+++ b/transport/edge/config_transfer.go
@@ -46,7 +46,8 @@
 }
 
 // encodedConfig returns the current configuration for a peer that holds
-// heldRevision of it, or 0 if it holds none.
+// heldRevision of it, or 0 if it holds none. A large configuration is encoded
+// as a delta of that revision, if this router still holds it.
 func (c *catalogue) encodedConfig(heldRevision uint64) (*peerpb.ConfigObject, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/transport/edge/dispatcher.go
+++ b/transport/edge/dispatcher.go
@@ -38,7 +38,8 @@
 	retryBudgets map[state.Service]*budget.Budget
 	quarantined  *quarantine.List
 	// suspicions are requests whose connection to an upstream broke. lostRuns
-	// are the runs of the upstreams that they were sent to.
+	// are the runs of the upstreams that they were sent to. A run lasts from
+	// the start of an upstream's process to its end.
 	suspicions      quarantine.Suspicions
 	lostRuns        map[state.Upstream]quarantine.Run
 	refusedRequests admission.RetryTracker
--- a/transport/edge/dispatcher_peers.go
+++ b/transport/edge/dispatcher_peers.go
@@ -21,7 +21,8 @@
 }
 
 // takeLoadSums returns the sums of the loads of all routers on this side of a
-// link: all sums, or only those that changed since the last call.
+// link: all sums, or only those that changed since the last call. The links of
+// a fleet form a tree, so each link divides the routers into two sides.
 func (d *dispatcher) takeLoadSums(peer state.Router, all bool) map[state.Upstream]placement.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/transport/edge/fleet.go
+++ b/transport/edge/fleet.go
@@ -18,12 +18,12 @@
 const (
 	// tickInterval is the interval of the fleet's periodic task.
 	tickInterval = 100 * time.Millisecond
-	// heartbeatInterval is the interval at which a router sends to its peers if
-	// nothing has changed.
+	// heartbeatInterval is the interval at which a router sends a message to
+	// its peers if nothing has changed.
 	heartbeatInterval = 400 * time.Millisecond
 	// loadsInterval is the interval at which this router sends its load to
-	// peers. At ten reports a second and twenty requests a second per engine,
-	// peers miss two requests per engine.
+	// peers. With ten reports a second and twenty requests a second per engine,
+	// peers do not know of up to two requests per engine.
 	loadsInterval = 100 * time.Millisecond
 	// fullSumsInterval is the interval at which all sums are sent again over a
 	// link, including those of upstreams that one side did not know before.
@@ -40,7 +40,7 @@
 	// so other routers must not send it further prompts meanwhile.
 	longPromptTokens = 3000
 	// spendingInterval is the interval at which the usage of workspaces is
-	// sent. Shares are computed over seconds.
+	// sent. It is longer, because shares are computed over a window of seconds.
 	spendingInterval = 250 * time.Millisecond
 	// maxTickDelay is the time between two ticks above which the process is
 	// assumed to have been paused or to lack CPU time. resumeGrace is the time
@@ -101,7 +101,8 @@
 	lastFailure time.Time
 	// readingStore is set while this router reads the store.
 	readingStore bool
-	// noReaderSince is the last time at which a peer claimed to read the store.
+	// noReaderSince is the time since which no peer has claimed to read the
+	// store.
 	noReaderSince time.Time
 	catchUp       exchange.CatchUp
 	fetch         exchange.Fetch
@@ -175,7 +176,8 @@
 	}
 }
 
-// updatePressure logs when the router becomes overloaded or recovers.
+// updatePressure updates the pressure on each tick and logs when the router
+// becomes overloaded or recovers.
 func (f *fleet) updatePressure(sinceLastTick time.Duration) {
 	p := f.dispatcher.pressure
 	overloaded, changed := p.observe(min(max(sinceLastTick-tickInterval, 0), time.Second), sinceLastTick)
--- a/transport/edge/fleet_test.go
+++ b/transport/edge/fleet_test.go
@@ -169,9 +169,9 @@
 }
 
 // A router starts and receives the configuration from a peer. If that peer
-// follows the store, a caller with an unknown key is refused for good. If it
-// does not, the key may have been added meanwhile, and the caller must be able
-// to retry.
+// follows the store, a caller with an unknown key is refused without a retry.
+// If it does not, the key may have been added meanwhile, and the caller must be
+// able to retry.
 func TestCatalogueFromAReaderIsCurrent(t *testing.T) {
 	for _, reads := range []bool{true, false} {
 		f := newFixture()
--- a/transport/edge/flood_test.go
+++ b/transport/edge/flood_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// CPU times of a small VM's operations, in time of a whole core, and the shape
-// of the streams that it relays.
+// The CPU time that operations take on a whole core, and the shape of the
+// streams that a small VM relays.
 const (
 	floodAcceptCost  = 16 * time.Microsecond
 	floodListenCost  = 40 * time.Microsecond
@@ -63,8 +63,8 @@
 	return vm
 }
 
-// useCPU advances the clock by the time that the VM's share of a core needs for
-// a CPU time of a whole core.
+// useCPU advances the clock by the time that the VM needs, with its share of a
+// core, for work that takes cost on a whole core.
 func (vm *floodedVM) useCPU(cost time.Duration) {
 	vm.now = vm.now.Add(time.Duration(float64(cost) / smallVMCores))
 }
--- a/transport/edge/lapse_test.go
+++ b/transport/edge/lapse_test.go
@@ -199,7 +199,8 @@
 	}
 }
 
-// Lists what peers may report of an upstream whose entry may have expired here.
+// Peers may report different states of an upstream whose entry may have expired
+// here. Only some of them confirm its removal.
 func TestPeerReportsOnAPossiblyExpiredEntry(t *testing.T) {
 	for name, c := range map[string]struct {
 		report Object
--- a/transport/edge/links.go
+++ b/transport/edge/links.go
@@ -57,7 +57,7 @@
 	f.performActions()
 }
 
-// tickOverlay runs the overlay's periodic task.
+// tickOverlay runs the overlay's periodic task and performs its actions.
 func (f *fleet) tickOverlay() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/transport/edge/messages.go
+++ b/transport/edge/messages.go
@@ -74,8 +74,8 @@
 	return n
 }
 
-// loads returns the loads of a message. ok is false if the message is
-// malformed.
+// loads returns the loads of a message. The second result is false if the
+// message is malformed.
 func (n upstreamNames) loads(m *peerpb.Loads) (map[state.Upstream]placement.Load, bool) {
 	if len(m.GetUpstreams()) != len(m.GetRunning()) || len(m.GetUpstreams()) != len(m.GetUnread()) {
 		return nil, false
@@ -90,8 +90,8 @@
 	return loads, true
 }
 
-// prompts returns the placed prompts of a message. ok is false if the message
-// is malformed.
+// prompts returns the placed prompts of a message. The second result is false
+// if the message is malformed.
 func (n upstreamNames) prompts(m *peerpb.Loads) ([]placement.PlacedPrompt, bool) {
 	if len(m.GetPromptUpstreams()) != len(m.GetPromptParts()) || len(m.GetParts()) != len(m.GetPartTokens()) {
 		return nil, false
--- a/transport/edge/observer.go
+++ b/transport/edge/observer.go
@@ -11,7 +11,8 @@
 	"github.com/figstile/figstile/transport/metrics"
 )
 
-// observer records finished requests in the metrics and counts their CPU cost.
+// observer records finished requests in the metrics, and counts refusals and
+// events in the CPU estimate.
 type observer struct {
 	metrics  *metrics.Metrics
 	pressure *pressure
--- a/transport/edge/pauses.go
+++ b/transport/edge/pauses.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// closedTimer measures the total time in which a router rejected all new
-// connections because its port was closed.
+// closedTimer measures the total time for which a router's port was closed, so
+// that it turned away all new connections.
 type closedTimer struct {
 	mu    sync.Mutex
 	since time.Time
--- a/transport/edge/publish.go
+++ b/transport/edge/publish.go
@@ -53,7 +53,7 @@
 	return max(minUrgentGap, time.Duration(len(peers))*urgentGapPerLink)
 }
 
-// publishConfirmedRemovals sends removals of upstreams to peers that were
+// publishConfirmedRemovals sends to peers the removals of upstreams that were
 // pending and are now confirmed.
 func (f *fleet) publishConfirmedRemovals() {
 	if removed := f.catalogue.confirmDueRemovals(); len(removed) > 0 {
@@ -96,8 +96,9 @@
 	f.mesh.SendEach(peers, env)
 }
 
-// publishLoads sends changed loads, or a heartbeat if nothing has changed for
-// heartbeatInterval. It returns the time of the last message to peers.
+// publishLoads sends changed loads, or a heartbeat if nothing was sent for
+// heartbeatInterval. In a tree, it sends them over the links of this router. It
+// returns the time of the last message to peers.
 func (f *fleet) publishLoads(now, last time.Time) time.Time {
 	placed, refused := f.dispatcher.takePlacedPrompts(), f.dispatcher.takeRefusedRequests()
 	peers, tree := f.receivers()
@@ -131,7 +132,7 @@
 	}
 }
 
-// sendLostRequest reports a request to peers that was running when an
+// sendLostRequest reports to peers a request that was running when an
 // upstream's run ended.
 func (f *fleet) sendLostRequest(fingerprint state.Fingerprint, run quarantine.Run) {
 	peers, _ := f.receivers()
@@ -141,9 +142,9 @@
 }
 
 func (f *fleet) readingEnvelope(reads bool) *peerpb.Envelope {
-	holding := f.catalogue.contentSummary()
+	summary := f.catalogue.contentSummary()
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Reading{Reading: &peerpb.Reading{
-		Store: reads, ConfigRevision: holding.ConfigRevision, Upstreams: holding.UpstreamsDigest,
+		Store: reads, ConfigRevision: summary.ConfigRevision, Upstreams: summary.UpstreamsDigest,
 	}}}
 }
 
--- a/transport/edge/receive.go
+++ b/transport/edge/receive.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// markAlive records that a message was received from a peer.
+// markAlive records that a message was received from a peer, which therefore is
+// alive.
 func (f *fleet) markAlive(from state.Router) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
