--- a/transport/ingress/admit.go
+++ b/transport/ingress/admit.go
@@ -15,8 +15,8 @@
 	"github.com/figstile/figstile/state/routing"
 )
 
-// admit reads and checks a request. If ok is false, it returns the result of
-// the refusal.
+// admit reads and checks a request. It returns true if the request may be sent,
+// or the result of its refusal and false.
 func (x *exchange) admit() (result.Result, bool) {
 	x.table = x.h.Dispatcher.Table()
 	if x.table == nil {
--- a/transport/ingress/bench_test.go
+++ b/transport/ingress/bench_test.go
@@ -23,7 +23,7 @@
 
 // BenchmarkStream relays a whole stream through the handler. The upstream and
 // the caller are plain loops over sockets, so most of the time is the router's:
-// about 0.36 ms for a request of sixty events, most of it in system calls.
+// 0.36 ms for a request of sixty events, most of it in system calls.
 func BenchmarkStream(b *testing.B) {
 	address := startRawEngine(b)
 	dispatcher := newScriptedDispatcher(benchTable())
