--- a/transport/caller/bench_test.go
+++ b/transport/caller/bench_test.go
@@ -21,7 +21,8 @@
 
 var benchEvent = []byte(`data: {"id":"chatcmpl-1","object":"chat.completion.chunk","model":"guide","choices":[{"index":0,"delta":{"content":"valley "},"finish_reason":null}],"usage":null}` + "\n\n")
 
-// BenchmarkScanToken is what counting adds to one token.
+// BenchmarkScanToken measures the cost of scanning and counting one token
+// event.
 func BenchmarkScanToken(b *testing.B) {
 	var s eventScanner
 	b.ReportAllocs()
@@ -46,7 +47,8 @@
 func (immediateScheduler) ReportProgress(state.RequestID, state.Cost)               {}
 func (immediateScheduler) ReportEnd(state.RequestID, state.Cost, scheduler.Outcome) {}
 
-// discardResponseWriter is a caller that reads everything at once.
+// discardResponseWriter stands for a caller that reads the whole answer without
+// delay.
 type discardResponseWriter struct{ header http.Header }
 
 func (d *discardResponseWriter) Header() http.Header         { return d.header }
@@ -79,8 +81,9 @@
 
 func servePage(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "a map") }
 
-// BenchmarkPage is one short request through the handler. BenchmarkPagePlain
-// is the same exchange without it; the difference is the router's part.
+// BenchmarkPage sends one short request through the handler. BenchmarkPagePlain
+// runs the same exchange directly against the upstream; the difference between
+// the two is the cost of the router.
 func BenchmarkPage(b *testing.B) {
 	h, _ := benchHandler(b, servePage)
 	b.ReportAllocs()
@@ -105,8 +108,8 @@
 	}
 }
 
-// BenchmarkStream relays drafts of different lengths; the difference between
-// two, divided by the tokens between them, is the cost of one token.
+// BenchmarkStream relays streams of two lengths. The difference between the two
+// results, divided by the difference in tokens, is the cost of one token.
 func BenchmarkStream(b *testing.B) {
 	for _, tokens := range []int{10, 1010} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
--- a/transport/caller/budget.go
+++ b/transport/caller/budget.go
@@ -2,7 +2,9 @@
 
 import "sync"
 
-// budget bounds what a router's requests hold in memory together.
+// budget limits the number of requests in progress in a router and the memory
+// that their bodies use together. freeRequests and freeBytes count what is
+// still available.
 type budget struct {
 	mu           sync.Mutex
 	freeRequests int
@@ -13,7 +15,8 @@
 	return &budget{freeRequests: requests, freeBytes: bytes}
 }
 
-// acquire admits one request; the hold is released by its release.
+// acquire admits one request, or returns false if the router has reached its
+// limit of requests. The allocation must be freed with release.
 func (b *budget) acquire() (*allocation, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -24,33 +27,37 @@
 	return &allocation{budget: b}, true
 }
 
-// allocation is one request's part of a budget.
+// allocation is the part of a budget that one request uses.
 type allocation struct {
 	budget *budget
 	bytes  int64
 }
 
-func (h *allocation) grow(n int64) bool {
-	h.budget.mu.Lock()
-	defer h.budget.mu.Unlock()
-	if h.budget.freeBytes < n {
+// grow reserves n more bytes. It returns false, and reserves nothing, if fewer
+// bytes are left in the budget.
+func (a *allocation) grow(n int64) bool {
+	a.budget.mu.Lock()
+	defer a.budget.mu.Unlock()
+	if a.budget.freeBytes < n {
 		return false
 	}
-	h.budget.freeBytes -= n
-	h.bytes += n
+	a.budget.freeBytes -= n
+	a.bytes += n
 	return true
 }
 
-func (h *allocation) shrink(n int64) {
-	h.budget.mu.Lock()
-	defer h.budget.mu.Unlock()
-	h.budget.freeBytes += n
-	h.bytes -= n
+// shrink returns n of the reserved bytes to the budget.
+func (a *allocation) shrink(n int64) {
+	a.budget.mu.Lock()
+	defer a.budget.mu.Unlock()
+	a.budget.freeBytes += n
+	a.bytes -= n
 }
 
-func (h *allocation) release() {
-	h.shrink(h.bytes)
-	h.budget.mu.Lock()
-	defer h.budget.mu.Unlock()
-	h.budget.freeRequests++
+// release returns the request and its remaining bytes to the budget.
+func (a *allocation) release() {
+	a.shrink(a.bytes)
+	a.budget.mu.Lock()
+	defer a.budget.mu.Unlock()
+	a.budget.freeRequests++
 }
--- a/transport/caller/doc.go
+++ b/transport/caller/doc.go
@@ -1,4 +1,5 @@
-// Package caller serves callers over HTTP: it admits their requests, runs the
-// scheduler's dispatches on upstreams, and gives every caller its own whole
-// answer or a refusal that says whether the request ran.
+// Package caller serves callers over HTTP. It admits their requests, sends each
+// one to the upstream that the scheduler chooses, and returns either the
+// complete answer to that request or a refusal that states whether the request
+// ran.
 package caller
--- a/transport/caller/follow.go
+++ b/transport/caller/follow.go
@@ -13,15 +13,17 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// errDeadlinePassed is the cause of an attempt cancelled at its deadline.
+// errDeadlinePassed is the cancellation cause of an attempt that reached its
+// deadline.
 var errDeadlinePassed = errors.New("caller: deadline passed")
 
-// drainingRetryAfter sends the caller of a stopping router to another one, in the
-// least time that Retry-After can say.
+// drainingRetryAfter is the Retry-After of a router that is stopping. The
+// caller should retry on another router at once, and one second is the smallest
+// non-zero value that the header can carry.
 const drainingRetryAfter = time.Second
 
-// followScheduler submits the request and does what the scheduler says until the
-// request is final.
+// followScheduler submits the request and performs the scheduler's actions
+// until the request has its final result.
 func (x *exchange) followScheduler() result.Result {
 	x.id = x.h.opts.Scheduler.NextID()
 	x.job.request.ID = x.id
@@ -50,8 +52,9 @@
 	}
 }
 
-// withdraw withdraws a waiting request whose context has ended. A dispatch may
-// cross with that; it is ended unused, or its slot would stay taken.
+// withdraw withdraws a waiting request whose context has ended. The scheduler
+// may dispatch the request at the same moment; such a dispatch is ended unused,
+// because its slot would otherwise stay occupied.
 func (x *exchange) withdraw(actions <-chan scheduler.Action) result.Result {
 	x.h.opts.Scheduler.Withdraw(x.id)
 	for action := range actions {
@@ -62,8 +65,7 @@
 	return x.endCancelled()
 }
 
-// endCancelled ends a request whose context has ended and whose answer has not
-// begun.
+// endCancelled ends a request whose context has ended before the answer began.
 func (x *exchange) endCancelled() result.Result {
 	if x.isCutOff() {
 		return x.refuse(x.stoppedResult())
@@ -71,7 +73,7 @@
 	return x.endAbandoned()
 }
 
-// isCutOff says whether the router has ended the request because it stops.
+// isCutOff reports whether the router ended the request because it is stopping.
 func (x *exchange) isCutOff() bool { return conntrack.IsCancelled(x.ctx) }
 
 func (x *exchange) stoppedResult() result.Result {
@@ -81,14 +83,16 @@
 	return result.New(result.Draining, "").WithRetryAfter(drainingRetryAfter)
 }
 
-// endAbandoned aborts the connection as well: returning would send an empty 200.
+// endAbandoned ends a request whose caller has left. It also aborts the
+// connection, because returning from the handler would send an empty 200.
 func (x *exchange) endAbandoned() result.Result {
 	x.abortConnection = true
 	x.record.Abandoned = true
 	return x.correctRan(result.New(result.DeadlinePassed, "The caller went away."))
 }
 
-// dispatch runs one attempt. It is not final if the scheduler decides again.
+// dispatch runs one attempt. It returns false for final if the scheduler
+// decides again, for example on another upstream.
 func (x *exchange) dispatch(d scheduler.Dispatch) (res result.Result, final bool) {
 	baseURL, ok := x.baseURL(d.Upstream)
 	if !ok {
@@ -103,8 +107,9 @@
 	return x.sendAttempt(x.newAttempt(attempt, baseURL), d.Attempt == 1)
 }
 
-// sendAttempt runs one attempt under the request's deadline, which bounds the time to
-// the head of the answer: a draft that has begun is worth its end.
+// sendAttempt runs one attempt. The request's deadline limits only the time
+// until the head of the answer arrives; an answer that has begun is relayed to
+// its end.
 func (x *exchange) sendAttempt(attempt upstream.Attempt, first bool) (res result.Result, final bool) {
 	m := newMeter(x.job, x.h.opts.Now())
 	ctx, cancel := context.WithCancelCause(x.ctx)
@@ -112,7 +117,7 @@
 	stopTimer := x.h.opts.AfterFunc(x.untilDeadline(), func() { cancel(errDeadlinePassed) })
 	answer, err := x.h.opts.Client.Send(ctx, attempt)
 	if !stopTimer() && err == nil {
-		// The deadline passed in the moment the head arrived.
+		// The deadline passed at the moment the head arrived.
 		answer.Close()
 		err = &upstream.Error{Stage: upstream.StageSent, Err: errDeadlinePassed}
 	}
@@ -129,14 +134,15 @@
 	return x.relayAnswer(answer, &m), true
 }
 
-// isRejection recognises an upstream that would not take the request, as one
-// that starts to leave or is overloaded. A request that may be repeated is then
-// tried once elsewhere; a second such answer goes to the caller.
+// isRejection reports whether an upstream rejected the request, for example
+// because it is leaving or overloaded. A repeatable request is then tried once
+// more on another upstream; a second rejection is passed on to the caller.
 func isRejection(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// endWithoutSending gives a dispatch back that must not run.
+// endWithoutSending returns a dispatch to the scheduler if the request must not
+// be sent any more, and ends the request.
 func (x *exchange) endWithoutSending(res result.Result) result.Result {
 	if x.ctx.Err() != nil {
 		x.endDispatch(0, scheduler.OutcomeAbandoned)
@@ -146,8 +152,8 @@
 	return x.refuse(res)
 }
 
-// baseURL reads the view anew: an upstream's address may have changed while
-// the request waited.
+// baseURL looks the upstream up in the current settings, because its address
+// may have changed while the request waited.
 func (x *exchange) baseURL(name state.Upstream) (string, bool) {
 	view := x.h.opts.Settings.View()
 	if view == nil {
@@ -162,11 +168,14 @@
 	return "", false
 }
 
-// checkBeforeSend checks what must hold just before a request leaves.
+// checkBeforeSend checks the conditions for sending a request: that it is not
+// sent twice unless it is repeatable, that its deadline has not passed, and
+// that its idempotency key, if any, is claimed.
 func (x *exchange) checkBeforeSend(attempt state.AttemptID) (result.Result, bool) {
 	if x.sent && !x.job.request.Repeatable {
-		// The scheduler sends such a request once; a second dispatch
-		// would be a doubled booking, so the rule is held here too.
+		// The scheduler dispatches a request that is not repeatable only once.
+		// The check is repeated here because a second run could, for example,
+		// make a booking twice.
 		return result.New(result.UpstreamLost, ""), false
 	}
 	if x.untilDeadline() <= 0 {
@@ -205,7 +214,7 @@
 	}
 }
 
-// endUnanswered ends an attempt that brought no answer.
+// endUnanswered ends an attempt for which no answer arrived.
 func (x *exchange) endUnanswered(err, cause error, m *meter) (res result.Result, final bool) {
 	if upstream.StageOf(err) != upstream.StageNotSent {
 		x.sent = true
@@ -239,27 +248,29 @@
 	return result.New(result.DeadlinePassed, "")
 }
 
-// endUnsent gives a dispatch back that sent nothing.
+// endUnsent returns a dispatch to the scheduler for which nothing was sent.
 func (x *exchange) endUnsent(outcome scheduler.Outcome) (res result.Result, final bool) {
 	x.endDispatch(0, outcome)
 	return result.Result{}, false
 }
 
-// endDispatch ends the dispatch under way.
+// endDispatch reports the end of the current dispatch to the scheduler.
 func (x *exchange) endDispatch(cost state.Cost, outcome scheduler.Outcome) {
 	x.dispatched = false
 	x.h.opts.Scheduler.ReportEnd(x.id, cost, outcome)
 }
 
-// endOpenDispatch ends a dispatch that a fault in this package left open: the
-// server survives a panicking handler, and the slot would stay taken for good.
+// endOpenDispatch ends a dispatch that is still open because the handler
+// panicked. The HTTP server survives the panic, so the slot would otherwise
+// stay occupied for good.
 func (x *exchange) endOpenDispatch() {
 	if x.dispatched {
 		x.endDispatch(0, scheduler.OutcomeTruncated)
 	}
 }
 
-// endAttempt reports the last of an attempt's cost.
+// endAttempt ends the current dispatch and reports the part of the attempt's
+// cost that was not reported before.
 func (x *exchange) endAttempt(m *meter, total state.Cost, outcome scheduler.Outcome) {
 	x.record.Cost += max(total, m.reported)
 	x.endDispatch(m.unreportedCost(total), outcome)
--- a/transport/caller/fuzz_test.go
+++ b/transport/caller/fuzz_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzEvents feeds a stream whole and in two parts: where it is split must not
-// change what is counted, or a bill would depend on the network.
+// FuzzEvents feeds a stream to one scanner as a whole and to another in two
+// parts. The split must not change the counts, because otherwise the charge
+// would depend on how the network splits the stream.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("data: {\"choices\":[]}\n\ndata: [DONE]\n\n"), 9)
 	f.Add([]byte("data:{\"usage\": {\"prompt_tokens\":3,\"completion_tokens\":-1}}\r\n\r\n"), 30)
@@ -27,7 +28,7 @@
 	})
 }
 
-// FuzzHeaders holds the bounds of what callers say in headers.
+// FuzzHeaders checks the limits on the headers that callers send.
 func FuzzHeaders(f *testing.F) {
 	f.Add("1500", "long", "k-1", "close, X-Trace")
 	f.Add("2026-03-02T08:00:00+01:00", "", "", "")
--- a/transport/caller/handler.go
+++ b/transport/caller/handler.go
@@ -15,33 +15,35 @@
 )
 
 const (
-	// defaultMaxRequests bounds the requests a router holds at once: with a
-	// goroutine and buffers each they stay well under a small VM's memory.
+	// defaultMaxRequests limits the requests that a router holds at once. Each
+	// uses a goroutine and buffers; this many stay well below the memory of a
+	// small VM.
 	defaultMaxRequests = 8192
-	// defaultBodyBudget bounds the bodies a router holds at once.
+	// defaultBodyBudget limits the bytes of all request bodies that a router
+	// holds at once.
 	defaultBodyBudget = 256 << 20
-	// defaultBodyTimeout bounds reading one body, so that a caller that
-	// trickles bytes cannot hold memory for long.
+	// defaultBodyTimeout limits the time to read one body, so that a caller
+	// that sends its body slowly cannot occupy memory for long.
 	defaultBodyTimeout = 30 * time.Second
-	// defaultWriteTimeout bounds one write to a caller. A caller that stops
-	// reading would otherwise keep an engine's slot.
+	// defaultWriteTimeout limits one write to a caller. Without it, a caller
+	// that stops reading would keep a slot of an engine occupied.
 	defaultWriteTimeout = 30 * time.Second
 )
 
-// Options wire a Handler. Zero limits take the defaults.
+// Options configure a Handler. Limits that are zero take the defaults.
 type Options struct {
 	Router      state.Router
 	Incarnation state.Incarnation
 	Scheduler   Scheduler
 	Settings    Settings
-	// Claims may be nil; requests with a key are then refused.
+	// Claims may be nil; requests with an idempotency key are then refused.
 	Claims   Claims
 	Client   *upstream.Client
 	Observer Observer
 	Log      zerolog.Logger
-	// Now is the clock; nil takes the system's.
+	// Now is the clock; nil means the system's clock.
 	Now func() time.Time
-	// AfterFunc runs f after d unless stopped; nil takes the system's timer.
+	// AfterFunc runs f after d unless stopped; nil means the system's timer.
 	AfterFunc func(d time.Duration, f func()) (stop func() bool)
 
 	MaxRequests  int
@@ -74,14 +76,14 @@
 
 func afterFunc(d time.Duration, f func()) func() bool { return time.AfterFunc(d, f).Stop }
 
-// Handler serves /{service}/... to callers.
+// Handler serves the requests of callers below /{service}/.
 type Handler struct {
 	opts     Options
 	budget   *budget
 	attempts atomic.Uint64
 }
 
-// NewHandler returns a handler for callers.
+// NewHandler returns a Handler with the given options.
 func NewHandler(opts Options) *Handler {
 	opts = opts.withDefaults()
 	return &Handler{opts: opts, budget: newBudget(opts.MaxRequests, opts.BodyBudget)}
@@ -95,8 +97,9 @@
 	}
 }
 
-// ServeHTTP runs one request to its final result. It aborts the connection of
-// an answer that broke off, so that the caller's own HTTP library sees it.
+// ServeHTTP serves one request until its final result. If an answer broke off
+// after its head was sent, it aborts the connection, so that the caller's HTTP
+// library reports an error.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{
 		h:         h,
@@ -109,16 +112,16 @@
 	defer x.endOpenDispatch()
 	res := x.run()
 	x.finishRequest(res)
-	// The connection may serve another handler next, which knows nothing of
-	// this one's deadline.
+	// The connection may be reused for a request to another handler, to which
+	// this write deadline must not apply.
 	_ = x.control.SetWriteDeadline(time.Time{})
 	if x.abortConnection {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// exchange is one caller's request under way. It belongs to the goroutine of
-// its HTTP handler.
+// exchange is the state of one caller's request while it is being served. Only
+// the goroutine of its HTTP handler uses it.
 type exchange struct {
 	h          *Handler
 	w          http.ResponseWriter
@@ -130,22 +133,24 @@
 
 	job *job
 	id  state.RequestID
-	// dispatched is set from a Dispatch until its Ended.
+	// dispatched is true from a Dispatch of the scheduler until ReportEnd.
 	dispatched bool
 	// sent is set once any byte of the request may have reached an upstream.
-	// From then on no result says that it did not run.
+	// From then on no result may state that the request did not run.
 	sent bool
-	// claimed is the claim held for this request.
+	// claimed is the idempotency claim held for this request; nil if there is
+	// none.
 	claimed *ClaimRequest
-	// abortConnection is set if the answer under way must not be ended cleanly.
+	// abortConnection is set if the connection must be aborted, because the
+	// answer cannot be completed.
 	abortConnection bool
 	record          Record
 }
 
 func (x *exchange) run() result.Result {
 	if !x.r.ProtoAtLeast(1, 1) {
-		// An HTTP/1.0 caller takes the end of the connection for the end
-		// of the answer, so a truncated one would look whole to it.
+		// An HTTP/1.0 caller takes the end of the connection for the end of the
+		// answer, so it would take a truncated answer for a complete one.
 		return x.refuse(result.New(result.BadRequest, "HTTP/1.1 or later is needed."))
 	}
 	allocated, ok := x.h.budget.acquire()
@@ -170,9 +175,9 @@
 	return res
 }
 
-// correctRan keeps a refusal from saying "not run" once something was sent: a
-// later refusal, as of a retry that found no upstream, knows nothing of the
-// attempt before it.
+// correctRan changes a refusal's "not run" to "unknown" once something was sent
+// to an upstream. A later refusal, such as that of a retry that found no
+// upstream, does not take the earlier attempt into account.
 func (x *exchange) correctRan(res result.Result) result.Result {
 	if x.sent && res.Ran == result.RanNo {
 		return res.WithRan(result.RanUnknown)
@@ -180,7 +185,8 @@
 	return res
 }
 
-// finishRequest settles the claim and reports the request.
+// finishRequest completes the claim, and reports the request to the observer
+// and the log.
 func (x *exchange) finishRequest(res result.Result) {
 	if x.claimed != nil {
 		x.h.opts.Claims.Complete(*x.claimed, x.claimRan(res))
--- a/transport/caller/handler_test.go
+++ b/transport/caller/handler_test.go
@@ -26,8 +26,8 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// fakeScheduler plays a script: one action for each step of the request. It
-// closes the channel as Submit's contract says.
+// fakeScheduler plays a script with one action for each step of the request. It
+// closes the channel as the contract of Submit requires.
 type fakeScheduler struct {
 	submitted chan struct{}
 	mu        sync.Mutex
@@ -123,7 +123,7 @@
 
 func (c *fakeClaims) Claim(_ context.Context, req ClaimRequest) result.Result {
 	if c.panics {
-		panic("a fault in the router")
+		panic("fault injected by the test")
 	}
 	c.claimed = append(c.claimed, req)
 	return c.answer
@@ -145,9 +145,9 @@
 	claims  *fakeClaims
 	records recordChannel
 	url     string
-	// expire passes the deadline of the attempt under way.
+	// expire triggers the deadline of the current attempt.
 	expire atomic.Pointer[func()]
-	// cutOff ends the contexts of requests.
+	// cutOff cancels the contexts of all requests.
 	cutOff context.CancelCauseFunc
 }
 
@@ -180,8 +180,8 @@
 	return b
 }
 
-// post sends a request with header pairs and returns the answer, its body and
-// the error of reading it.
+// post sends a request with pairs of header names and values, and returns the
+// answer, its body and the error of reading the body.
 func (b *handlerFixture) post(t *testing.T, path, body string, pairs ...string) (*http.Response, string, error) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, b.url+path, strings.NewReader(body))
@@ -234,7 +234,8 @@
 	require.Greater(t, b.request.CostHint, 200*state.CostUnit)
 }
 
-// TestJSONAnswersAreCharged covers answers that are held and those too long.
+// TestJSONAnswersAreCharged covers answers that fit into the relay's buffer and
+// answers that do not.
 func TestJSONAnswersAreCharged(t *testing.T) {
 	for _, length := range []int{10, 3 * relayBufferBytes} {
 		b := newHandlerFixture(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -249,12 +250,13 @@
 	}
 }
 
-// TestTruncatedStreamIsSeen: a councillor prints half a guide. The engine
-// falls in mid-stream, and a clean end would make the half look whole.
+// TestTruncatedStreamIsReported guards against a truncated answer that looks
+// complete: an engine crashes in mid-stream, and the router ends the answer to
+// the caller cleanly.
 func TestTruncatedStreamIsReported(t *testing.T) {
 	cases := map[string]http.HandlerFunc{
-		"no done": sse(`{"choices":[]}`),
-		"cut": func(w http.ResponseWriter, r *http.Request) {
+		"no terminating event": sse(`{"choices":[]}`),
+		"connection closed": func(w http.ResponseWriter, r *http.Request) {
 			sse(`{"choices":[]}`)(w, r)
 			panic(http.ErrAbortHandler)
 		},
@@ -283,7 +285,7 @@
 		broken  bool
 		outcome scheduler.Outcome
 	}{
-		"held": {func(w http.ResponseWriter, _ *http.Request) {
+		"buffered": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(HeaderBusy, "250")
 			w.Header().Set(problem.HeaderResult, "9999")
 			w.WriteHeader(http.StatusCreated)
@@ -295,11 +297,11 @@
 		"failed": {func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "no seats table", http.StatusInternalServerError)
 		}, 500, "3005", false, scheduler.OutcomeFailed},
-		"held and cut": {func(w http.ResponseWriter, _ *http.Request) {
+		"buffered and truncated": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "99")
 			_, _ = io.WriteString(w, "seat")
 		}, 502, "3003", false, scheduler.OutcomeTruncated},
-		"streamed and cut": {func(w http.ResponseWriter, _ *http.Request) {
+		"streamed and truncated": {func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "99000")
 			_, _ = io.WriteString(w, large[:2*relayBufferBytes])
 		}, 200, "", true, scheduler.OutcomeTruncated},
@@ -318,7 +320,7 @@
 			<-b.records
 			outcomes, cost := b.reported()
 			require.Equal(t, []scheduler.Outcome{c.outcome}, outcomes)
-			if name == "held" {
+			if name == "buffered" {
 				require.Equal(t, "seat 4A", body)
 				require.Equal(t, state.CostUnit/4, cost)
 			}
@@ -357,9 +359,9 @@
 	}
 }
 
-// TestRefusalAfterALostAttempt: a parent books a second seat because the first
-// answer said "not run". The worker read the booking and fell; the scheduler's
-// later refusal knows nothing of it.
+// TestRefusalAfterALostAttempt guards against a wrong "not run", after which a
+// caller sends a booking again. The worker has read the request and crashes;
+// the scheduler then refuses the retry without regard to that attempt.
 func TestRefusalAfterALostAttempt(t *testing.T) {
 	dropConnection := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	b := newHandlerFixture(t, dropConnection, dispatch("dead"), dispatch("one"), scheduler.Refuse{ID: 1, Result: result.New(result.NoUpstream, "")})
@@ -370,8 +372,9 @@
 	require.Equal(t, []scheduler.Outcome{scheduler.OutcomeNotSent, scheduler.OutcomeLost}, outcomes)
 }
 
-// TestTurnedAwayIsTriedElsewhere: a kiosk shows an error while its upstream is
-// shut down in a planned way. A page may be fetched again, a booking may not.
+// TestRejectedRequestIsRetriedElsewhere guards against errors at callers during
+// the planned stop of an upstream. A repeatable request is sent again after a
+// rejection; a request that is not repeatable is never sent twice.
 func TestRejectedRequestIsRetriedElsewhere(t *testing.T) {
 	var calls atomic.Int64
 	worker := func(w http.ResponseWriter, r *http.Request) {
@@ -399,8 +402,8 @@
 	require.EqualValues(t, 1, calls.Load())
 }
 
-// TestNoSecondDispatch: two escorts are assigned to one child. The scheduler
-// errs and dispatches a request again that may not be repeated.
+// TestNoSecondDispatch guards against a request that runs twice: by a fault the
+// scheduler dispatches a request a second time that is not repeatable.
 func TestNoSecondDispatch(t *testing.T) {
 	var runs atomic.Int64
 	dropConnection := func(http.ResponseWriter, *http.Request) {
@@ -448,8 +451,8 @@
 	})
 }
 
-// TestCrossedAnswerIsDropped: a kiosk shows another town's map. An upstream
-// answers an earlier attempt on a later connection.
+// TestCrossedAnswerIsDropped guards against a caller that gets another caller's
+// answer: an upstream answers an earlier attempt on a later connection.
 func TestCrossedAnswerIsDropped(t *testing.T) {
 	b := newHandlerFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(upstream.AttemptHeader, "laredo-1.2.0")
@@ -463,11 +466,11 @@
 	require.Equal(t, []scheduler.Outcome{scheduler.OutcomeLost}, outcomes)
 }
 
-// TestCallerLeaves: a slot stays taken by a kiosk that was switched off. Its
-// connection closes while the request waits, just as it is dispatched, or
-// while the worker runs it.
+// TestCallerLeaves guards against slots that stay occupied after the caller has
+// left. The caller's connection closes while the request waits, at the moment
+// it is dispatched, or while the worker runs it.
 func TestCallerLeaves(t *testing.T) {
-	t.Run("while waiting, crossing a dispatch", func(t *testing.T) {
+	t.Run("while waiting, at the moment of a dispatch", func(t *testing.T) {
 		b := newHandlerFixture(t, nil)
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
@@ -487,7 +490,8 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		upstreamErr := make(chan error, 1)
 		b := newHandlerFixture(t, func(_ http.ResponseWriter, r *http.Request) {
-			// A server notices a closed connection once the body is read.
+			// An HTTP server notices a closed connection only after the body is
+			// read.
 			_, _ = io.Copy(io.Discard, r.Body)
 			cancel()
 			<-r.Context().Done()
@@ -501,10 +505,10 @@
 	})
 }
 
-// TestStopCutsOff: a kiosk shows a blank page and nobody can tell whether the
-// seat is booked. The router that had the request ran out of time to stop and
-// closed the connection, while the request waited, while the worker ran it, or
-// while its answer was held or under way.
+// TestStopAnswersOpenRequests guards against callers that cannot tell whether
+// their request ran. A stopping router runs out of time while a request waits,
+// while the worker runs it, while its answer is buffered, or while the answer
+// is streamed.
 func TestStopAnswersOpenRequests(t *testing.T) {
 	t.Run("while waiting", func(t *testing.T) {
 		b := newHandlerFixture(t, nil)
@@ -535,7 +539,7 @@
 		outcomes, _ := b.reported()
 		require.Equal(t, []scheduler.Outcome{scheduler.OutcomeAbandoned}, outcomes)
 	})
-	t.Run("while the answer is held", func(t *testing.T) {
+	t.Run("while the answer is buffered", func(t *testing.T) {
 		var b *handlerFixture
 		b = newHandlerFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, "seat")
@@ -565,8 +569,8 @@
 	})
 }
 
-// TestPanicFreesTheSlot: an engine idles for good. A fault of the router ends
-// the handler between the dispatch and its report.
+// TestPanicFreesTheSlot guards against a slot that stays occupied for good
+// after the handler panics between a dispatch and the report of its end.
 func TestPanicFreesTheSlot(t *testing.T) {
 	b := newHandlerFixture(t, nil, dispatch("one"))
 	b.claims.panics = true
@@ -589,8 +593,8 @@
 	return errors.New("answered")
 }
 
-// TestDeadlines: a guardian waits on a page that gave up long ago. The
-// deadline passes before the dispatch, or while the worker is silent.
+// TestDeadlines covers a deadline that passes before the dispatch, and one that
+// passes while the worker has not answered yet.
 func TestDeadlines(t *testing.T) {
 	var b *handlerFixture
 	b = newHandlerFixture(t, func(_ http.ResponseWriter, r *http.Request) {
--- a/transport/caller/headers.go
+++ b/transport/caller/headers.go
@@ -10,7 +10,7 @@
 	"github.com/figstile/figstile/transport/endtoend"
 )
 
-// The headers of the caller API.
+// These are the headers of the API for callers.
 const (
 	HeaderDeadline       = "Figstile-Deadline"
 	HeaderClass          = "Figstile-Class"
@@ -19,23 +19,27 @@
 )
 
 const (
-	// maxDeadline bounds how far ahead a deadline may lie; a later one is
-	// nearer to a mistake in units than to patience.
+	// maxDeadline limits how far ahead a deadline may be. A later deadline is
+	// more likely a mistake in units than intended.
 	maxDeadline = 24 * time.Hour
-	// maxClassBytes bounds a class, which becomes a label of metrics.
+	// maxClassBytes limits the length of a request class, which is used as a
+	// label of metrics.
 	maxClassBytes = 32
-	// maxKeyBytes bounds an idempotency key, as common APIs do.
+	// maxKeyBytes limits the length of an idempotency key, as is common in HTTP
+	// APIs.
 	maxKeyBytes = 255
 )
 
-// Faults in a request's headers; their text goes to the caller.
+// These errors describe faulty headers of a request; their text is sent to the
+// caller.
 var (
 	errDeadline = errors.New("Figstile-Deadline is neither milliseconds nor an RFC 3339 time within a day")
 	errClass    = errors.New("Figstile-Class is not a short word of letters, digits, '-', '_' and '.'")
 	errKey      = errors.New("Idempotency-Key is not 1 to 255 visible ASCII characters, given once")
 )
 
-// requestHints are what a caller says of its request in headers.
+// requestHints holds the optional values that a caller sends in the headers of
+// its request.
 type requestHints struct {
 	deadline time.Time
 	class    string
@@ -57,7 +61,7 @@
 	return h, nil
 }
 
-// parseDeadline returns zero if the caller named none.
+// parseDeadline returns the zero time if the header is empty.
 func parseDeadline(value string, now time.Time) (time.Time, error) {
 	if value == "" {
 		return time.Time{}, nil
@@ -97,8 +101,9 @@
 	}
 }
 
-// parseKey refuses an empty or a second key rather than to run the request
-// without the protection its caller asked for.
+// parseKey returns an error for an empty key or more than one key, because
+// running the request without a key would drop the protection that the caller
+// asked for.
 func parseKey(values []string) (string, error) {
 	if len(values) == 0 {
 		return "", nil
@@ -123,9 +128,9 @@
 	return strings.TrimSpace(token)
 }
 
-// upstreamHeader returns what an upstream sees of the caller's headers. The
-// fleet's token is not its business. Engines are asked for plain text, because
-// tokens cannot be counted in a compressed stream.
+// upstreamHeader returns the headers to send to an upstream. It removes the
+// caller's token for this fleet. It also removes Accept-Encoding for engines,
+// because tokens cannot be counted in a compressed stream.
 func upstreamHeader(from http.Header, engine bool) http.Header {
 	to := make(http.Header, len(from))
 	endtoend.Copy(to, from)
--- a/transport/caller/keys.go
+++ b/transport/caller/keys.go
@@ -10,16 +10,17 @@
 	"github.com/figstile/figstile/transport/problem"
 )
 
-// KeysPath is where callers fetch idempotency keys.
+// KeysPath is the path at which callers fetch idempotency keys.
 const KeysPath = "/figstile/v1/keys"
 
-// Issuer issues idempotency keys that only this router runs.
+// Issuer issues idempotency keys that are valid only at this router.
 type Issuer interface {
-	// Issue returns a key of a workspace and when it expires, or a refusal.
+	// Issue returns a key for a workspace and the time at which it expires, or
+	// a refusal.
 	Issue(ws state.Workspace) (key string, until time.Time, res result.Result)
 }
 
-// IssuedKey is the answer to a request for a key.
+// IssuedKey is the JSON answer to a request for an idempotency key.
 type IssuedKey struct {
 	Key        string           `json:"key"`
 	Expires    time.Time        `json:"expires"`
@@ -27,7 +28,7 @@
 	DataCentre state.DataCentre `json:"data_centre"`
 }
 
-// KeysHandler serves KeysPath by GET and POST.
+// KeysHandler serves KeysPath for GET and POST.
 type KeysHandler struct {
 	Router     state.Router
 	DataCentre state.DataCentre
@@ -35,7 +36,7 @@
 	Issuer     Issuer
 }
 
-// ServeHTTP issues one key to an authenticated caller.
+// ServeHTTP issues one idempotency key to an authenticated caller.
 func (h *KeysHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	key, res := h.issue(r)
 	if res.Code != result.OK {
--- a/transport/caller/limits_test.go
+++ b/transport/caller/limits_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestConnectionsAreBounded: a router dies of too many open files. Callers open
-// connections faster than they close them.
+// TestConnectionsAreBounded guards against running out of file descriptors when
+// callers open connections faster than they close them.
 func TestConnectionsAreBounded(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -43,8 +43,8 @@
 	require.ErrorIs(t, <-ended, net.ErrClosed)
 }
 
-// TestMemoryIsBounded: a small VM is killed for its memory while many callers
-// send large bodies at once.
+// TestMemoryIsBounded guards against a small VM that runs out of memory while
+// many callers send large bodies at once.
 func TestMemoryIsBounded(t *testing.T) {
 	b := newBudget(2, 100)
 	first, ok := b.acquire()
--- a/transport/caller/meter.go
+++ b/transport/caller/meter.go
@@ -10,15 +10,18 @@
 )
 
 const (
-	// maxTokens bounds a token count that came from outside; no context
-	// window is near it.
+	// maxTokens limits the token counts accepted from callers and engines. It
+	// is far above the context window of any model.
 	maxTokens = 1 << 30
-	// bytesPerToken is the usual length of a token in Latin scripts.
+	// bytesPerToken is the usual length of a token in Latin scripts. It is used
+	// to estimate the tokens of a text from its length.
 	bytesPerToken = 4
-	// progressInterval bounds how often a running request reports cost, so
-	// that control traffic does not grow with the speed of engines.
+	// progressInterval is the minimum interval between two reports of a running
+	// request's cost, unless the cost has doubled. Without it, control traffic
+	// would grow with the speed of the engines.
 	progressInterval = time.Second
-	// maxBusyTime bounds the busy time an upstream may state.
+	// maxBusyTime limits the busy time that an upstream may state in
+	// HeaderBusy.
 	maxBusyTime = 24 * time.Hour
 )
 
@@ -31,8 +34,7 @@
 	return state.Cost(busy.Seconds() * w.BusySecond * float64(state.CostUnit))
 }
 
-// meter turns what an attempt shows of itself into cost, and spaces the
-// reports of it.
+// meter computes the cost of an attempt and decides when to report it.
 type meter struct {
 	weights      config.CostWeights
 	engine       bool
@@ -52,15 +54,17 @@
 	}
 }
 
-// streamedCost returns the cost of an engine's attempt after some tokens. The
-// prompt is left to the end, when the engine's own count corrects the guess:
-// what was reported cannot be taken back from counters that only grow.
+// streamedCost returns the cost of the output tokens that an engine has
+// streamed so far. The cost of the prompt is added at the end, when the
+// engine's own count replaces the estimate: reported cost cannot be taken back,
+// because the counters only grow.
 func (m *meter) streamedCost(tokens int64) state.Cost {
 	return tokenCost(m.weights, 0, tokens)
 }
 
-// dueReport returns the cost to report now: once a second, or when the cost has
-// doubled, so that a burst of short work shows at once.
+// dueReport returns the cost to report now. A report is due after
+// progressInterval, or when the cost has doubled, so that bursts of short work
+// are reported at once.
 func (m *meter) dueReport(total state.Cost, now time.Time) (state.Cost, bool) {
 	if total <= m.reported {
 		return 0, false
@@ -74,7 +78,8 @@
 	return unreported, true
 }
 
-// unreportedCost returns what remains to be charged, never less than zero.
+// unreportedCost returns the part of the total that was not reported yet; it is
+// never negative.
 func (m *meter) unreportedCost(total state.Cost) state.Cost {
 	return max(total-m.reported, 0)
 }
@@ -93,8 +98,9 @@
 	}
 }
 
-// busyTime prefers the worker's own figure: the measured time holds the network
-// and a slow caller too.
+// busyTime returns the worker's processing time. It prefers the worker's own
+// value, because the time measured here also includes the network and a slow
+// caller.
 func (m *meter) busyTime(header http.Header, now time.Time) time.Duration {
 	millis, err := strconv.ParseUint(header.Get(HeaderBusy), 10, 32)
 	busy := time.Duration(millis) * time.Millisecond
--- a/transport/caller/ports.go
+++ b/transport/caller/ports.go
@@ -11,20 +11,22 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// Scheduler is the host of the scheduler's state machine.
+// Scheduler gives access to the scheduler's state machine.
 type Scheduler interface {
-	// NextID numbers a request.
+	// NextID returns the ID of a new request.
 	NextID() state.RequestID
-	// Submit queues a request. The channel brings each Dispatch of the
-	// request and at most one Refuse, its last action. It is closed after
-	// Refuse, after Left, and after an Ended that needs no further action.
-	// A Dispatch that crosses with Left is still delivered before that.
+	// Submit queues a request. The channel delivers each Dispatch of the
+	// request and at most one Refuse, which is the last action. It is closed
+	// after Refuse, after Withdraw, and after a ReportEnd that needs no further
+	// action. A Dispatch that is decided at the same moment as a Withdraw is
+	// still delivered before the channel is closed.
 	Submit(req scheduler.Request) <-chan scheduler.Action
-	// Withdraw withdraws a request whose caller went away while it waited.
+	// Withdraw removes a request whose caller left while it waited.
 	Withdraw(id state.RequestID)
-	// ReportProgress adds cost of the dispatch under way.
+	// ReportProgress adds cost to the current dispatch.
 	ReportProgress(id state.RequestID, cost state.Cost)
-	// ReportEnd ends the dispatch under way with the cost since Progressed.
+	// ReportEnd ends the current dispatch. The cost is that since the last
+	// ReportProgress.
 	ReportEnd(id state.RequestID, cost state.Cost, outcome scheduler.Outcome)
 }
 
@@ -34,27 +36,27 @@
 	AuthenticateCaller(token string) (state.Workspace, bool)
 	// Service returns a service by name.
 	Service(name state.Service) (config.Service, bool)
-	// Allows returns OK or the code of the refusal. An empty model asks for
-	// the service alone.
+	// Allows returns OK or the code of the refusal. An empty model checks
+	// access to the service alone.
 	Allows(ws state.Workspace, svc state.Service, model state.Model) result.Code
 }
 
-// Settings gives the settings in force.
+// Settings provides the settings in force.
 type Settings interface {
-	// View returns nil while the router holds no configuration.
+	// View returns nil while the router has no configuration.
 	View() View
 }
 
-// ClaimRequest names a claim.
+// ClaimRequest identifies a claim of an idempotency key.
 type ClaimRequest = claims.Request
 
-// Claims records idempotency keys.
+// Claims records which idempotency keys are in use.
 type Claims interface {
-	// Claim returns OK if the request may run under this attempt; any other
-	// result is the caller's final answer.
+	// Claim returns OK if the request may run with this attempt; any other
+	// result is the final answer to the caller.
 	Claim(ctx context.Context, req ClaimRequest) result.Result
-	// Complete records what became of a claimed request and does not block:
-	// RanNo releases the claim.
+	// Complete records whether a claimed request ran. RanNo releases the claim.
+	// It does not block.
 	Complete(req ClaimRequest, ran result.Ran)
 }
 
@@ -65,23 +67,26 @@
 	Class     string
 	Upstream  state.Upstream
 	Result    result.Result
-	// Abandoned is set if the caller went away first; Result then has no
-	// reader.
+	// Abandoned is set if the caller left before the end; the Result then
+	// reaches no caller.
 	Abandoned bool
-	// CrossedAnswers counts dropped answers that belonged to another attempt.
+	// CrossedAnswers counts the answers that were dropped because they belonged
+	// to another attempt.
 	CrossedAnswers int
-	// QueueWait is the time to the last dispatch, Head that to the first byte
-	// of the answer, Total that to the end; zero where it was not reached.
+	// QueueWait is the time from arrival to the last dispatch, HeadTime that to
+	// the head of the answer, TotalTime that to the end. Each is zero if the
+	// request did not get that far.
 	QueueWait time.Duration
 	HeadTime  time.Duration
 	TotalTime time.Duration
 	Cost      state.Cost
 }
 
-// Observer hears of requests, for metrics. It must not block.
+// Observer receives events of requests, for metrics. Its methods must not
+// block.
 type Observer interface {
 	ObserveRequest(rec Record)
-	// ObserveEventGap hears the time between two parts of a stream that brought
-	// tokens, once for each later part.
+	// ObserveEventGap receives the time between two parts of a stream that
+	// contain tokens. It is called once for each such part after the first.
 	ObserveEventGap(ws state.Workspace, class string, gap time.Duration)
 }
--- a/transport/caller/relay.go
+++ b/transport/caller/relay.go
@@ -19,28 +19,30 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// relayBufferBytes is the size of a relay's buffer. An answer that fits in is held
-// until it is whole, so that its head can state the result and a failure is
-// still answered cleanly; kiosk pages and JSON answers mostly do.
-// One that trickles in below this size arrives late, which only event streams
-// would feel, and those are never held.
+// relayBufferBytes is the size of a relay's buffer. An answer that fits is
+// buffered until it is complete, so that its headers can state the result, and
+// a failure can still be answered with a problem document. Most web pages and
+// JSON answers fit. A slow answer below this size is delayed by buffering; that
+// would matter only for event streams, which are never buffered.
 const relayBufferBytes = 32 << 10
 
-// answerTailBytes holds an engine's usage and what follows it in a JSON answer.
+// answerTailBytes is the length of the end of a long JSON answer that is kept.
+// It is long enough for the engine's usage member and all that follows it.
 const answerTailBytes = 1 << 10
 
 var relayBuffers = sync.Pool{New: func() any { return new([relayBufferBytes]byte) }}
 
-// errAnswerTooLong ends an answer above the service's limit.
+// errAnswerTooLong ends an answer that exceeds the service's limit.
 var errAnswerTooLong = errors.New("caller: answer exceeds the limit")
 
-// errCallerLeft ends an answer that its caller no longer takes.
-var errCallerLeft = errors.New("caller: caller went away")
+// errCallerLeft ends an answer that its caller no longer reads.
+var errCallerLeft = errors.New("caller: caller closed the connection")
 
-// errMissingDone ends an engine's stream without its terminating event.
+// errMissingDone ends an engine's stream that stops without its terminating
+// event.
 var errMissingDone = errors.New("caller: stream ended without [DONE]")
 
-// answerRelay passes one answer to the caller.
+// answerRelay copies one answer of an upstream to the caller.
 type answerRelay struct {
 	x           *exchange
 	answer      *upstream.Answer
@@ -49,14 +51,16 @@
 	isStream    bool
 	passedBytes int64
 	tail        []byte
-	// lastTokenAt is when the last part with tokens came; zero before.
+	// lastTokenAt is the time of the last part that contained tokens; zero
+	// before the first.
 	lastTokenAt time.Time
-	// headSent is set once the head went out, trailers if it announced them.
+	// headSent is set once the head of the answer was sent, hasTrailers if the
+	// head announced trailers.
 	headSent    bool
 	hasTrailers bool
 }
 
-// relayAnswer delivers the answer and ends the dispatch.
+// relayAnswer copies the answer to the caller and ends the dispatch.
 func (x *exchange) relayAnswer(answer *upstream.Answer, m *meter) result.Result {
 	buffer := relayBuffers.Get().(*[relayBufferBytes]byte)
 	defer relayBuffers.Put(buffer)
@@ -79,7 +83,8 @@
 	return strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
 }
 
-// copyBuffered collects a short answer and turns to streaming if it is not short.
+// copyBuffered collects the answer in the buffer, and switches to streaming if
+// it does not fit.
 func (y *answerRelay) copyBuffered(buffer []byte) error {
 	buffered := 0
 	for buffered < len(buffer) {
@@ -101,7 +106,7 @@
 	return y.copyRest(buffer)
 }
 
-// readUsage counts a whole JSON answer of an engine.
+// readUsage counts the tokens of a complete JSON answer of an engine.
 func (y *answerRelay) readUsage(body []byte) {
 	if y.events == nil {
 		return
@@ -110,7 +115,7 @@
 	y.events.tokens = int64(len(body)) / bytesPerToken
 }
 
-// appendTail keeps the end of a long JSON answer, where the usage stands.
+// appendTail keeps the end of a long JSON answer, which contains the usage.
 func (y *answerRelay) appendTail(part []byte) {
 	part = part[max(len(part)-answerTailBytes, 0):]
 	y.tail = append(y.tail, part...)
@@ -119,7 +124,7 @@
 	}
 }
 
-// writeWhole writes a whole answer at once.
+// writeWhole writes a complete answer at once.
 func (y *answerRelay) writeWhole(body []byte) error {
 	if int64(len(body)) > y.x.job.answerLimit() {
 		return errAnswerTooLong
@@ -134,8 +139,8 @@
 	if _, err := y.x.w.Write(body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
 		return errCallerLeft
 	}
-	// Flushed here and not by the server, so that a caller that does not take
-	// it is noticed and not counted as served.
+	// The answer is flushed here and not by the server, so that a caller that
+	// does not read it is noticed and the request is not counted as served.
 	if y.x.control.Flush() != nil {
 		return errCallerLeft
 	}
@@ -145,8 +150,8 @@
 func (y *answerRelay) setLength(header http.Header, length int) {
 	switch {
 	case y.x.job.method == http.MethodHead:
-		if given := y.answer.Header.Get("Content-Length"); given != "" {
-			header.Set("Content-Length", given)
+		if contentLength := y.answer.Header.Get("Content-Length"); contentLength != "" {
+			header.Set("Content-Length", contentLength)
 		}
 	case y.answer.Status == http.StatusNoContent || y.answer.Status == http.StatusNotModified:
 	default:
@@ -154,9 +159,9 @@
 	}
 }
 
-// sendHead sends the head of a streamed answer. Its result is only known at the
-// end and goes into trailers; without a length the answer is chunked, so the
-// caller's HTTP library notices a missing end.
+// sendHead sends the head of a streamed answer. The result is known only at the
+// end, so it is sent in trailers. The head has no Content-Length, so that the
+// answer is chunked and the caller's HTTP library notices a missing end.
 func (y *answerRelay) sendHead() {
 	header := y.x.w.Header()
 	endtoend.Copy(header, y.answer.Header)
@@ -183,7 +188,7 @@
 	return err
 }
 
-// copyRest passes on what arrives until the answer ends.
+// copyRest copies the answer to the caller until it ends.
 func (y *answerRelay) copyRest(buffer []byte) error {
 	for {
 		n, err := y.answer.Read(buffer)
@@ -201,7 +206,7 @@
 	}
 }
 
-// writePart writes a part of the answer and charges for it.
+// writePart writes a part of the answer and charges its cost.
 func (y *answerRelay) writePart(part []byte) error {
 	y.passedBytes += int64(len(part))
 	if y.passedBytes > y.x.job.answerLimit() {
@@ -247,7 +252,7 @@
 	y.lastTokenAt = now
 }
 
-// result states a whole answer's result by its status.
+// result returns the result of a complete answer according to its status.
 func (y *answerRelay) result() result.Result {
 	switch status := y.answer.Status; {
 	case isRejection(status):
@@ -259,7 +264,8 @@
 	}
 }
 
-// finishAnswer ends the dispatch and, where it can, tells the caller how.
+// finishAnswer ends the dispatch and, where possible, reports the result to the
+// caller.
 func (y *answerRelay) finishAnswer(err error) result.Result {
 	if err == nil && len(y.tail) > 0 {
 		y.events.usage = lastUsage(y.tail)
@@ -286,8 +292,8 @@
 	}
 }
 
-// endWhole ends a dispatch whose answer reached the caller to its last byte. Of a
-// streamed answer the result becomes a trailer.
+// endWhole ends a dispatch whose complete answer was delivered to the caller.
+// The result of a streamed answer is sent as a trailer.
 func (y *answerRelay) endWhole(total state.Cost) result.Result {
 	res := y.result()
 	if y.hasTrailers {
@@ -301,9 +307,10 @@
 	return res
 }
 
-// abortAnswer makes a truncated answer visible. A stream ends with an error event
-// and every begun answer with a broken connection, because a clean end would
-// let the caller take a part for the whole.
+// abortAnswer makes a truncated answer visible to the caller. An event stream
+// ends with an error event. The connection of any answer that has begun is
+// broken, because a caller would take a truncated answer with a clean end for a
+// complete one.
 func (y *answerRelay) abortAnswer(res result.Result) result.Result {
 	if !y.headSent {
 		return y.x.refuse(res)
@@ -317,8 +324,9 @@
 	return res
 }
 
-// errorEvent renders a result as the engines' API renders errors in a stream.
-// The empty line before it ends an event that was cut.
+// errorEvent encodes a result in the form in which the engines' API reports
+// errors in a stream. The leading empty line terminates an event that was cut
+// off.
 func errorEvent(res result.Result) []byte {
 	var event bytes.Buffer
 	event.WriteString("\n\nevent: error\ndata: ")
--- a/transport/caller/request.go
+++ b/transport/caller/request.go
@@ -17,19 +17,21 @@
 )
 
 const (
-	// defaultBodyBytes bounds a body where the service names no limit.
+	// defaultBodyBytes limits a request body where the service sets no limit.
 	defaultBodyBytes = 4 << 20
-	// defaultAnswerBytes bounds an answer where the service names no limit.
+	// defaultAnswerBytes limits an answer where the service sets no limit.
 	defaultAnswerBytes = 64 << 20
-	// defaultDeadline applies where neither caller nor service names one.
-	// It is above the longest draft and ends requests that nobody awaits.
+	// defaultDeadline applies where neither the caller nor the service sets a
+	// deadline. It is longer than the longest generated answer, and it ends
+	// requests whose callers no longer wait.
 	defaultDeadline = 10 * time.Minute
-	// prefixBytes of a prompt are digested as a hint for cached prefixes.
+	// prefixBytes is the length of the start of a prompt that is hashed, as a
+	// hint on which upstream may have the prefix cached.
 	prefixBytes = 1 << 10
 )
 
-// job is one admitted request. It is kept until the request is final, since a
-// later dispatch needs it whole.
+// job is one admitted request. It is kept until the request has its final
+// result, because a later dispatch sends it again as a whole.
 type job struct {
 	service        config.Service
 	idempotencyKey string
@@ -51,7 +53,8 @@
 	return defaultAnswerBytes
 }
 
-// claimRequest returns the claim a dispatch needs; ok is false without a key.
+// claimRequest returns the claim that a dispatch needs, and false if the
+// request has no idempotency key.
 func (j *job) claimRequest(attempt state.AttemptID) (ClaimRequest, bool) {
 	return ClaimRequest{
 		Workspace: j.request.Workspace,
@@ -61,7 +64,8 @@
 	}, j.idempotencyKey != ""
 }
 
-// completionRequest is what the router reads of an engine's request.
+// completionRequest contains the members that the router reads from the body of
+// a request to an engine.
 type completionRequest struct {
 	Model               state.Model     `json:"model"`
 	MaxTokens           int64           `json:"max_tokens"`
@@ -82,7 +86,8 @@
 	return min(max(limit, 0), maxTokens)
 }
 
-// admit authenticates and reads a request. The error is a result.Result.
+// admit authenticates the caller and reads the request. An error that it
+// returns is a result.Result.
 func (x *exchange) admit() (*job, error) {
 	view := x.h.opts.Settings.View()
 	if view == nil {
@@ -108,12 +113,12 @@
 	if err := j.readCompletion(); err != nil {
 		return nil, err
 	}
-	// An engine's model is known only from the body.
+	// An engine's model is known only after its body has been read.
 	return j, j.checkAccess(view)
 }
 
-// readHead takes what the head of a request tells: whose it is, where it goes
-// and what the caller says of it.
+// readHead reads the head of a request: the caller's workspace, the service and
+// target, and the caller's hints.
 func (x *exchange) readHead(view View) (*job, error) {
 	workspace, ok := view.AuthenticateCaller(bearerToken(x.r.Header))
 	if !ok {
@@ -158,8 +163,9 @@
 	return nil
 }
 
-// splitTarget cuts the service from the path and returns the escaped rest,
-// which goes to the upstream as the caller wrote it.
+// splitTarget splits the service name off the path. It returns the rest of the
+// path in escaped form, so that the upstream receives it as the caller wrote
+// it.
 func splitTarget(r *http.Request) (state.Service, string) {
 	path := strings.TrimPrefix(r.URL.EscapedPath(), "/")
 	name, rest, _ := strings.Cut(path, "/")
@@ -180,8 +186,8 @@
 	return now.Add(defaultDeadline)
 }
 
-// fingerprint digests the fields with separators, so that no two requests
-// agree by shifting bytes from one field to the next.
+// fingerprint hashes the fields with separators, so that moving bytes from one
+// field to the next gives another hash.
 func fingerprint(j *job) state.Fingerprint {
 	digest := xxhash.New()
 	for _, field := range []string{string(j.request.Workspace), string(j.service.Name), j.method, j.target} {
@@ -192,8 +198,8 @@
 	return state.Fingerprint(digest.Sum64())
 }
 
-// readCompletion fills in what an engine's body tells. A model is required
-// only where the service offers a choice.
+// readCompletion fills in the values that are read from the body of a request
+// to an engine. A model is required only if the service offers more than one.
 func (j *job) readCompletion() error {
 	if j.method != http.MethodPost {
 		return nil
@@ -225,9 +231,10 @@
 	return xxhash.Sum64(prompt[:min(len(prompt), prefixBytes)])
 }
 
-// readBody reads the body under the service's limit and the router's memory
-// budget. The budget is taken before the first byte is read: many callers who
-// send at once would otherwise exhaust a small VM before any limit shows.
+// readBody reads the body within the service's limit and the router's memory
+// budget. It reserves the memory before it reads the first byte: otherwise many
+// callers that send at once could use up the memory of a small VM before any
+// limit applies.
 func (x *exchange) readBody(limit int64) ([]byte, error) {
 	if limit <= 0 {
 		limit = defaultBodyBytes
@@ -271,7 +278,7 @@
 	return body, nil
 }
 
-// resultOf returns the result within an error of this package.
+// resultOf returns the result that an error of this package contains.
 func resultOf(err error) result.Result {
 	var res result.Result
 	if errors.As(err, &res) {
--- a/transport/caller/server.go
+++ b/transport/caller/server.go
@@ -7,30 +7,33 @@
 	"time"
 )
 
-// ServerOptions bound what callers' connections may hold. Zero values take the
-// defaults.
+// ServerOptions limit the resources that callers' connections may use. Zero
+// values take the defaults.
 type ServerOptions struct {
-	// HeaderTimeout bounds reading a request's head.
+	// HeaderTimeout limits the time to read the head of a request.
 	HeaderTimeout time.Duration
-	// IdleTimeout bounds a connection's time between two requests.
+	// IdleTimeout limits the time that a connection is kept open between two
+	// requests.
 	IdleTimeout time.Duration
-	// MaxHeaderBytes bounds a request's head.
+	// MaxHeaderBytes limits the size of the head of a request.
 	MaxHeaderBytes int
-	// MaxConnections bounds open connections of one listener.
+	// MaxConnections limits the open connections of one listener.
 	MaxConnections int
 }
 
 const (
-	// defaultHeaderTimeout lets a caller on a poor mobile link through and
-	// ends those who hold connections open with half a head.
+	// defaultHeaderTimeout is long enough for a caller on a poor mobile link,
+	// and closes the connections of clients that never complete a request's
+	// head.
 	defaultHeaderTimeout = 10 * time.Second
-	// defaultIdleTimeout is above the idle time of common balancers, so that
-	// the balancer and not the router closes first and no request meets a
-	// closing connection.
+	// defaultIdleTimeout is longer than the idle time of common load balancers.
+	// The balancer then closes idle connections first, and no request is sent
+	// on a connection that the router is closing.
 	defaultIdleTimeout = 2 * time.Minute
-	// defaultMaxHeaderBytes holds a token, a key and a browser's cookies.
+	// defaultMaxHeaderBytes is enough for a token, a key and a browser's
+	// cookies.
 	defaultMaxHeaderBytes = 32 << 10
-	// defaultMaxConnections stays below the usual limit of open files.
+	// defaultMaxConnections is below the usual limit on open files.
 	defaultMaxConnections = 16384
 )
 
@@ -50,9 +53,9 @@
 	return o
 }
 
-// NewServer returns an HTTP server with the limits. It sets no time-out on a
-// whole request, since a long draft streams for minutes; Handler bounds each
-// read and write instead.
+// NewServer returns an HTTP server with the given limits. It sets no timeout
+// for a whole request, since a long answer streams for minutes; Handler limits
+// each read and write instead.
 func NewServer(handler http.Handler, opts ServerOptions) *http.Server {
 	opts = opts.withDefaults()
 	return &http.Server{
@@ -63,9 +66,9 @@
 	}
 }
 
-// LimitListener returns a listener that holds at most the options' number of open
-// connections. Further ones wait in the kernel's queue, where they cost no
-// memory here.
+// LimitListener returns a listener that keeps at most MaxConnections
+// connections open. Further connections wait in the kernel's queue, where they
+// use no memory of this process.
 func LimitListener(listener net.Listener, opts ServerOptions) net.Listener {
 	opts = opts.withDefaults()
 	return &limitedListener{
@@ -82,7 +85,8 @@
 	closeOnce sync.Once
 }
 
-// Accept waits for a free slot, then for a connection.
+// Accept waits until the number of open connections is below the limit, then
+// for a connection.
 func (l *limitedListener) Accept() (net.Conn, error) {
 	select {
 	case l.permits <- struct{}{}:
@@ -97,7 +101,7 @@
 	return &limitedConn{Conn: conn, releasePermit: func() { <-l.permits }}, nil
 }
 
-// Close closes the listener and ends a wait for a slot.
+// Close closes the listener and ends a waiting Accept.
 func (l *limitedListener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
@@ -109,10 +113,10 @@
 	releaseOnce   sync.Once
 }
 
-// NetConn returns the connection below.
+// NetConn returns the wrapped connection.
 func (c *limitedConn) NetConn() net.Conn { return c.Conn }
 
-// Close closes the connection and frees its slot once.
+// Close closes the connection and releases its permit once.
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
 	c.releaseOnce.Do(c.releasePermit)
--- a/transport/caller/sse.go
+++ b/transport/caller/sse.go
@@ -5,8 +5,9 @@
 	"encoding/json"
 )
 
-// maxEventBytes bounds what is kept of one line of a stream. A longer line is
-// passed on whole but counted as one token without being read.
+// maxEventBytes limits the length of a stream's line that is kept for parsing.
+// A longer line is relayed in full but counted as one token without being
+// parsed.
 const maxEventBytes = 1 << 20
 
 var (
@@ -15,26 +16,27 @@
 	usageMember = []byte(`"usage"`)
 )
 
-// usage is the engine's own count, as in OpenAI's API.
+// usage is the engine's own count of tokens, as in OpenAI's API.
 type usage struct {
 	PromptTokens     int64 `json:"prompt_tokens"`
 	CompletionTokens int64 `json:"completion_tokens"`
 }
 
-// eventScanner reads a stream of server-sent events as it passes through. It
+// eventScanner parses a stream of server-sent events while it is relayed. It
 // copies only lines that are split over two reads.
 type eventScanner struct {
 	partialLine  []byte
 	skippingLine bool
-	// tokens counts data events, of which engines send one for each token.
+	// tokens counts data events; engines send one for each token.
 	tokens int64
-	// usage is the last one seen, nil if there is none.
+	// usage is the last usage received; nil if there is none.
 	usage *usage
-	// doneSeen is set once the terminating line has been read to its end.
+	// doneSeen is set once the terminating event has been read to the end of
+	// its line.
 	doneSeen bool
 }
 
-// feed reads the next bytes of the stream.
+// feed scans the next bytes of the stream.
 func (s *eventScanner) feed(p []byte) {
 	for len(p) > 0 {
 		end := bytes.IndexAny(p, "\r\n")
@@ -97,9 +99,9 @@
 	}
 }
 
-// lastUsage decodes the last usage member in an event, an answer or the end of
-// one. Within generated text the quotes of "usage" are escaped, so text never
-// passes for the member.
+// lastUsage decodes the last usage member in an event, an answer or the tail of
+// an answer. The quotes of "usage" are escaped within generated text, so text
+// is never taken for the member.
 func lastUsage(data []byte) *usage {
 	at := bytes.LastIndex(data, usageMember)
 	if at < 0 {
@@ -116,7 +118,8 @@
 	return &u
 }
 
-// valid refuses counts that would corrupt counters which only grow.
+// valid reports whether the counts are within bounds. Others would corrupt the
+// cost counters, which can only grow.
 func (u *usage) valid() bool {
 	return u.PromptTokens >= 0 && u.CompletionTokens >= 0 &&
 		u.PromptTokens <= maxTokens && u.CompletionTokens <= maxTokens
