--- a/transport/claims/doc.go
+++ b/transport/claims/doc.go
@@ -1,3 +1,3 @@
-// Package claims hosts the claims machine in an actor and performs its reads
-// and writes on the platform's object store.
+// Package claims runs the claims state machine in an actor, and performs the
+// machine's reads and writes on the platform's object store.
 package claims
--- a/transport/claims/host.go
+++ b/transport/claims/host.go
@@ -16,32 +16,35 @@
 )
 
 const (
-	// callTimeout bounds one call to the platform, which answers in
-	// milliseconds. A call that takes this long has most likely been lost.
+	// callTimeout limits one call to the platform, which normally answers
+	// within milliseconds. If the answer takes longer than this, the call or
+	// its answer has most likely been lost.
 	callTimeout = time.Second
-	// claimTimeout bounds a caller's wait for its claim: two calls that time
-	// out and a round between them. Then it hears "not run" and may send
-	// again, which serves it better than an open connection.
+	// claimTimeout limits the time that a caller waits for its claim. It allows
+	// for two calls that time out and the wait for a round between them. After
+	// that the caller receives "not run" and may send the request again, which
+	// serves it better than an open connection.
 	claimTimeout = 3 * time.Second
-	// chainTimeout bounds the read of a whole chain, once for each shard after
-	// a start: some megabytes where a shard remembers all that it may. While
-	// a platform that does not answer is not known to be away, every caller
-	// waits in vain, hence no longer than one of them would.
+	// chainTimeout limits the read of a shard's whole chain of segments, which
+	// happens once for each shard after a start and transfers a few megabytes
+	// for a full shard. As long as the router has not found out that the
+	// platform does not answer, all callers wait for this read. It is therefore
+	// not longer than the time that one of them waits.
 	chainTimeout = claimTimeout
 )
 
-// Options wire a Host.
+// Options configure a Host.
 type Options struct {
 	Router      state.Router
 	Incarnation state.Incarnation
 	Store       objectstore.Store
 	System      *actor.ActorSystem
 	Log         zerolog.Logger
-	// Now is the clock; nil takes the system's.
+	// Now is the clock; nil means the system's clock.
 	Now func() time.Time
 }
 
-// Host runs the claims of one router.
+// Host runs the claims state machine of one router.
 type Host struct {
 	opts   Options
 	pid    *actor.PID
@@ -50,7 +53,7 @@
 	calls  sync.WaitGroup
 	closed atomic.Bool
 
-	// What follows belongs to the actor.
+	// The following fields are used only by the actor.
 	machine   *claims.Machine
 	waiting   map[state.AttemptID]chan<- result.Result
 	tickTimer *time.Timer
@@ -58,18 +61,18 @@
 	panicked  bool
 }
 
-// claimMessage is a claim with the channel its decision goes to.
+// claimMessage is a request for a claim with the channel for the decision.
 type claimMessage struct {
 	request  claims.Request
 	decision chan<- result.Result
 }
 
-// flushMessage asks to be told once nothing is pending.
+// flushMessage asks the actor to close done once no write is pending.
 type flushMessage struct {
 	done chan<- struct{}
 }
 
-// NewHost starts a host.
+// NewHost starts a Host; Close stops it.
 func NewHost(opts Options) *Host {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -82,14 +85,15 @@
 		machine: claims.NewMachine(opts.Router, opts.Incarnation),
 		waiting: make(map[state.AttemptID]chan<- result.Result),
 	}
-	// The function and not a producer: a restart by the supervisor keeps the
-	// machine, which alone knows the claims to be taken back.
+	// The actor is created from a function and not from a producer, so that a
+	// restart by the supervisor keeps the machine. Only the machine has the
+	// record of the claims that must be released.
 	h.pid = opts.System.Root.Spawn(actor.PropsFromFunc(h.receive))
 	return h
 }
 
-// Claim asks for the right to run a request. Any result but OK is final and
-// nothing may be sent.
+// Claim asks for the right to run a request. Any result but OK is final, and
+// the request must not be sent.
 func (h *Host) Claim(ctx context.Context, req claims.Request) result.Result {
 	if h.closed.Load() {
 		return result.New(result.Draining, "")
@@ -107,19 +111,20 @@
 	}
 }
 
-// Complete records what became of a claimed request. It does not block.
+// Complete records whether a claimed request ran. It does not block.
 func (h *Host) Complete(req claims.Request, ran result.Ran) {
 	h.send(claims.RequestFinished{Request: req, Ran: ran})
 }
 
-// SetRouterCount says how many routers share the platform.
+// SetRouterCount sets the number of routers that share the platform.
 func (h *Host) SetRouterCount(routers int) {
 	h.send(claims.FleetResized{Routers: routers})
 }
 
-// Close takes no more claims, writes what is pending and stops. It returns the
-// context's error if the platform does not take everything in time; the keys
-// concerned then read as in progress and later as unknown.
+// Close refuses further claims, waits until the pending writes are done and
+// stops the actor. It returns the context's error if the platform does not
+// accept all writes in time. The keys concerned are then reported as in
+// progress, and later as unknown.
 func (h *Host) Close(ctx context.Context) error {
 	h.closed.Store(true)
 	done := make(chan struct{}, 1)
@@ -130,7 +135,8 @@
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	// The actor stops first, so that no call starts while they are awaited.
+	// The actor stops before the wait for calls, so that no further call
+	// starts.
 	_ = h.opts.System.Root.PoisonFuture(h.pid).Wait()
 	h.cancel()
 	h.calls.Wait()
@@ -139,7 +145,7 @@
 
 func (h *Host) send(message any) { h.opts.System.Root.Send(h.pid, message) }
 
-// receive is the actor: one message at a time reaches the machine.
+// receive is the actor. It passes one message at a time to the machine.
 func (h *Host) receive(c actor.Context) {
 	if h.panicked {
 		h.refuse(c.Message())
@@ -149,9 +155,10 @@
 	h.handle(c.Message())
 }
 
-// failClosed ends the use of a machine that panicked. A step that broke off
-// leaves it half changed, and the supervisor would go on with it: it could grant
-// a key twice. Every claim is refused instead until the router is replaced.
+// failClosed handles a panic of the machine. The interrupted step leaves the
+// machine in an inconsistent state, and the supervisor would continue with it,
+// so that two claims of the same key could be granted. From then on every claim
+// is refused until the router is replaced.
 func (h *Host) failClosed() {
 	cause := recover()
 	if cause == nil {
@@ -169,7 +176,7 @@
 	}
 }
 
-// refuse answers messages once the machine is broken.
+// refuse answers messages after the machine has panicked.
 func (h *Host) refuse(message any) {
 	switch m := message.(type) {
 	case claimMessage:
@@ -243,7 +250,8 @@
 	answer <- d.Result
 }
 
-// startCall runs one call to the platform beside the actor.
+// startCall runs one call to the platform in a goroutine of its own and sends
+// the resulting event to the actor.
 func (h *Host) startCall(timeout time.Duration, perform func(context.Context) claims.Event) {
 	h.calls.Add(1)
 	go func() {
--- a/transport/claims/host_test.go
+++ b/transport/claims/host_test.go
@@ -19,8 +19,8 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// memoryStore is an object store in memory. fault, if set, decides how a write
-// ends; it may let it take effect first.
+// memoryStore is an object store in memory. If putFault is set, it decides how
+// the next write ends; it may call apply to let the write take effect first.
 type memoryStore struct {
 	objectstore.Store
 	mu          sync.Mutex
@@ -107,11 +107,11 @@
 	require.NoError(t, b.Close(ctx))
 }
 
-// TestHostSettlesLostAnswers: a booking is refused though its claim landed.
-// The platform's answer is lost after the write took effect, or the write
-// itself is.
+// TestHostResolvesLostAnswers guards against refusing a request whose claim was
+// written: the platform's answer is lost after the write took effect, or the
+// write itself is lost.
 func TestHostResolvesLostAnswers(t *testing.T) {
-	for name, takesEffect := range map[string]bool{"landed": true, "lost": false} {
+	for name, takesEffect := range map[string]bool{"write took effect": true, "write lost": false} {
 		t.Run(name, func(t *testing.T) {
 			store := &memoryStore{objects: map[string]objectstore.Object{}}
 			store.putFault = func(apply func()) error {
@@ -128,8 +128,8 @@
 	}
 }
 
-// TestHostRefusesWhileAway: a guardian waits for a time-out to hear that
-// nothing can be booked now.
+// TestHostRefusesWhilePlatformUnavailable guards against callers that wait for
+// a timeout while the platform refuses every call.
 func TestHostRefusesWhilePlatformUnavailable(t *testing.T) {
 	store := &memoryStore{objects: map[string]objectstore.Object{}, unavailable: true}
 	h := startHost(t, store, "a")
@@ -141,8 +141,9 @@
 	require.NoError(t, h.Close(context.Background()))
 }
 
-// TestHostWithdrawsWithItsCaller: a resend hears "in progress" of a claim that
-// nobody holds. The caller leaves while its claim is being written.
+// TestHostWithdrawsClaimWhenCallerLeaves guards against refusing a repeated
+// request as "in progress" although the first one has ended. Its caller leaves
+// while its claim is being written.
 func TestHostWithdrawsClaimWhenCallerLeaves(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	answered := make(chan struct{})
@@ -160,8 +161,9 @@
 	require.NoError(t, h.Close(context.Background()))
 }
 
-// TestForeignObjectRefusesItsShard: one stray object among the segments of a
-// shard stops every booking. Only those of its shard are refused.
+// TestForeignObjectRefusesItsShard guards against a single unrelated object
+// among the segments of a shard stopping all claims. Only the claims of its
+// shard may be refused.
 func TestForeignObjectRefusesItsShard(t *testing.T) {
 	first, second := newRequest("a", "k", 1), newRequest("a", "k2", 2)
 	shard := claims.ShardOf(first.Digest())
@@ -176,8 +178,8 @@
 	}
 }
 
-// TestHostFailsClosed: two resends of a booking run, because the router went on
-// after a fault in the middle of a step.
+// TestHostFailsClosed guards against running a repeated request twice after the
+// machine panicked in the middle of a step.
 func TestHostFailsClosed(t *testing.T) {
 	h := startHost(t, &memoryStore{objects: map[string]objectstore.Object{}}, "a")
 	h.send(claims.ReadDone{Shard: claims.Shards})
@@ -194,8 +196,9 @@
 	require.Equal(t, claims.WriteConflict, writeOutcome(&objectstore.ConflictError{}))
 }
 
-// TestMintedKeysNeedNoPlatform: no guardian can book while a data centre is
-// cut off. Keys of a router's own still run once, whatever the platform does.
+// TestMintedKeysNeedNoPlatform guards against refusing all keyed requests while
+// a data centre is cut off from the platform. Keys that the router issued
+// itself still run once, without any call to the platform.
 func TestMintedKeysNeedNoPlatform(t *testing.T) {
 	ctx := context.Background()
 	h := startHost(t, &memoryStore{unavailable: true}, "a")
--- a/transport/claims/ledger.go
+++ b/transport/claims/ledger.go
@@ -12,12 +12,13 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// secretBytes is the length of an incarnation's secret.
+// secretBytes is the length of the secret of one incarnation.
 const secretBytes = 32
 
-// Ledger claims keys where they belong: minted ones in this router's memory,
-// callers' own on the platform. It serves while the platform is away as far as
-// minted keys go.
+// Ledger claims idempotency keys. The claims of keys that this router issued
+// are kept in its memory; those of keys that callers chose themselves are
+// written to the platform. While the platform is unavailable, the Ledger still
+// serves the issued keys.
 type Ledger struct {
 	host *Host
 	now  func() time.Time
@@ -27,10 +28,12 @@
 	issueStopped bool
 }
 
-// NewLedger returns a ledger over a host, with a secret of its own.
+// NewLedger returns a Ledger that passes the keys chosen by callers to the
+// host. It has a new random secret for the keys that it issues.
 func NewLedger(host *Host, dc state.DataCentre) (*Ledger, error) {
 	secret := make([]byte, secretBytes)
-	// Read never fails: it ends the process where randomness is missing.
+	// rand.Read never returns an error; it ends the process if the system has
+	// no randomness.
 	_, _ = rand.Read(secret)
 	mint, err := minted.New(minted.Options{
 		DataCentre:  dc,
@@ -44,12 +47,12 @@
 	return &Ledger{host: host, now: host.opts.Now, mint: mint}, nil
 }
 
-// Issue returns a new key of a workspace and when it expires.
+// Issue returns a new key for a workspace and the time at which it expires.
 func (l *Ledger) Issue(ws state.Workspace) (key string, expires time.Time, res result.Result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.issueStopped {
-		// Nobody runs the key once this router is gone.
+		// No router accepts the key once this router has stopped.
 		return "", time.Time{}, result.New(result.Draining, "")
 	}
 	issued, expires, res := l.mint.Issue(l.now(), ws)
@@ -59,7 +62,7 @@
 	return issued.String(), expires, res
 }
 
-// Claim asks for the right to run a request.
+// Claim asks for the right to run a request. Any result but OK is final.
 func (l *Ledger) Claim(ctx context.Context, req claims.Request) result.Result {
 	if !minted.IsMinted(req.Key) {
 		return l.host.Claim(ctx, req)
@@ -69,7 +72,7 @@
 	return l.mint.Claim(l.now(), req)
 }
 
-// Complete records what became of a claimed request. It does not block.
+// Complete records whether a claimed request ran. It does not block.
 func (l *Ledger) Complete(req claims.Request, ran result.Ran) {
 	if !minted.IsMinted(req.Key) {
 		l.host.Complete(req, ran)
@@ -80,16 +83,16 @@
 	l.mint.Complete(req, ran)
 }
 
-// SetRouterCount says how many routers share the platform.
+// SetRouterCount sets the number of routers that share the platform.
 func (l *Ledger) SetRouterCount(routers int) { l.host.SetRouterCount(routers) }
 
-// StopIssuing ends the issue of keys at the start of a drain. Those issued are
-// run as long as the router serves.
+// StopIssuing ends the issuing of keys at the start of a drain. Requests with
+// keys issued before are accepted as long as the router serves.
 func (l *Ledger) StopIssuing() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.issueStopped = true
 }
 
-// Close closes the host.
+// Close closes the host; see Host.Close.
 func (l *Ledger) Close(ctx context.Context) error { return l.host.Close(ctx) }
--- a/transport/claims/store.go
+++ b/transport/claims/store.go
@@ -10,19 +10,21 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// keyPrefix is where the shards lie in the platform. An operator must not
-// delete their segments: a deleted one forgets its claims.
+// keyPrefix is the prefix of the shards' objects on the platform. An operator
+// must not delete the segments of a shard: the claims in a deleted segment are
+// lost.
 const keyPrefix = "claims/"
 
-// foreignObjectSlot stands for the slot of an object that is no segment. It may hold
-// claims, so the machine refuses those of its shard.
+// foreignObjectSlot is the slot number for an object that is not a segment.
+// Such an object may contain claims, so the machine refuses the claims of its
+// shard.
 const foreignObjectSlot = -1
 
 func shardPrefix(shard int) string { return keyPrefix + strconv.Itoa(shard) + "/" }
 
 func segmentKey(shard, slot int) string { return shardPrefix(shard) + strconv.Itoa(slot) }
 
-// slotOf returns the slot that a key names.
+// slotOf returns the slot number in a key, or foreignObjectSlot.
 func slotOf(shard int, key string) int {
 	slot, err := strconv.Atoi(strings.TrimPrefix(key, shardPrefix(shard)))
 	if err != nil || key != segmentKey(shard, slot) {
@@ -54,7 +56,7 @@
 	return claims.ReadDone{Version: claims.Version(object.Version), Value: object.Value}, err
 }
 
-// list reads a whole chain in one call.
+// list reads the whole chain of a shard in one call.
 func (h *Host) list(ctx context.Context, a claims.Read) (claims.ReadDone, error) {
 	var done claims.ReadDone
 	objects, _, err := h.opts.Store.List(ctx, shardPrefix(a.Shard))
@@ -82,8 +84,9 @@
 	return done
 }
 
-// writeOutcome takes every error it does not know for an unknown outcome, the
-// time-out of a call among them: the write may be under way.
+// writeOutcome returns the outcome for an error of a write. Unrecognised
+// errors, including the timeout of the call, count as an unknown outcome,
+// because the write may still take effect.
 func writeOutcome(err error) claims.WriteOutcome {
 	var conflict *objectstore.ConflictError
 	switch {
