--- a/transport/daemon/admin.go
+++ b/transport/daemon/admin.go
@@ -67,18 +67,18 @@
 	d.metrics.Handler().ServeHTTP(w, r)
 }
 
-// Status is what one router knows of itself and the fleet.
+// Status is a router's view of itself and of the fleet.
 type Status struct {
 	scheduler.Status
-	// Versions are the settings in force, by object.
+	// Versions holds the version in force of each settings object, by key.
 	Versions map[string]uint64 `json:"versions"`
-	// Control is what the links to peers carried since the start.
+	// Control counts the traffic on the links to peers since the start.
 	Control ControlTraffic `json:"control"`
-	// Kinds are the messages sent, by kind and without session framing.
+	// Kinds counts the sent messages by kind, without session framing.
 	Kinds map[string]KindTraffic `json:"control_kinds"`
 }
 
-// ControlTraffic counts what the links to peers carried, framing included.
+// ControlTraffic counts the traffic on the links to peers, framing included.
 type ControlTraffic struct {
 	BytesIn     uint64 `json:"bytes_in"`
 	BytesOut    uint64 `json:"bytes_out"`
@@ -103,8 +103,8 @@
 	return s
 }
 
-// serveStatus is the raw snapshot for tools on the same VM. It names
-// workspaces and so needs a token like the administration API.
+// serveStatus serves the Status as JSON, for tools on the same VM. The status
+// names workspaces, so reading it needs a token, like the administration API.
 func (d *Daemon) serveStatus(w http.ResponseWriter, r *http.Request) {
 	if !d.mayReadStatus(r) {
 		w.WriteHeader(http.StatusUnauthorized)
@@ -130,7 +130,7 @@
 	return ok && principal.Kind == config.Operator
 }
 
-// adminStatus shows the daemon to the administration API.
+// adminStatus provides the daemon's status to the administration API.
 type adminStatus struct {
 	daemon *Daemon
 }
@@ -160,7 +160,8 @@
 	return status
 }
 
-// upstreamDataCentres tells where each upstream stands, by the settings in force.
+// upstreamDataCentres returns the data centre of each upstream according to the
+// settings in force.
 func (d *Daemon) upstreamDataCentres() map[state.Upstream]state.DataCentre {
 	dataCentres := make(map[state.Upstream]state.DataCentre)
 	view := d.source.View()
@@ -200,8 +201,9 @@
 	return found
 }
 
-// fairnessGap is the widest difference of virtual time between workspaces
-// that wait here, as service at equal shares.
+// fairnessGap returns the largest difference in virtual time between workspaces
+// with waiting requests, divided by the number of workspaces: that is the
+// difference in service at equal shares.
 func fairnessGap(svc scheduler.ServiceStatus) state.Cost {
 	var minVirtual, maxVirtual float64
 	waiting := 0
@@ -222,12 +224,13 @@
 	return state.Cost((maxVirtual - minVirtual) / float64(len(svc.Workspaces)))
 }
 
-// AdminPeers returns the other live routers that said where they administer.
+// AdminPeers returns the other live routers that have announced the URL of
+// their administration API.
 func (a adminStatus) AdminPeers() []admin.Peer {
 	return a.daemon.adminURLs.forLive(a.daemon.peers.others(a.daemon.options.router()))
 }
 
-// adminURLs are the administration URLs that peers announced.
+// adminURLs holds the administration URLs that peers have announced.
 type adminURLs struct {
 	mu   sync.Mutex
 	urls map[state.Router]string
@@ -242,8 +245,9 @@
 	a.urls[router] = url
 }
 
-// forLive returns the adverts of live routers and forgets the others, so that a
-// fleet whose VMs are replaced daily doesn't keep every name it ever had.
+// forLive returns the URLs of the live routers and removes all others.
+// Otherwise a fleet whose VMs are replaced often would keep the name of every
+// router it ever had.
 func (a *adminURLs) forLive(live []state.Router) []admin.Peer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/transport/daemon/callers.go
+++ b/transport/daemon/callers.go
@@ -12,8 +12,9 @@
 	"github.com/figstile/figstile/transport/settings"
 )
 
-// withKeys serves the issue of keys beside the services. A ServeMux would
-// redirect paths that it finds unclean, which only upstreams may judge.
+// withKeys serves KeysPath and passes all other paths to services. It does not
+// use a ServeMux, because a ServeMux redirects requests whose paths are not
+// clean, and such paths may be valid for an upstream.
 func withKeys(keys, services http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == caller.KeysPath {
@@ -24,12 +25,12 @@
 	})
 }
 
-// callerSettings gives callers the view in force.
+// callerSettings provides the settings in force to package caller.
 type callerSettings struct {
 	source *settings.Source
 }
 
-// View returns nil while the router holds no settings.
+// View returns nil while the router has no settings.
 func (s callerSettings) View() caller.View {
 	view := s.source.View()
 	if view == nil {
@@ -42,8 +43,8 @@
 	view *config.View
 }
 
-// AuthenticateCaller refuses tokens of operators and teams: they administer
-// and have no workspace whose share could be charged.
+// AuthenticateCaller rejects the tokens of operators and teams: these are for
+// administration, and belong to no workspace whose share could be charged.
 func (v callerView) AuthenticateCaller(token string) (state.Workspace, bool) {
 	principal, ok := v.view.Authenticate(token)
 	if !ok || principal.Kind != config.Caller {
@@ -60,12 +61,12 @@
 	return v.view.Allows(ws, svc, model)
 }
 
-// observer turns finished requests into histograms.
+// observer records finished requests in histograms.
 type observer struct {
 	metrics *metrics.Metrics
 }
 
-// ObserveRequest records one request.
+// ObserveRequest records one finished request.
 func (o observer) ObserveRequest(rec caller.Record) {
 	series := o.metrics.SeriesFor(rec.Workspace, rec.Class)
 	if rec.QueueWait > 0 {
@@ -80,7 +81,8 @@
 	}
 }
 
-// ObserveEventGap records the time between two tokens of a stream.
+// ObserveEventGap records the time between two parts of a stream that contain
+// tokens.
 func (o observer) ObserveEventGap(ws state.Workspace, class string, gap time.Duration) {
 	o.metrics.SeriesFor(ws, class).RecordEventGap(gap)
 }
--- a/transport/daemon/daemon.go
+++ b/transport/daemon/daemon.go
@@ -27,7 +27,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Daemon is one router.
+// Daemon is one router with all its parts.
 type Daemon struct {
 	options     Options
 	log         zerolog.Logger
@@ -37,7 +37,7 @@
 	source    *settings.Source
 	follower  *settings.Follower
 	scheduler *scheduler.Scheduler
-	// stepper is the scheduler, recorded or not.
+	// stepper is the scheduler, wrapped in a recorder if a trace is recorded.
 	stepper           host.Stepper
 	host              *host.Host
 	mesh              *peer.Mesh
@@ -63,7 +63,8 @@
 	drained        chan struct{}
 }
 
-// New opens the listeners and wires the router. Nothing is served before Run.
+// New opens the listeners and connects the parts of the router. It serves no
+// request before Run.
 func New(options Options, log zerolog.Logger) (*Daemon, error) {
 	d := &Daemon{
 		options:        options,
@@ -85,7 +86,7 @@
 	return d, nil
 }
 
-// openSettings prepares to follow and change the tree of settings.
+// openSettings prepares the parts that follow and change the tree of settings.
 func (d *Daemon) openSettings() {
 	d.store = objectstore.NewClient(objectstore.ClientOptions{BaseURL: d.options.Platform, Token: d.options.PlatformToken})
 	d.source = settings.NewSource(settings.SourceOptions{OnChange: d.onSettings, Log: d.log})
@@ -93,7 +94,8 @@
 	d.follower = settings.NewFollower(settings.FollowerOptions{Store: d.store, Source: d.source, Log: d.log})
 }
 
-// openScheduler starts the decisions, recorded if the options ask for it.
+// openScheduler creates the scheduler, with a trace of its decisions if the
+// options ask for one.
 func (d *Daemon) openScheduler() error {
 	options := scheduler.Options{
 		Self:   d.self(),
@@ -106,7 +108,8 @@
 	return err
 }
 
-// openHost puts the scheduler between peers, callers and upstreams.
+// openHost starts the scheduler's host and connects it to peers, callers and
+// upstreams.
 func (d *Daemon) openHost() error {
 	d.link = &countingLink{mesh: d.mesh, peers: func() int { return len(d.peers.others(d.options.router())) }}
 	d.openOrders()
@@ -122,7 +125,7 @@
 	return nil
 }
 
-// openClaims starts the record of idempotency keys.
+// openClaims starts the ledger of idempotency keys.
 func (d *Daemon) openClaims() error {
 	keys := claims.NewHost(claims.Options{
 		Router:      d.options.router(),
@@ -180,7 +183,7 @@
 	return nil
 }
 
-// buildServers builds the two HTTP servers.
+// buildServers builds the HTTP servers for callers and for administration.
 func (d *Daemon) buildServers() {
 	limits := caller.ServerOptions{
 		MaxHeaderBytes: d.options.MaxHeaderBytes,
@@ -209,15 +212,15 @@
 	d.adminListener.buildServer(d.closeWhileDraining(d.adminHandler()), caller.ServerOptions{})
 }
 
-// Addresses are the sockets a router listens on.
+// Addresses holds the addresses on which a router listens.
 type Addresses struct {
 	Callers string
 	Admin   string
 	Peers   string
 }
 
-// Addresses returns the router's addresses, with the ports that the system
-// chose where a setting left them open.
+// Addresses returns the router's addresses, including the ports that the system
+// chose for listen addresses with port 0.
 func (d *Daemon) Addresses() Addresses {
 	return Addresses{
 		Callers: d.callerListener.Addr().String(),
@@ -226,8 +229,8 @@
 	}
 }
 
-// Run serves until the context ends or an operator drains the router, then
-// finishes what was admitted. It returns the first error of a server.
+// Run serves until the context ends or an operator drains the router. It then
+// finishes the admitted requests and returns the first error of a server.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.close()
 	workCtx, stop := context.WithCancel(context.Background())
@@ -262,9 +265,9 @@
 	}
 }
 
-// awaitStop turns a stop into a drain: it is announced, admission ends, what
-// was admitted is finished, and only then the listeners close, the callers'
-// first.
+// awaitStop waits for a stop and carries it out as a drain. It announces the
+// drain to peers, ends admission and waits for the admitted requests. Only then
+// does it close the listeners, first that of callers.
 func (d *Daemon) awaitStop(ctx, workCtx context.Context) error {
 	defer d.stopServing()
 	select {
@@ -293,9 +296,9 @@
 	return err
 }
 
-// claimsTimeout bounds the last write of outcomes at a stop. A key whose
-// outcome could not be written reads as unknown later and is not run again,
-// so waiting longer for a platform that is away would gain little.
+// claimsTimeout limits the last write of claim outcomes at a stop. A key whose
+// outcome could not be written is later treated as unknown and is not run
+// again, so waiting longer for an unavailable platform would gain little.
 const claimsTimeout = 10 * time.Second
 
 func (d *Daemon) closeClaims() {
@@ -306,8 +309,9 @@
 	}
 }
 
-// drainContexts end when requests may no longer run, and when what has not ended
-// by then may no longer be answered.
+// drainContexts returns two contexts: finishCtx ends when requests may no
+// longer run, and answersCtx ends when cancelled requests may no longer be
+// answered.
 func (d *Daemon) drainContexts() (finishCtx, answersCtx context.Context, cancel context.CancelFunc) {
 	if d.options.DrainTimeout == 0 {
 		unlimited, cancel := context.WithCancel(context.Background())
@@ -346,17 +350,18 @@
 	d.announceSettings()
 }
 
-// failStop ends the process: a scheduler that panicked may have lost track of
-// its grants, and serving on would break promises in silence.
+// failStop ends the process. A scheduler that panicked may have lost track of
+// its grants; a router that continued to serve could break them without notice.
 func (d *Daemon) failStop(err error) {
 	d.log.Error().Err(err).Bytes("stack", debug.Stack()).Msg("scheduler failed")
 	os.Exit(exitPanic)
 }
 
-// exitPanic is the exit code after a failed scheduler.
+// exitPanic is the exit code after a panic of the scheduler.
 const exitPanic = 70
 
-// close releases what New opened; parts that were never opened are nil.
+// close releases everything that New opened. Parts that were not opened are
+// nil.
 func (d *Daemon) close() {
 	if d.poller != nil {
 		d.poller.Close()
--- a/transport/daemon/doc.go
+++ b/transport/daemon/doc.go
@@ -1,4 +1,5 @@
-// Package daemon wires one router together: the caller, administration and
-// peer listeners, the scheduler's host, the settings source and the stop.
-// cmd/figstiled runs one, the development fleet runs many in one process.
+// Package daemon connects the parts of one router: the listeners for callers,
+// administration and peers, the scheduler's host, the settings source and the
+// shutdown. cmd/figstiled runs one router; the development fleet runs many in
+// one process.
 package daemon
--- a/transport/daemon/gossip.go
+++ b/transport/daemon/gossip.go
@@ -13,22 +13,22 @@
 	"github.com/figstile/figstile/transport/peer"
 )
 
-// vmListInterval is how often the platform's VM list is read. The list lags by
-// itself, so reading it more often than every few seconds finds nothing more,
-// and each read counts against the platform's rate.
+// vmListInterval is the interval at which the platform's VM list is read. The
+// list itself lags, so reading it more often than every few seconds finds
+// nothing more, and each read counts against the platform's rate limit.
 const vmListInterval = 2 * time.Second
 
-// roleRouter marks routers on the platform's VM list; any other role is an
-// upstream of that name.
+// roleRouter is the role of routers on the platform's VM list. A VM with any
+// other role is an upstream, whose name is that of the VM.
 const roleRouter = "router"
 
-// peerSet is the last set of live routers handed to the scheduler.
+// peerSet holds the last set of live routers that was passed to the scheduler.
 type peerSet struct {
 	mu    sync.Mutex
 	peers []scheduler.Peer
 }
 
-// others returns the live routers but one.
+// others returns the names of all live routers except self.
 func (p *peerSet) others(self state.Router) []state.Router {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -49,10 +49,10 @@
 	d.claims.SetRouterCount(len(peers))
 }
 
-// onSession starts again from full state with a peer. Messages may have been
-// lost with an older session: a lost grant or decline would keep a slot
-// reserved until it expires, and a lost counter would skew the shares for
-// ever. To the scheduler the peer goes and comes back at once.
+// onSession restarts the exchange with a peer from full state. Messages may
+// have been lost with an older session: a lost grant or decline would keep a
+// slot reserved until it expires, and a lost counter would distort the shares
+// for good. The scheduler is informed that the peer was removed and came back.
 func (d *Daemon) onSession(p peer.Session) {
 	d.peers.mu.Lock()
 	defer d.peers.mu.Unlock()
@@ -90,13 +90,15 @@
 	d.post(ev)
 }
 
-// announcedVersions is what all live peers have been told of the settings.
+// announcedVersions holds the settings versions that have been announced to all
+// live peers.
 type announcedVersions struct {
 	mu       sync.Mutex
 	versions map[string]uint64
 }
 
-// update returns the versions that are news and takes them for told.
+// update returns the versions that have not been announced yet and records them
+// as announced.
 func (a *announcedVersions) update(current map[string]uint64) map[string]uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -110,9 +112,10 @@
 	return changed
 }
 
-// announceSettings tells all peers which versions have come into force here.
-// With hundreds of teams the whole list at every change would be most of what
-// a change costs; a peer that was away hears all of it when it is back.
+// announceSettings announces to all peers which versions have come into force
+// on this router. With hundreds of teams, sending the whole list at every
+// change would be most of the cost of a change. A peer that was disconnected
+// receives the whole list when it connects again.
 func (d *Daemon) announceSettings() {
 	changed := d.announcedVersions.update(d.source.Versions())
 	if len(changed) > 0 {
@@ -163,7 +166,8 @@
 	}
 }
 
-// followVMs reads the platform's list of machines until the context ends.
+// followVMs reads the platform's VM list at each interval until the context
+// ends.
 func (d *Daemon) followVMs(ctx context.Context) {
 	ticker := time.NewTicker(vmListInterval)
 	defer ticker.Stop()
--- a/transport/daemon/listener.go
+++ b/transport/daemon/listener.go
@@ -11,14 +11,14 @@
 	"github.com/figstile/figstile/transport/conntrack"
 )
 
-// listener is one HTTP server with its open socket.
+// listener is an HTTP server with its open socket.
 type listener struct {
 	net.Listener
 	server *http.Server
 	conns  *conntrack.Tracker
 }
 
-// buildServer builds the server on the open socket, whose connections it tracks.
+// buildServer builds the server for the open socket and tracks its connections.
 func (l *listener) buildServer(handler http.Handler, limits caller.ServerOptions) {
 	l.conns = conntrack.New(time.Now)
 	l.server = caller.NewServer(handler, limits)
@@ -45,9 +45,10 @@
 	return err
 }
 
-// drain takes no more connections, answers what arrives on the open ones until
-// no request is under way, and closes them. Requests that have not ended in time
-// are cut off, and their handlers get some more to answer.
+// drain closes the listener, answers requests on open connections until none is
+// in progress, and closes the connections. Requests that have not ended when
+// finishCtx ends are cancelled; their handlers may then answer until answersCtx
+// ends.
 func (l *listener) drain(finishCtx, answersCtx context.Context) error {
 	_ = l.Close()
 	if l.closeConns(finishCtx) == nil {
@@ -57,10 +58,10 @@
 	return l.closeConns(answersCtx)
 }
 
-// closeConns closes the connections once no request is under way. Shutdown alone
-// would close a connection whose next request it has read, without an answer; it
-// is left with the connections of HTTP/2, whose callers it tells what it has not
-// taken.
+// closeConns closes the connections once no request is in progress. Shutdown
+// alone would close a connection whose next request it has already read,
+// without an answer. It is used only for the remaining HTTP/2 connections, on
+// which it informs the caller which requests were not accepted.
 func (l *listener) closeConns(ctx context.Context) error {
 	if !l.conns.Drain(func() bool { return ctx.Err() != nil }) {
 		return context.Cause(ctx)
@@ -68,8 +69,9 @@
 	return l.server.Shutdown(ctx)
 }
 
-// closeWhileDraining asks those who get an answer from a draining router to close their
-// connection: one on which request follows request would hold the stop up.
+// closeWhileDraining asks callers to close their connection after an answer
+// while the router drains. A connection with one request after the other would
+// otherwise delay the stop.
 func (d *Daemon) closeWhileDraining(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if d.draining.Load() {
--- a/transport/daemon/options.go
+++ b/transport/daemon/options.go
@@ -14,21 +14,22 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Secrets come from the environment only: as flags, other users of the machine
-// could read them from the list of processes. Certificates and keys are PEM.
+// Secrets are read from the environment only, because other users of the
+// machine could read flags from the process list. Certificates and keys are in
+// PEM format.
 type Secrets struct {
-	// PlatformToken is shown to the platform, FleetToken to other routers to
-	// read their status.
+	// PlatformToken authenticates the router to the platform, FleetToken to
+	// other routers when it reads their status.
 	PlatformToken string
 	FleetToken    string
-	// BootstrapToken is an operator's that counts until the first settings
-	// are in force.
+	// BootstrapToken is the token of an operator that is valid until the first
+	// settings are in force.
 	BootstrapToken string
-	// TLSCert and TLSKey secure the sides towards callers and operators.
+	// TLSCert and TLSKey are used for connections from callers and operators.
 	TLSCert string
 	TLSKey  string
-	// PeerCert and PeerKey secure the links to other routers, whose
-	// certificates PeerCA must have signed.
+	// PeerCert and PeerKey are used for links to other routers, whose
+	// certificates must be signed by PeerCA.
 	PeerCert string
 	PeerKey  string
 	PeerCA   string
@@ -48,8 +49,9 @@
 	}
 }
 
-// Options are a process's start-up settings, from flags and the environment.
-// They don't change while it runs. The help text of each is its comment.
+// Options are the start-up settings of a process, from flags and the
+// environment. They do not change while it runs. The help text of each field
+// describes it.
 type Options struct {
 	Router     string `help:"Name of this router, unique in the fleet." env:"FIGSTILE_ROUTER" required:""`
 	DataCentre string `help:"Data centre this VM stands in." env:"FIGSTILE_DATA_CENTRE" required:""`
@@ -73,18 +75,18 @@
 	MaxQueuedBytes int64         `help:"Bytes of bodies held at once." env:"FIGSTILE_MAX_QUEUED_BYTES" default:"268435456"`
 	DrainTimeout   time.Duration `help:"How long a stop may take; 0 waits for the last request." env:"FIGSTILE_DRAIN_TIMEOUT" default:"0"`
 
-	// DialPeer opens connections to peers; nil means plain TCP. Tests put
-	// links that fail here.
+	// DialPeer opens connections to peers; nil means plain TCP. Tests use it to
+	// simulate failing links.
 	DialPeer func(ctx context.Context, address string) (net.Conn, error) `kong:"-" json:"-"`
 
 	LogLevel string `help:"Least level that is logged." env:"FIGSTILE_LOG_LEVEL" enum:"debug,info,warn,error" default:"info"`
 	TraceDir string `help:"Directory for recorded decisions; empty records nothing." env:"FIGSTILE_TRACE_DIR"`
 }
 
-// namePattern admits what is safe in headers, metrics and object keys.
+// namePattern matches names that are safe in headers, metrics and object keys.
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?$`)
 
-// Check returns every fault of the options at once, or nil.
+// Check returns all errors in the options, joined, or nil.
 func (o *Options) Check() error {
 	faults := []error{
 		checkName("router", o.Router),
@@ -137,16 +139,16 @@
 		return fmt.Errorf("%s: %w", flag, err)
 	}
 	if u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-		return fmt.Errorf("%s: %q is no http or https URL", flag, value)
+		return fmt.Errorf("%s: %q is not an http or https URL", flag, value)
 	}
 	return nil
 }
 
-func checkPair(oneName, one, otherName, other string) error {
-	if (one == "") == (other == "") {
+func checkPair(firstName, first, secondName, second string) error {
+	if (first == "") == (second == "") {
 		return nil
 	}
-	return fmt.Errorf("%s and %s must be set together", oneName, otherName)
+	return fmt.Errorf("%s and %s must be set together", firstName, secondName)
 }
 
 func checkPositive(flag string, value int64) error {
@@ -156,7 +158,8 @@
 	return fmt.Errorf("%s: %d must be greater than 0", flag, value)
 }
 
-// callerTLS returns nil without a certificate.
+// callerTLS returns the TLS configuration for callers and operators, or nil if
+// there is no certificate.
 func (o *Options) callerTLS() (*tls.Config, error) {
 	if o.TLSCert == "" || o.TLSKey == "" {
 		return nil, nil
@@ -168,8 +171,9 @@
 	return &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{pair}}, nil
 }
 
-// peerTLS returns nil without a certificate. Both sides must show one that
-// the fleet's authority signed.
+// peerTLS returns the TLS configuration for peers, or nil if there is no
+// certificate. Both sides must present a certificate signed by the fleet's
+// authority.
 func (o *Options) peerTLS() (*tls.Config, error) {
 	if o.PeerCert == "" || o.PeerKey == "" || o.PeerCA == "" {
 		return nil, nil
--- a/transport/daemon/options_test.go
+++ b/transport/daemon/options_test.go
@@ -21,9 +21,9 @@
 	require.NoError(t, o.Check())
 }
 
-// An operator starts a router with several mistakes. Mending them one start at
-// a time costs an outage each; all must be named at once, and none may show a
-// secret.
+// TestCheckReportsAllFaults guards against an error that names only the first
+// of several mistakes in the options: an operator would correct one mistake per
+// start, and each failed start is an outage. No error may contain a secret.
 func TestCheckReportsAllFaults(t *testing.T) {
 	o := validOptions()
 	o.Router = "Router One"
@@ -52,9 +52,9 @@
 	require.ErrorContains(t, err, "FIGSTILE_PEER_CERT")
 }
 
-// A fleet has hundreds of teams, and one of them changes a weight. Every
-// router tells every peer; told with all versions each time, the change would
-// cost as much as all settings.
+// TestOnlyChangedVersionsAreAnnounced guards against announcements of all
+// versions at each change. With hundreds of teams and every router announcing
+// to every peer, a change of one weight would cost as much as all settings.
 func TestOnlyChangedVersionsAreAnnounced(t *testing.T) {
 	var a announcedVersions
 	require.Equal(t, map[string]uint64{"config/root": 1, "config/teams/a": 2}, a.update(map[string]uint64{"config/root": 1, "config/teams/a": 2}))
--- a/transport/daemon/orders.go
+++ b/transport/daemon/orders.go
@@ -18,8 +18,9 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// orderManager runs a controller of orders for each engine that this router owns
-// and whose settings say what it shall hold.
+// orderManager runs a controller for each engine that this router owns and for
+// which the settings list wanted models. A controller gives an engine orders to
+// load or unload models.
 type orderManager struct {
 	options            orderManagerOptions
 	ctx                context.Context
@@ -32,38 +33,39 @@
 	engines map[state.Upstream]*engineOrders
 }
 
-// orderManagerOptions sets up an orderManager.
+// orderManagerOptions configure an orderManager.
 type orderManagerOptions struct {
 	Router      state.Router
 	Incarnation state.Incarnation
 	Store       objectstore.Store
-	// Timing is that of the leases.
+	// Timing contains the durations of the leases.
 	Timing fencing.Timing
-	// Settings returns the view in force, nil if there is none, and the
+	// Settings returns the view in force, or nil if there is none, and the
 	// version of its root.
 	Settings func() (*config.View, uint64)
 	Log      zerolog.Logger
 }
 
-// engineOrders is one engine's controller and what it was told.
+// engineOrders is the controller of one engine, with the settings last passed
+// to it.
 type engineOrders struct {
 	controller      *orders.Controller
 	target          orderTarget
 	models          []state.Model
 	settingsVersion uint64
 	draining        bool
-	// invalidReports is set while the engine's load reports cannot be right.
+	// invalidReports is set while the engine's load reports are invalid.
 	invalidReports bool
 }
 
-// orderTarget is what a controller cannot change while it runs.
+// orderTarget holds the settings that cannot change while a controller runs.
 type orderTarget struct {
 	upstream      state.Upstream
 	url           string
 	checksFencing bool
 }
 
-// desiredModels is what one engine shall hold.
+// desiredModels lists the models that an engine should hold.
 type desiredModels struct {
 	target orderTarget
 	models []state.Model
@@ -87,16 +89,17 @@
 	o.reconcile()
 }
 
-// onSettings compares the controllers with new settings.
+// onSettings adapts the controllers to new settings.
 func (o *orderManager) onSettings() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.reconcile()
 }
 
-// onReport passes a load report on to the engine's controller. A report that
-// cannot be right is dropped: it would bring orders against a sound engine. The
-// first of a row is logged, as an engine is polled once a second.
+// onReport passes a load report to the engine's controller. It drops an invalid
+// report, which would lead to orders that the engine does not need. Only the
+// first invalid report in a row is logged, because an engine is polled once a
+// second.
 func (o *orderManager) onReport(report state.LoadReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -114,7 +117,8 @@
 	}
 }
 
-// reconcile brings the controllers in line with ownership and settings.
+// reconcile starts, updates and drains controllers according to ownership and
+// settings.
 func (o *orderManager) reconcile() {
 	desired, version := o.desired()
 	for name, e := range o.engines {
@@ -127,8 +131,8 @@
 	}
 }
 
-// desired returns what the owned engines shall hold, and the version of the
-// settings that say so.
+// desired returns the wanted models of the owned engines, and the version of
+// the settings that list them.
 func (o *orderManager) desired() (map[state.Upstream]desiredModels, uint64) {
 	desired := make(map[state.Upstream]desiredModels)
 	view, version := o.options.Settings()
@@ -148,10 +152,11 @@
 	return desiredModels{target: target, models: u.WantedModels}
 }
 
-// applyDesired tells an engine's controller the wish if it is news, and starts one
-// if there is none. One that is leaving may still wait for the end of its last
-// order; a second beside it would give the engine two at a time. The next one
-// starts when it has ended.
+// applyDesired passes changes to an engine's controller, and starts a
+// controller if there is none. A draining controller may still wait for the end
+// of its last order; a second controller beside it would give the engine two
+// orders at a time. The next one is therefore started when the draining one has
+// ended.
 func (o *orderManager) applyDesired(desired desiredModels, version uint64) {
 	e := o.engines[desired.target.upstream]
 	if e == nil {
@@ -163,8 +168,8 @@
 	e.updateController(desired.models, version)
 }
 
-// updateController passes on what is news. Every change of the settings brings a version,
-// few bring a wish.
+// updateController passes changes to the controller. Every change of the
+// settings has a new version, but few change the wanted models.
 func (e *engineOrders) updateController(models []state.Model, version uint64) {
 	switch {
 	case !slices.Equal(e.models, models):
@@ -194,8 +199,8 @@
 	return e
 }
 
-// run ends when the engine is given up, and then looks whether it is wanted
-// again.
+// run runs a controller until it has drained, and then starts a new one if the
+// engine is wanted again.
 func (o *orderManager) run(e *engineOrders) {
 	err := e.controller.Run(o.ctx)
 	o.options.Log.Info().Str("upstream", string(e.target.upstream)).Err(err).Msg("orders_ended")
@@ -213,9 +218,9 @@
 	e.controller.Drain()
 }
 
-// drain gives up every engine and waits until orders under way have ended and
-// the leases are released, so that the next owner need not wait for their end.
-// When the context ends it breaks off what is left.
+// drain drains all controllers, and waits until orders in progress have ended
+// and the leases are released, so that the next owner need not wait for the
+// leases to expire. When the context ends, it aborts the remaining orders.
 func (o *orderManager) drain(ctx context.Context) error {
 	o.mu.Lock()
 	o.closed = true
@@ -236,10 +241,10 @@
 	}
 }
 
-// errOrdersAborted says that orders under way were broken off by a stop.
-var errOrdersAborted = errors.New("daemon: orders to engines were broken off")
+// errOrdersAborted reports that a stop aborted orders in progress.
+var errOrdersAborted = errors.New("daemon: orders to engines were aborted")
 
-// close breaks everything off at once.
+// close aborts all orders and waits for the controllers to end.
 func (o *orderManager) close() {
 	o.mu.Lock()
 	o.closed = true
@@ -259,15 +264,16 @@
 	})
 }
 
-// orderSettings returns the view in force and the version of its root. A root
-// that arrives between the two reads gives a version that does not fit the
-// view; the notice of that change follows at once and puts it right.
+// orderSettings returns the view in force and the version of its root. If a
+// root arrives between the two reads, the version does not match the view. The
+// notification of that change follows at once and corrects it.
 func orderSettings(source *settings.Source) (*config.View, uint64) {
 	view := source.View()
 	return view, source.Versions()[config.RootKey]
 }
 
-// onLoadEvent hands a load report to the orders and to the scheduler.
+// onLoadEvent passes an event of the load poller to the order manager and to
+// the scheduler.
 func (d *Daemon) onLoadEvent(event scheduler.Event) {
 	if reported, ok := event.(scheduler.Reported); ok {
 		d.orders.onReport(reported.Report)
--- a/transport/daemon/orders_test.go
+++ b/transport/daemon/orders_test.go
@@ -23,8 +23,8 @@
 	poll "github.com/figstile/figstile/transport/upstream"
 )
 
-// orderFixture is one router's orders before one engine whose loads last until
-// the test lets them end.
+// orderFixture is the order manager of one router with one engine, whose loads
+// of models last until the test ends them.
 type orderFixture struct {
 	t           *testing.T
 	platform    *platform.Platform
@@ -65,7 +65,8 @@
 	return b
 }
 
-// sleep is a load under way.
+// sleep replaces the engine's load time: it lasts until the test sends a
+// result.
 func (b *orderFixture) sleep(ctx context.Context, _ time.Duration) error {
 	select {
 	case err := <-b.loadResults:
@@ -86,23 +87,23 @@
 	}
 }
 
-// reportLoad hands the engine's load to the orders.
+// reportLoad passes the engine's present load report to the order manager.
 func (b *orderFixture) reportLoad() {
 	report, err := poll.FetchReport(b.t.Context(), http.DefaultClient, b.url, "engine-1")
 	require.NoError(b.t, err)
 	b.manager.onReport(report)
 }
 
-// awaitCondition polls until a condition holds.
-func (b *orderFixture) awaitCondition(what string, holds func() bool) {
+// awaitCondition reports the load repeatedly until a condition holds.
+func (b *orderFixture) awaitCondition(condition string, isMet func() bool) {
 	b.t.Helper()
-	eventually(b.t, what, func() bool {
+	eventually(b.t, condition, func() bool {
 		b.reportLoad()
-		return holds()
+		return isMet()
 	})
 }
 
-// drainAll gives up all engines and waits for that.
+// drainAll drains all controllers and waits until they have ended.
 func (b *orderFixture) drainAll() {
 	b.t.Helper()
 	ctx, cancel := context.WithTimeout(b.t.Context(), waitTimeout)
@@ -124,13 +125,14 @@
 	return len(b.manager.engines)
 }
 
-// Hundreds of routers share the platform's rates. One whose engines hold what
-// is wanted, or want nothing, must not call it at all.
+// TestNoPlatformCallsWithoutWork guards against needless calls, because
+// hundreds of routers share the platform's rate limits. A router must not call
+// the platform if its engines hold the wanted models or if none are wanted.
 func TestNoPlatformCallsWithoutWork(t *testing.T) {
 	b := newOrderFixture(t)
 	close(b.loadResults)
 	b.reportLoad()
-	require.Zero(t, b.controllerCount(), "no wish, no controller")
+	require.Zero(t, b.controllerCount(), "a controller runs although no models are wanted")
 	b.setWantedModels("m")
 	b.awaitCondition("the model is loaded and the lease released", func() bool {
 		return b.engine.Holds("m") && b.platform.Calls().Put == 2
@@ -145,15 +147,15 @@
 	require.Equal(t, calls, b.platform.Calls().Total())
 }
 
-// The engine moves to another owner while it loads a model. The order must
-// end in peace, as it has cost a read from the weight store, no second order
-// may follow it, and then the lease is there for the new owner. When the
-// engine comes back meanwhile, there is still only one order at a time.
+// TestOwnershipMovesWhileAnOrderRuns moves an engine to another owner during a
+// load. The order must run to its end, as it has cost a read from the weight
+// store; no second order may follow, and the lease must then be released. If
+// the engine comes back meanwhile, there is still only one order at a time.
 func TestOwnershipMovesWhileAnOrderRuns(t *testing.T) {
 	b := newOrderFixture(t)
-	b.manager.options.Timing.PollInterval = time.Second // A release must wait for its turn.
+	b.manager.options.Timing.PollInterval = time.Second // The release has to wait for the next poll.
 	b.setWantedModels("m", "n")
-	b.awaitCondition("the first load is under way", func() bool { return b.ordersReceived() == 1 })
+	b.awaitCondition("the first load is in progress", func() bool { return b.ordersReceived() == 1 })
 	b.manager.setOwned(nil)
 	b.manager.setOwned([]state.Upstream{"engine-1"})
 	for range 50 {
@@ -162,31 +164,31 @@
 	require.Equal(t, 1, b.ordersReceived())
 	require.Contains(t, b.leaseHolder(), "router-1")
 	b.loadResults <- nil
-	b.awaitCondition("the second load is under way", func() bool { return b.ordersReceived() == 2 })
+	b.awaitCondition("the second load is in progress", func() bool { return b.ordersReceived() == 2 })
 	b.manager.setOwned(nil)
 	b.loadResults <- nil
-	eventually(t, "the engine is given up", func() bool { return b.controllerCount() == 0 })
+	eventually(t, "the controller has drained", func() bool { return b.controllerCount() == 0 })
 	require.NotContains(t, b.leaseHolder(), "router-1")
 	require.Equal(t, []state.Model{"m", "n"}, b.engine.Models())
 }
 
-// A router is stopped while a load runs and its time for the stop runs out, or
-// while the platform is away. The stop must not wait for either.
+// TestStopEndsOrders stops a router while a load runs. The stop must not wait
+// for an order after its time has run out, nor for an unavailable platform.
 func TestStopEndsOrders(t *testing.T) {
 	t.Run("time runs out", func(t *testing.T) {
 		b := newOrderFixture(t)
 		b.setWantedModels("m")
-		b.awaitCondition("the load is under way", func() bool { return b.ordersReceived() == 1 })
+		b.awaitCondition("the load is in progress", func() bool { return b.ordersReceived() == 1 })
 		expired, cancel := context.WithCancel(t.Context())
 		cancel()
 		require.ErrorIs(t, b.manager.drain(expired), errOrdersAborted)
 		require.Empty(t, b.engine.Models())
 	})
-	t.Run("platform is away", func(t *testing.T) {
+	t.Run("platform is unavailable", func(t *testing.T) {
 		b := newOrderFixture(t)
 		b.manager.options.Timing.RenewAfter = 0
 		b.setWantedModels("m")
-		b.awaitCondition("the load is under way", func() bool { return b.ordersReceived() == 1 })
+		b.awaitCondition("the load is in progress", func() bool { return b.ordersReceived() == 1 })
 		b.platform.SetFaults(platform.Faults{Outage: platform.Refuse})
 		before := b.platform.Calls().Get
 		b.awaitCondition("a renewal has failed and the lease is read", func() bool { return b.platform.Calls().Get > before })
@@ -196,13 +198,13 @@
 	})
 }
 
-// An engine cannot load a model, and operators change other settings all day.
-// Each change would start the load anew if it ended the back-off, and use up
-// the weight store's rate.
+// TestOtherChangesKeepTheBackOff guards against changes of other settings that
+// reset the back-off after a failed load. Each change would start the load
+// again and use up the weight store's rate limit.
 func TestOtherChangesKeepTheBackOff(t *testing.T) {
 	b := newOrderFixture(t)
 	b.setWantedModels("m")
-	b.awaitCondition("the load is under way", func() bool { return b.ordersReceived() == 1 })
+	b.awaitCondition("the load is in progress", func() bool { return b.ordersReceived() == 1 })
 	b.loadResults <- errors.New("weight store is slow")
 	b.awaitCondition("the lease is released", func() bool { return b.platform.Calls().Put == 2 })
 	calls := b.platform.Calls().Total()
@@ -215,8 +217,9 @@
 	require.Equal(t, calls, b.platform.Calls().Total())
 }
 
-// A report that cannot be right names no model that the engine holds. Orders
-// by it would load again what is there.
+// TestInvalidReportCausesNoOrder guards against orders based on an invalid
+// report. Such a report lists no models, so the engine would load models again
+// that it already holds.
 func TestInvalidReportCausesNoOrder(t *testing.T) {
 	b := newOrderFixture(t)
 	b.engine.SetHeld("m", true)
--- a/transport/daemon/partition_test.go
+++ b/transport/daemon/partition_test.go
@@ -25,16 +25,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// waitTimeout ends a test whose condition never comes.
+// waitTimeout ends a test whose condition does not become true.
 const waitTimeout = 30 * time.Second
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, condition string, isMet func() bool) {
 	t.Helper()
-	require.Eventually(t, holds, waitTimeout, 10*time.Millisecond, what)
+	require.Eventually(t, isMet, waitTimeout, 10*time.Millisecond, condition)
 }
 
-// twoDataCentres is two data centres with two routers each, whose links to each other
-// and to the platform can be cut.
+// twoDataCentres is a fleet of two data centres with two routers each. The
+// links between the data centres and those to the platform can be cut.
 type twoDataCentres struct {
 	t               *testing.T
 	platform        *platform.Platform
@@ -94,8 +94,8 @@
 	require.NoError(r.t, err)
 }
 
-// platformProxy leads to the platform unless it is cut; the platform stays
-// with castro.
+// platformProxy forwards requests to the platform, which is in castro. During a
+// partition it drops those from laredo.
 func (r *twoDataCentres) platformProxy(dataCentre string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if r.partitioned.Load() && dataCentre == "laredo" {
@@ -159,12 +159,12 @@
 	r.crossLinks = nil
 }
 
-// awaitAll waits until every router's status is as wanted.
-func (r *twoDataCentres) awaitAll(what string, holds func(Status) bool) {
+// awaitAll waits until a condition holds for the status of every router.
+func (r *twoDataCentres) awaitAll(condition string, isMet func(Status) bool) {
 	r.t.Helper()
-	eventually(r.t, what, func() bool {
+	eventually(r.t, condition, func() bool {
 		for _, d := range r.routers {
-			if !holds(d.Status()) {
+			if !isMet(d.Status()) {
 				return false
 			}
 		}
@@ -172,8 +172,8 @@
 	})
 }
 
-// sendDrafts sends requests of both workspaces through a router and wants them
-// served.
+// sendDrafts sends requests of both workspaces through a router, and fails the
+// test unless all are served.
 func (r *twoDataCentres) sendDrafts(d *Daemon, count int) {
 	r.t.Helper()
 	var wg sync.WaitGroup
@@ -197,7 +197,8 @@
 	wg.Wait()
 }
 
-// fleetTotals are the fleet's counters as one router knows them.
+// fleetTotals returns the fleet's counters for each workspace as one router has
+// them.
 func fleetTotals(s Status) map[state.Workspace]state.Cost {
 	totals := make(map[state.Workspace]state.Cost)
 	for _, svc := range s.Services {
@@ -208,20 +209,19 @@
 	return totals
 }
 
-// Two data centres lose each other, and one of them the platform too. Callers
-// of both must be served all the time. A share changed meanwhile is in force
-// on one side only. When the link is back, the cut-off side takes the change,
-// nobody reverts, and all routers count the same service again, as if there
-// had been no partition.
+// TestPartitionOfDataCentres cuts the link between two data centres, and one of
+// them off the platform. Both must serve callers all the time. A changed share
+// is in force on one side only until the link is back; then all routers must
+// have the change, and the same counters as without the partition.
 func TestPartitionOfDataCentres(t *testing.T) {
 	r := startTwoDataCentres(t)
 	r.sendDrafts(r.routers[0], 20)
 
 	r.partition()
-	r.awaitAll("each side sees only itself", func(s Status) bool { return len(s.Peers) == 1 })
+	r.awaitAll("each router has only the peer in its own data centre", func(s Status) bool { return len(s.Peers) == 1 })
 	before := r.routers[3].Status().Versions[config.RootKey]
 	r.put(config.RootKey, changedRoot(t, r))
-	eventually(t, "the side with the platform has the change", func() bool {
+	eventually(t, "the router that reaches the platform has the change", func() bool {
 		return r.routers[0].Status().Versions[config.RootKey] > before
 	})
 	for _, d := range r.routers {
@@ -230,11 +230,11 @@
 	require.Equal(t, before, r.routers[3].Status().Versions[config.RootKey])
 
 	r.partitioned.Store(false)
-	r.awaitAll("the sides see each other and the change", func(s Status) bool {
+	r.awaitAll("all routers have all peers and the change", func(s Status) bool {
 		return len(s.Peers) == 3 && s.Versions[config.RootKey] > before
 	})
 	want := state.Cost(100 * 10 * int64(state.CostUnit))
-	r.awaitAll("all count the same service", func(s Status) bool {
+	r.awaitAll("all routers have the same counters", func(s Status) bool {
 		totals := fleetTotals(s)
 		first := fleetTotals(r.routers[0].Status())
 		return totals["one"] == first["one"] && totals["two"] == first["two"] && totals["one"]+totals["two"] >= want
@@ -242,7 +242,7 @@
 	r.sendDrafts(r.routers[3], 20)
 }
 
-// changedRoot is the root in force with another share.
+// changedRoot returns the root in force with another share.
 func changedRoot(t *testing.T, r *twoDataCentres) config.Root {
 	t.Helper()
 	object, err := r.platform.Store().Get(t.Context(), config.RootKey)
--- a/transport/daemon/path_bench_test.go
+++ b/transport/daemon/path_bench_test.go
@@ -27,7 +27,7 @@
 	standin "github.com/figstile/figstile/standin/upstream"
 )
 
-// routerBenchmark is one router before one engine, both in this process.
+// routerBenchmark is one router with one engine, both in this process.
 type routerBenchmark struct {
 	directURL, routedURL string
 	client               *http.Client
@@ -81,7 +81,7 @@
 	return bn
 }
 
-// streamTimes is what a caller sees of one stream.
+// streamTimes holds the times that a caller measures on one stream.
 type streamTimes struct {
 	status     int
 	firstToken time.Duration
@@ -126,7 +126,7 @@
 	return s
 }
 
-// streamSamples collects what many streams saw.
+// streamSamples collects the times of many streams.
 type streamSamples struct {
 	mu                sync.Mutex
 	firstTokens, gaps []time.Duration
@@ -147,9 +147,10 @@
 	return float64(list[int(q*float64(len(list)-1))].Microseconds())
 }
 
-// BenchmarkAddedTime streams through the router and straight from the engine,
-// half of the streams this way first and half the other, so that both see the
-// same machine. The difference is the router's.
+// BenchmarkAddedTime streams through the router and directly from the engine.
+// Half of the streams use the router first and half the engine first, so that
+// both see the same conditions on the machine. The difference is the time that
+// the router adds.
 func BenchmarkAddedTime(b *testing.B) {
 	const (
 		tokens     = 20
@@ -185,7 +186,7 @@
 	}
 }
 
-// runConcurrently runs f so many times at once.
+// runConcurrently runs f n times at once and waits for all calls.
 func (bn *routerBenchmark) runConcurrently(n int, f func(i int)) {
 	var running sync.WaitGroup
 	for i := range n {
@@ -194,7 +195,8 @@
 	running.Wait()
 }
 
-// resourceUse is processor time and allocations of this process so far.
+// resourceUse is the CPU time and the number of allocations of this process so
+// far.
 type resourceUse struct {
 	cpu     time.Duration
 	mallocs uint64
@@ -208,16 +210,16 @@
 	return resourceUse{time.Duration(r.Utime.Nano() + r.Stime.Nano()), m.Mallocs}
 }
 
-// BenchmarkCPU compares the processor time and allocations of streams
-// of two lengths with those of the same streams straight from the engine. What
-// is left over is the router's.
+// BenchmarkCPU compares the CPU time and allocations of streams of two lengths
+// through the router with those of the same streams directly from the engine.
+// The difference is the cost of the router.
 func BenchmarkCPU(b *testing.B) {
 	const (
 		short, long = 1, 201
 		streams     = 16
 	)
 	bn := newRouterBenchmark(b, 0)
-	// sums are indexed by route and length.
+	// sums is indexed by route (direct, routed) and length (short, long).
 	var sums [2][2]resourceUse
 	for b.Loop() {
 		for route, url := range []string{bn.directURL, bn.routedURL} {
@@ -246,7 +248,7 @@
 	b.ReportMetric((allocs(1)-allocs(0))/(long-short), "allocs/token")
 }
 
-// BenchmarkRoutedStreams is the routed path alone, for profiles.
+// BenchmarkRoutedStreams runs only streams through the router, for profiles.
 func BenchmarkRoutedStreams(b *testing.B) {
 	const (
 		tokens  = 100
--- a/transport/daemon/polls.go
+++ b/transport/daemon/polls.go
@@ -9,12 +9,12 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// pollTargets keeps the load polls to the upstreams that this router owns, at the
-// addresses of the settings in force. Ownership and settings change each by
-// themselves: an upstream that only moved to another address keeps its owner,
-// and polled at the old one it would get no work any more.
+// pollTargets keeps the load poller's targets equal to the upstreams that this
+// router owns, at the addresses in the settings in force. Ownership and
+// settings change independently: an upstream that only moves to another address
+// keeps its owner. Polled at its old address, it would get no more work.
 type pollTargets struct {
-	// setTargets replaces the targets.
+	// setTargets replaces the poller's targets.
 	setTargets func([]upstream.Target)
 
 	mu       sync.Mutex
@@ -22,7 +22,7 @@
 	settings config.Settings
 }
 
-// setOwned takes the upstreams that the scheduler owns.
+// setOwned replaces the upstreams that this router owns.
 func (p *pollTargets) setOwned(owned []state.Upstream) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -30,7 +30,7 @@
 	p.setTargets(p.targets())
 }
 
-// setSettings takes the settings in force.
+// setSettings replaces the settings in force.
 func (p *pollTargets) setSettings(settings config.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +59,7 @@
 	return found
 }
 
-// onOwned follows a change of ownership.
+// onOwned handles a change of the upstreams that this router owns.
 func (d *Daemon) onOwned(owned []state.Upstream) {
 	d.orders.setOwned(owned)
 	d.pollTargets.setOwned(owned)
--- a/transport/daemon/polls_test.go
+++ b/transport/daemon/polls_test.go
@@ -10,9 +10,10 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// An engine moves to another address and an operator changes its URL. Its
-// owner stays the same, so nothing but the settings says that the polls must
-// move too; at the old address no report comes, and the engine would idle.
+// TestPollsFollowAnUpstreamThatMoves guards against polling an engine at its
+// old address after an operator has changed its URL. Its owner stays the same,
+// so only the settings show the move. Without reports from the new address the
+// engine would get no work.
 func TestPollsFollowAnUpstreamThatMoves(t *testing.T) {
 	var polled []upstream.Target
 	p := pollTargets{setTargets: func(targets []upstream.Target) { polled = targets }}
--- a/transport/daemon/stop_test.go
+++ b/transport/daemon/stop_test.go
@@ -25,17 +25,17 @@
 	"github.com/figstile/figstile/transport/problem"
 )
 
-// stopFixture is one router that is told to stop.
+// stopFixture is a running router that a test stops.
 type stopFixture struct {
 	*Daemon
 	t      *testing.T
 	useTLS bool
-	// requestStop tells the router to stop; done gets what Run returned.
+	// requestStop tells the router to stop; done receives the result of Run.
 	requestStop context.CancelFunc
 	done        chan error
 }
 
-// startStopFixture runs a router with one engine at a URL.
+// startStopFixture runs a router with one engine at the given URL.
 func startStopFixture(t *testing.T, engineURL string, change func(*Options)) *stopFixture {
 	r := &twoDataCentres{t: t, platform: platform.New(platform.Options{})}
 	r.put("config/teams/costa", config.Subtree{Team: "costa", Workspaces: []config.Workspace{
@@ -64,11 +64,12 @@
 		cancel()
 		proxy.CloseClientConnections()
 	})
-	eventually(t, "the router has its settings", func() bool { return len(d.Status().Versions) == 2 })
+	eventually(t, "the router has received its settings", func() bool { return len(d.Status().Versions) == 2 })
 	return b
 }
 
-// withCertificate gives a router a certificate for callers and operators.
+// withCertificate returns a change of the options that sets a certificate for
+// callers and operators.
 func withCertificate(t *testing.T) func(*Options) {
 	server := httptest.NewTLSServer(http.NotFoundHandler())
 	defer server.Close()
@@ -81,7 +82,7 @@
 	}
 }
 
-// stopCaller is a caller's or an operator's end of a connection.
+// stopCaller is the connection of a caller or an operator.
 type stopCaller struct {
 	net.Conn
 	t      *testing.T
@@ -124,16 +125,19 @@
 	return true
 }
 
-// halfHead is the first part of a request's head, which ends in the other.
+// halfHead is the first part of a request's head; the test sends the rest
+// later.
 const halfHead = "GET %s HTTP/1.1\r\nHost: h\r\nAuthorization: "
 
-// stopTarget is one of the listeners that a router closes at a stop.
+// stopTarget describes the test of one of the listeners that a router closes at
+// a stop.
 type stopTarget struct {
 	name    string
 	address func(Addresses) string
 	// openRequestHead is the head of a request whose body the router waits for.
 	openRequestHead string
-	// path is that of a further request, status the answer to it.
+	// path is the path of a further request, status and code are the expected
+	// answer.
 	path   string
 	status int
 	code   string
@@ -152,12 +156,10 @@
 	},
 }
 
-// A router is told to stop while the body of a request comes in slowly. A
-// caller has sent half of its next request's head and sends the rest when the
-// router takes no connections any more. Its connection was closed without an
-// answer, and no log line named the request: http.Server.Shutdown closes a
-// connection whose next request it has read, and calls no handler. Operators'
-// connections ended the same way.
+// TestStopAnswersRequestsAlreadyRead guards against a connection that is closed
+// without an answer or log line. A caller or operator sends the rest of a
+// request's head after the listener has closed, while another request runs.
+// http.Server.Shutdown closes such a connection without calling a handler.
 func TestStopAnswersRequestsAlreadyRead(t *testing.T) {
 	plain := func(*Options) {}
 	for _, target := range stopTargets {
@@ -191,8 +193,9 @@
 	require.NoError(t, <-b.done)
 }
 
-// Callers keep connections of HTTP/2 open and probe them with pings. A router
-// that takes such a frame for a part of a request would not end its stop.
+// TestStopEndsWithHTTP2Open covers callers that keep HTTP/2 connections open
+// and send pings. A router that took a ping for part of a request would not end
+// its stop.
 func TestStopEndsWithHTTP2Open(t *testing.T) {
 	b := startStopFixture(t, "http://127.0.0.1:1", withCertificate(t))
 	transport := &http.Transport{
@@ -209,20 +212,19 @@
 	require.NoError(t, <-b.done)
 }
 
-// A router has a second to stop. Requests are with an engine for longer than
-// that, another one waits for its only slot. When the time was over their
-// connections were closed without an answer, so that no caller could tell
-// whether its request had run: the server was closed under its handlers, and
-// "drain timed out" was all that the log said.
+// TestStopAnswersUnfinishedRequests guards against closing the server under
+// running handlers after the drain timeout, which left callers without an
+// answer on whether their requests ran. Two requests run on an engine for
+// longer than the timeout, and one waits for its only slot.
 func TestStopAnswersUnfinishedRequests(t *testing.T) {
-	slow := engine.New(engine.Options{Options: upstream.Options{Name: "engine", Slots: 1}, TokenDelay: time.Hour})
-	url, stop, err := slow.Start("127.0.0.1:0")
+	slowEngine := engine.New(engine.Options{Options: upstream.Options{Name: "engine", Slots: 1}, TokenDelay: time.Hour})
+	url, stop, err := slowEngine.Start("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(stop)
 	b := startStopFixture(t, url, func(o *Options) { o.DrainTimeout = time.Second })
-	// An engine is sent one request more than it has slots.
+	// The scheduler sends an engine one request more than it has slots.
 	running := []*stopCaller{b.sendDraft(), b.sendDraft()}
-	eventually(t, "the engine has its requests", func() bool { return len(slow.Ledger().Entries()) == len(running) })
+	eventually(t, "the engine has received its requests", func() bool { return len(slowEngine.Ledger().Entries()) == len(running) })
 	waiting := b.sendDraft()
 	eventually(t, "a request waits", func() bool { return b.Status().Waiting == 1 })
 
@@ -239,7 +241,7 @@
 	require.NoError(t, <-b.done)
 }
 
-// sendDraft sends a request on a connection of its own.
+// sendDraft sends a request on a new connection.
 func (b *stopFixture) sendDraft() *stopCaller {
 	c := b.dial(b.Addresses().Callers)
 	c.send("POST /drafts/v1/chat/completions HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer one\r\nContent-Length: 2\r\n\r\n{}")
--- a/transport/daemon/trace.go
+++ b/transport/daemon/trace.go
@@ -13,23 +13,25 @@
 	"github.com/figstile/figstile/transport/host"
 )
 
-// Suffixes of the files of one recorded run.
+// These are the suffixes of the files of one recorded run.
 const (
-	// TraceSuffix is that of the recorded steps.
+	// TraceSuffix is the suffix of the file with the recorded steps.
 	TraceSuffix = ".jsonl"
-	// TraceOptionsSuffix is that of the scheduler's options, without which
-	// the same events may give other actions.
+	// TraceOptionsSuffix is the suffix of the file with the scheduler's
+	// options. With other options the same events may lead to other actions.
 	TraceOptionsSuffix = ".options.json"
 )
 
-// traceFile is the recording of one run; the zero value records nothing. It
-// is for tests and investigations: an entry VM has no disk to keep one.
+// traceFile records the scheduler's steps of one run; the zero value records
+// nothing. It is for tests and investigations, because the VM of a router has
+// no disk to keep recordings.
 type traceFile struct {
 	file     *os.File
 	recorder *trace.Recorder
 }
 
-// openTrace returns the scheduler, recorded if the options ask for it.
+// openTrace returns the scheduler, wrapped in a recorder if the options ask for
+// a trace.
 func (d *Daemon) openTrace(options scheduler.Options) (host.Stepper, error) {
 	if d.options.TraceDir == "" {
 		return d.scheduler, nil
@@ -50,7 +52,7 @@
 	return trace.RecordSteps(d.scheduler, d.trace.recorder), nil
 }
 
-// recordVersions records which settings came into force.
+// recordVersions records the versions of the settings that came into force.
 func (t *traceFile) recordVersions(self scheduler.Peer, versions map[string]uint64) {
 	if t.recorder == nil {
 		return
--- a/transport/daemon/traffic.go
+++ b/transport/daemon/traffic.go
@@ -9,19 +9,19 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// KindTraffic counts the messages of one kind that a router sent, without the
-// framing of the session below.
+// KindTraffic counts the messages of one kind that a router has sent, without
+// the framing of the session.
 type KindTraffic struct {
 	Messages uint64 `json:"messages"`
 	Bytes    uint64 `json:"bytes"`
 }
 
-// countingLink is the mesh with a count of what is sent, by kind of message.
-// The mesh's own figures cannot tell whether demand, grants or counters fill
-// the links.
+// countingLink is the mesh with counters of the sent messages by kind. The
+// counters of the mesh itself do not show whether demand, grants or usage
+// counters fill the links.
 type countingLink struct {
 	mesh *peer.Mesh
-	// peers counts the live peers, which a broadcast goes to.
+	// peers returns the number of live peers, which receive a broadcast.
 	peers func() int
 
 	mu    sync.Mutex
@@ -34,7 +34,8 @@
 	return l.mesh.Send(to, env)
 }
 
-// Broadcast counts a message for each live peer and sends it to all.
+// Broadcast counts a message once for each live peer and sends it to all of
+// them.
 func (l *countingLink) Broadcast(env *peerpb.Envelope) {
 	l.count(env, l.peers())
 	l.mesh.Broadcast(env)
@@ -54,7 +55,7 @@
 	l.kinds[kind] = k
 }
 
-// bodyField is the oneof that holds an envelope's message.
+// bodyField is the oneof field that contains an envelope's message.
 var bodyField = (&peerpb.Envelope{}).ProtoReflect().Descriptor().Oneofs().ByName("body")
 
 func (l *countingLink) byKind() map[string]KindTraffic {
