--- a/transport/host/host.go
+++ b/transport/host/host.go
@@ -13,7 +13,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Stepper is the scheduler as the host sees it.
+// Stepper is the part of the scheduler that the host calls.
 type Stepper interface {
 	Step(now time.Time, ev scheduler.Event) []scheduler.Action
 }
@@ -24,24 +24,27 @@
 	Broadcast(env *peerpb.Envelope)
 }
 
-// Options configure a Host. Scheduler, Peers and Poll are required.
+// Options configure a Host. Scheduler, Peers and SetPolledUpstreams are
+// required.
 type Options struct {
 	Scheduler Stepper
 	Peers     PeerLink
-	// SetPolledUpstreams replaces the set of upstreams whose load reports are fetched.
+	// SetPolledUpstreams replaces the set of upstreams whose load reports are
+	// fetched.
 	SetPolledUpstreams func(upstreams []state.Upstream)
 	// Now is the clock; nil means SteadyClock.
 	Now func() time.Time
-	// OnDrained is called once when a draining router has finished.
+	// OnDrained is called once, when a draining router has finished all its
+	// requests.
 	OnDrained func()
-	// OnPanic is called when the scheduler panics. Its state may then be
-	// half changed, so the process must end rather than serve on.
+	// OnPanic is called when the scheduler panics. The scheduler's state may
+	// then be inconsistent, so the process must end and not continue to serve.
 	OnPanic func(err error)
 }
 
-// Host feeds events to one scheduler and performs its actions. Its methods
-// are safe for concurrent use and do not block on the scheduler, except
-// Inspect.
+// Host feeds events to one scheduler and performs its actions. Its methods are
+// safe for concurrent use. Except for Inspect, they do not wait for the
+// scheduler.
 type Host struct {
 	options Options
 	system  *actor.ActorSystem
@@ -50,28 +53,31 @@
 }
 
 type (
+	// submission is a request with the channel for its actions.
 	submission struct {
 		request scheduler.Request
 		actions chan scheduler.Action
 	}
+	// inspection is a function to run between two steps; done is closed
+	// afterwards.
 	inspection struct {
 		read func()
 		done chan struct{}
 	}
 )
 
-// SteadyClock returns a clock that never runs backwards and whose times have
-// no monotonic part. The scheduler needs the first: a wall clock that is set
-// back would let every time-out wait for the time that it lost. A trace needs
-// the second, because the monotonic part does not survive a recording and the
-// replay would compare other times than the run did.
+// SteadyClock returns a clock that never runs backwards and whose times have no
+// monotonic part. The scheduler needs the first property: if a wall clock is
+// set back, every timeout takes longer by that amount. A trace needs the second
+// property: the monotonic part is not recorded, so a replay would compare times
+// that differ from those of the run.
 func SteadyClock() func() time.Time {
 	start := time.Now()
 	wall := start.Round(0)
 	return func() time.Time { return wall.Add(time.Since(start)) }
 }
 
-// New starts the actor. Stop ends it.
+// New starts the actor; Stop ends it.
 func New(options Options) *Host {
 	if options.Now == nil {
 		options.Now = SteadyClock()
@@ -82,50 +88,51 @@
 	return h
 }
 
-// discardLogger drops the actor library's own lines, which are not in the
-// project's log format. What matters of them, a panic, reaches OnPanic.
+// discardLogger drops the lines of the actor library, which are not in the
+// project's log format. The only important event, a panic, is reported through
+// OnPanic.
 func discardLogger(*actor.ActorSystem) *slog.Logger {
 	return slog.New(slog.DiscardHandler)
 }
 
-// Stop ends the actor after the messages it already holds.
+// Stop ends the actor after it has handled the messages in its mailbox.
 func (h *Host) Stop() {
 	_ = h.system.Root.PoisonFuture(h.pid).Wait()
 	h.system.Shutdown()
 }
 
-// Post hands an event to the scheduler.
+// Post sends an event to the scheduler.
 func (h *Host) Post(ev scheduler.Event) {
 	h.system.Root.Send(h.pid, ev)
 }
 
-// System is the actor system, for further actors of the same router.
+// System returns the actor system, for further actors of the same router.
 func (h *Host) System() *actor.ActorSystem { return h.system }
 
-// Now is the host's clock, for use inside Inspect.
+// Now returns the time of the host's clock, for use inside Inspect.
 func (h *Host) Now() time.Time { return h.options.Now() }
 
-// NextID numbers a new request.
+// NextID returns the ID of a new request.
 func (h *Host) NextID() state.RequestID {
 	return state.RequestID(h.lastID.Add(1))
 }
 
-// Submit hands a request to the scheduler. The channel delivers one Dispatch
-// or Refuse at a time and is closed after the request's last one.
+// Submit sends a request to the scheduler. The channel delivers one Dispatch or
+// Refuse at a time, and is closed after the request's last action.
 func (h *Host) Submit(req scheduler.Request) <-chan scheduler.Action {
 	actions := make(chan scheduler.Action, actionBuffer)
 	h.system.Root.Send(h.pid, submission{request: req, actions: actions})
 	return actions
 }
 
-// Withdraw says that the caller went away. The channel of Submit then delivers at
-// most one Dispatch that was already decided, which must be answered with
-// Ended, and is closed.
+// Withdraw reports that the caller left. The channel of Submit then delivers at
+// most one Dispatch that was already decided, for which ReportEnd must be
+// called, and is closed.
 func (h *Host) Withdraw(id state.RequestID) {
 	h.Post(scheduler.Left{ID: id})
 }
 
-// ReportProgress reports cost since the last report.
+// ReportProgress reports the cost since the last report.
 func (h *Host) ReportProgress(id state.RequestID, cost state.Cost) {
 	h.Post(scheduler.Progressed{ID: id, Cost: cost})
 }
@@ -135,23 +142,27 @@
 	h.Post(scheduler.Ended{ID: id, Cost: cost, Outcome: outcome})
 }
 
-// Inspect runs read between two steps and waits for it.
+// Inspect runs read between two steps of the scheduler and waits until it has
+// returned.
 func (h *Host) Inspect(read func()) {
 	done := make(chan struct{})
 	h.system.Root.Send(h.pid, inspection{read: read, done: done})
 	<-done
 }
 
-// actionBuffer holds every directive that can be under way for one
-// request: the scheduler gives the next one only after Ended.
+// actionBuffer is the capacity of a request's channel of actions. It is enough
+// for all actions that can be undelivered at once, because the scheduler
+// returns the next action only after ReportEnd.
 const actionBuffer = 2
 
-// schedulerActor is the actor. Its fields are touched by its own goroutine only.
+// schedulerActor is the actor. Only the actor's goroutine uses its fields.
 type schedulerActor struct {
 	host    *Host
 	waiting map[state.RequestID]*waitingRequest
 }
 
+// waitingRequest is a request whose channel of actions is still open.
+// dispatched is set from a Dispatch until its end.
 type waitingRequest struct {
 	actions    chan scheduler.Action
 	dispatched bool
@@ -176,8 +187,9 @@
 	}
 }
 
-// failStop ends the process on a panic. The actor library would restart the
-// actor with its state lost, and callers would wait for ever.
+// failStop reports a panic to OnPanic, which ends the process. The actor
+// library would otherwise restart the actor without its state, and callers
+// would wait forever.
 func (r *schedulerActor) failStop() {
 	cause := recover()
 	if cause == nil {
@@ -198,7 +210,8 @@
 	}
 }
 
-// updateWaiting updates who still waits for directives after an event.
+// updateWaiting closes the channel of a request that needs no further action
+// after an event.
 func (r *schedulerActor) updateWaiting(ev scheduler.Event) {
 	switch e := ev.(type) {
 	case scheduler.Left:
@@ -245,8 +258,8 @@
 	}
 }
 
-// dispatch hands the directive to the caller's goroutine. A request that
-// nobody waits for any more is ended at once, so that its slot is freed.
+// dispatch sends the action to the caller's goroutine. If the caller no longer
+// waits, the dispatch is ended at once, so that its slot is freed.
 func (r *schedulerActor) dispatch(act scheduler.Dispatch) {
 	p, ok := r.waiting[act.ID]
 	if !ok {
