--- a/transport/logging/async.go
+++ b/transport/logging/async.go
@@ -8,23 +8,26 @@
 )
 
 const (
-	// flushInterval is how long a line may wait for others: a batch costs one
-	// system call instead of one for each line.
+	// flushInterval is the longest time that a line waits for further lines: a
+	// batch costs one system call, instead of one for each line.
 	flushInterval = 100 * time.Millisecond
-	// maxPendingBytes bounds what waits for a slow reader of the output.
+	// maxPendingBytes limits the bytes of lines that wait for a slow reader of
+	// the output.
 	maxPendingBytes = 256 << 10
-	// maxRoutinePendingBytes bounds it for lines of success: refusals and failures still
-	// find room when those have filled their part.
+	// maxRoutinePendingBytes is the limit for lines that report successes. When
+	// they have reached it, lines that report refusals and failures are still
+	// accepted.
 	maxRoutinePendingBytes = maxPendingBytes / 2
-	// maxAtomicWriteBytes is the size in bytes up to which a write to a pipe is not mixed
-	// with those of others (PIPE_BUF on Linux).
+	// maxAtomicWriteBytes is the largest size in bytes of a write to a pipe
+	// that is not mixed with the writes of others (PIPE_BUF on Linux).
 	maxAtomicWriteBytes = 4096
 )
 
-// AsyncWriter writes lines from a goroutine of its own. A line beyond the rate of
-// its kind, or that finds the buffer full, is dropped and counted, so that
-// neither a flood of requests nor a reader that stops holds up a request. A
-// line of its own tells how many of which kind were dropped.
+// AsyncWriter writes lines from its own goroutine. It drops a line if its kind
+// has exceeded its rate or if the buffer is full, so that neither a flood of
+// requests nor a reader that has stopped delays a request. It counts the
+// dropped lines, and writes a line with the number of dropped lines of each
+// kind.
 type AsyncWriter struct {
 	out         io.Writer
 	now         func() time.Time
@@ -37,7 +40,8 @@
 	done        chan struct{}
 }
 
-// NewAsyncWriter returns a writer before out; Close writes what is left.
+// NewAsyncWriter returns a writer that forwards lines to out. Close writes the
+// remaining lines.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	a := newAsyncWriter(out, time.Now)
 	go a.run()
@@ -51,7 +55,7 @@
 	}
 }
 
-// Write takes one line. It never blocks on the output and never fails.
+// Write accepts one line. It never blocks on the output and never fails.
 func (a *AsyncWriter) Write(line []byte) (int, error) {
 	a.mu.Lock()
 	wasEmpty := len(a.pending) == 0
@@ -101,8 +105,8 @@
 	a.mu.Unlock()
 }
 
-// writeBatches writes whole lines, in pieces that a pipe takes at once; a longer line
-// is written by itself.
+// writeBatches writes whole lines, in batches that a pipe accepts in one atomic
+// write. A line longer than that is written separately.
 func (a *AsyncWriter) writeBatches(lines []byte) {
 	for len(lines) > 0 {
 		end := len(lines)
@@ -112,13 +116,14 @@
 				end = bytes.IndexByte(lines, '\n') + 1
 			}
 		}
-		// There is nobody to tell if the output is gone.
+		// An error of the output is ignored: there is no other place to report
+		// it.
 		_, _ = a.out.Write(lines[:end])
 		lines = lines[end:]
 	}
 }
 
-// Close writes what is left and stops.
+// Close writes the remaining lines and stops the goroutine.
 func (a *AsyncWriter) Close() {
 	close(a.stop)
 	<-a.done
--- a/transport/logging/async_test.go
+++ b/transport/logging/async_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// frozenTime is the time of day of these tests.
+// frozenTime returns the fixed time of these tests.
 func frozenTime() time.Time { return time.Unix(1000, 0) }
 
 func writeLines(t *testing.T, a *AsyncWriter, lines int, format string, args ...any) {
@@ -22,9 +22,10 @@
 	}
 }
 
-// A burst of refusals fills the log. Without a rate for each kind it would push
-// out the line that names the lost dependency, which is what the engineer on
-// call is looking for; and nobody could tell that lines are missing.
+// TestFloodOfOneKindKeepsOtherKinds guards against a burst of refusals that
+// fills the log. Without a rate for each kind it would push out the line that
+// names the lost dependency, which the engineer on call is looking for, and
+// there would be no sign that lines are missing.
 func TestFloodOfOneKindKeepsOtherKinds(t *testing.T) {
 	var out bytes.Buffer
 	a := newAsyncWriter(&out, frozenTime)
@@ -54,8 +55,9 @@
 	require.Equal(t, 2*routineLinesPerSecond, strings.Count(out.String(), "level=info"+" event=request\n"))
 }
 
-// The reader of the output has stopped. What waits is bounded, and lines of
-// failures are kept when those of successes no longer are.
+// TestFullBufferKeepsFailures covers an output whose reader has stopped: the
+// pending bytes are limited, and lines of failures are kept after lines of
+// successes are dropped.
 func TestFullBufferKeepsFailures(t *testing.T) {
 	var out bytes.Buffer
 	a := newAsyncWriter(&out, frozenTime)
@@ -92,7 +94,7 @@
 	require.LessOrEqual(t, len(a.throttle.kinds), maxKinds+1)
 }
 
-// BenchmarkAsync takes a line as long as that of a request.
+// BenchmarkAsync writes a line of the length of a request's line.
 func BenchmarkAsync(b *testing.B) {
 	a := newAsyncWriter(&bytes.Buffer{}, frozenTime)
 	line := []byte("time=x level=info event=request " + strings.Repeat("x", 350))
@@ -102,7 +104,7 @@
 	}
 }
 
-// writeRecorder records each write by itself.
+// writeRecorder records each write separately.
 type writeRecorder [][]byte
 
 func (p *writeRecorder) Write(b []byte) (int, error) {
@@ -110,8 +112,9 @@
 	return len(b), nil
 }
 
-// Guards against batches that a pipe takes in parts, so that a collector sees
-// lines cut, mixed with those of others or not at all.
+// TestBatchesFitAtomicPipeWrites guards against batches that a pipe accepts in
+// parts, so that a collector receives lines cut, mixed with those of other
+// processes, or not at all.
 func TestBatchesFitAtomicPipeWrites(t *testing.T) {
 	var out writeRecorder
 	a := newAsyncWriter(&out, frozenTime)
@@ -121,7 +124,7 @@
 	a.flush()
 	lines := 0
 	for _, piece := range out {
-		require.True(t, bytes.HasSuffix(piece, []byte("\n")), "a line is cut")
+		require.True(t, bytes.HasSuffix(piece, []byte("\n")), "a line was split")
 		n := bytes.Count(piece, []byte("\n"))
 		require.True(t, len(piece) <= maxAtomicWriteBytes || n == 1, "%d lines in %d bytes", n, len(piece))
 		lines += n
--- a/transport/logging/bench_test.go
+++ b/transport/logging/bench_test.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 )
 
-// BenchmarkLine writes a line as long as that of a request.
+// BenchmarkLine writes a line of the length of a request's line.
 func BenchmarkLine(b *testing.B) {
 	for name, log := range map[string]zerolog.Logger{
 		"pairs":   New(io.Discard, "info"),
--- a/transport/logging/logging.go
+++ b/transport/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging sets up the log format of both binaries: one line of
-// key=value pairs per event.
+// Package logging defines the log format of both binaries: one line of
+// key=value pairs for each event.
 package logging
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 )
 
-// New returns a logger for a level name; an unknown name means info.
+// New returns a logger for the given level; an unknown level name means info.
 func New(w io.Writer, level string) zerolog.Logger {
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil || parsed == zerolog.NoLevel {
@@ -20,18 +20,18 @@
 	return zerolog.New(&pairWriter{out: w}).Level(parsed).With().Timestamp().Logger()
 }
 
-// timeFormat of lines: milliseconds tell the order of events of two routers as
-// well as their clocks do.
+// timeFormat is the format of a line's time. Milliseconds are precise enough to
+// order the events of two routers, given the accuracy of their clocks.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 func init() { zerolog.TimeFieldFormat = timeFormat }
 
-// pairWriter turns zerolog's events into key=value lines. zerolog's own console
-// writer decodes each event into a map: 25 microseconds for the line of a
-// request, 5 with this one.
+// pairWriter converts zerolog's JSON events to key=value lines. zerolog's own
+// console writer decodes each event into a map: that takes 25 microseconds for
+// the line of a request, compared with 5 here.
 type pairWriter struct{ out io.Writer }
 
-// Write takes one event: a flat JSON object and a newline.
+// Write converts one event, which is a flat JSON object followed by a newline.
 func (p *pairWriter) Write(event []byte) (int, error) {
 	line := make([]byte, 0, len(event))
 	if _, err := p.out.Write(appendPairs(line, event)); err != nil {
@@ -40,17 +40,18 @@
 	return len(event), nil
 }
 
-// leadingKeys are the members that begin a line.
+// leadingKeys are the members at the beginning of each line, in this order.
 var leadingKeys = []string{zerolog.TimestampFieldName, zerolog.LevelFieldName, zerolog.MessageFieldName}
 
-// pair is one member of an event: its name without quotes, its value as JSON.
+// pair is one member of an event: its name without quotes, and its value as
+// JSON.
 type pair struct{ key, value []byte }
 
-// typicalPairs is more than the members of most events.
+// typicalPairs is larger than the number of members of most events.
 const typicalPairs = 24
 
-// appendPairs renders the members of a JSON object: time, level and message,
-// which is called event, then the others by name.
+// appendPairs renders the members of a JSON object: first the time, the level
+// and the message, whose key is event, then the others sorted by name.
 func appendPairs(line, object []byte) []byte {
 	var array [typicalPairs]pair
 	pairs := appendMembers(array[:0], object)
@@ -99,7 +100,7 @@
 	return append(line, '=')
 }
 
-// appendValue leaves out the quotes of values that cannot be taken for several
+// appendValue omits the quotes of values that cannot be mistaken for several
 // pairs without them.
 func appendValue(line, value []byte) []byte {
 	if len(value) > 2 && value[0] == '"' && !bytes.ContainsAny(value, " =\\") {
@@ -111,7 +112,7 @@
 	return append(line, value...)
 }
 
-// stringEnd returns the end of the JSON string that text begins with.
+// stringEnd returns the end of the JSON string at the beginning of text.
 func stringEnd(text []byte) int {
 	for i := 1; i < len(text); i++ {
 		switch text[i] {
@@ -124,7 +125,7 @@
 	return len(text)
 }
 
-// valueEnd returns the end of the JSON value that text begins with.
+// valueEnd returns the end of the JSON value at the beginning of text.
 func valueEnd(text []byte) int {
 	depth := 0
 	for i := 0; i < len(text); i++ {
--- a/transport/logging/throttle.go
+++ b/transport/logging/throttle.go
@@ -11,28 +11,30 @@
 )
 
 const (
-	// routineLinesPerSecond and troubleRate bound the lines a second of one kind: those of
-	// success, and those of refusals and failures. A router of the largest
-	// fleet serves 230 requests a second, so that only what comes beyond that
-	// is left out; at 400 bytes a line the bound is 360 KB/s for requests.
+	// routineLinesPerSecond and failureLinesPerSecond limit the lines per
+	// second of one kind: the first for lines of successes, the second for
+	// those of refusals and failures. A router of the largest fleet serves 230
+	// requests per second, so only lines above that rate are dropped. At 400
+	// bytes a line, both limits together allow 360 KB/s for lines of requests.
 	routineLinesPerSecond = 300
 	failureLinesPerSecond = 600
-	// maxKinds bounds what is kept of kinds; events are named in the code and
-	// are fewer.
+	// maxKinds limits the number of kinds that are counted separately. The
+	// events named in the code are fewer.
 	maxKinds = 128
 )
 
-// otherKind takes the lines of kinds beyond maxKinds.
+// otherKind collects the lines of further kinds when maxKinds is reached.
 const otherKind = "level=unknown event=other"
 
-// lineKind is what counts lines of one level and event.
+// lineKind counts and limits the lines with one level and event.
 type lineKind struct {
 	limiter   *rate.Limiter
 	isFailure bool
 	dropped   int
 }
 
-// pendingLimit is how many bytes may wait when a line of this kind is taken.
+// pendingLimit returns the number of pending bytes, including the new line, up
+// to which a line of this kind is accepted.
 func (k *lineKind) pendingLimit() int {
 	if k.isFailure {
 		return maxPendingBytes
@@ -40,14 +42,14 @@
 	return maxRoutinePendingBytes
 }
 
-// throttle bounds each kind of line by a rate of its own, so that a flood of
-// one, as of refusals, leaves the others readable. It is not safe for
+// throttle limits each kind of line by a rate of its own, so that a flood of
+// one kind, such as refusals, does not displace the others. It is not safe for
 // concurrent use.
 type throttle struct{ kinds map[string]*lineKind }
 
 func newThrottle() *throttle { return &throttle{kinds: make(map[string]*lineKind)} }
 
-// kindFor returns the counts of a line's kind.
+// kindFor returns the lineKind of a line, and creates it if needed.
 func (t *throttle) kindFor(line []byte) *lineKind {
 	name := kindName(line)
 	if k := t.kinds[string(name)]; k != nil {
@@ -65,14 +67,15 @@
 }
 
 func newKind(name []byte) *lineKind {
-	perSecond, isFailure := routineLinesPerSecond, !bytes.HasPrefix(name, []byte("level=info ")) && !bytes.HasPrefix(name, []byte("level=debug "))
+	linesPerSecond, isFailure := routineLinesPerSecond, !bytes.HasPrefix(name, []byte("level=info ")) && !bytes.HasPrefix(name, []byte("level=debug "))
 	if isFailure {
-		perSecond = failureLinesPerSecond
+		linesPerSecond = failureLinesPerSecond
 	}
-	return &lineKind{limiter: rate.NewLimiter(rate.Limit(perSecond), perSecond), isFailure: isFailure}
+	return &lineKind{limiter: rate.NewLimiter(rate.Limit(linesPerSecond), linesPerSecond), isFailure: isFailure}
 }
 
-// kindName returns a line's level and event, the pairs after its time.
+// kindName returns the level and event of a line, which are the pairs after its
+// time.
 func kindName(line []byte) []byte {
 	_, rest, found := bytes.Cut(line, []byte(" "))
 	if !found || !bytes.HasPrefix(rest, []byte("level=")) {
