--- a/transport/metrics/counters.go
+++ b/transport/metrics/counters.go
@@ -2,16 +2,17 @@
 
 import "github.com/uber-go/tally/v4"
 
-// maxSubjects bounds the subjects of a kind of counter. Upstreams get a new id
-// at each start, so that their number grows for as long as a router runs; later
-// ones share the tag value "other".
+// maxSubjects limits the number of subjects of one family of counters.
+// Upstreams get a new ID at each start, so their number grows as long as a
+// router runs. Further subjects share the tag value "other".
 const maxSubjects = 512
 
-// counters count what happened by a subject and what it was.
+// counters is a family of counters with two tags: a subject, such as an
+// upstream, and an event, such as an outcome.
 type counters struct {
 	scope tally.Scope
 	name  string
-	// subjectTag and whatTag name the two tags.
+	// subjectTag and eventTag are the names of the two tags.
 	subjectTag, eventTag string
 	subjects             map[string]map[string]tally.Counter
 }
@@ -23,7 +24,8 @@
 	}
 }
 
-// get returns the counter of a subject; what is one of few values.
+// get returns the counter for a subject and an event. The event must be one of
+// a few values, as their number is not limited here.
 func (c *counters) get(subject, event string) tally.Counter {
 	if _, ok := c.subjects[subject]; !ok && len(c.subjects) >= maxSubjects {
 		subject = overflowTag
--- a/transport/metrics/doc.go
+++ b/transport/metrics/doc.go
@@ -1,3 +1,4 @@
-// Package metrics is the router's measuring: counters, and histograms per
-// workspace and class, gathered by tally and served to a Prometheus scraper.
+// Package metrics provides the router's metrics: counters, gauges, and
+// histograms per workspace and class. It uses tally and serves them to a
+// Prometheus scraper.
 package metrics
--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -13,21 +13,23 @@
 	"github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often tally hands its figures to the reporter. A
-// scraper that asks every 15 s then sees figures at most a second old.
+// reportInterval is the interval at which tally passes its metrics to the
+// reporter. With a scrape interval of 15 s, the values are at most one second
+// old.
 const reportInterval = time.Second
 
-// MaxSeries bounds the pairs of workspace and class that have histograms of
-// their own. One pair costs about 100 buckets, so that 512 pairs stay in a few
-// MB; later pairs share the tag value "other". Without the bound a fleet of
-// thousands of workspaces, or a caller that invents classes, would fill the
-// router's memory.
+// MaxSeries limits the number of pairs of workspace and class that have
+// histograms of their own. One pair has about 100 buckets, so 512 pairs take a
+// few MB. Further pairs share the tag value "other". Without the limit, a fleet
+// with thousands of workspaces, or a caller that invents classes, would fill
+// the router's memory.
 const MaxSeries = 512
 
-// overflowTag is the tag value of pairs beyond MaxSeries.
+// overflowTag is the tag value for pairs beyond MaxSeries and subjects beyond
+// maxSubjects.
 const overflowTag = "other"
 
-// Metrics is safe for concurrent use.
+// Metrics holds the metrics of one router. It is safe for concurrent use.
 type Metrics struct {
 	scope   tally.Scope
 	closer  io.Closer
@@ -56,8 +58,9 @@
 	attempts    tally.Counter
 }
 
-// New returns metrics with a registry of their own, so that several routers
-// can live in one process. Close flushes and stops it.
+// New returns Metrics with a registry of their own, so that several routers can
+// run in one process. Close reports the remaining values and stops the
+// reporting.
 func New(router state.Router, dc state.DataCentre) *Metrics {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: sortByLineCount(registry)})
@@ -81,9 +84,9 @@
 	}
 }
 
-// sanitizeOptions keeps the reporter's rules for names but allows hyphens and
-// dots in tag values: with the reporter's own rules the workspaces "a-b" and
-// "a_b" would share one series.
+// sanitizeOptions returns the reporter's rules for names, but allows hyphens,
+// dots and slashes in tag values. With the reporter's own rules, the workspaces
+// "a-b" and "a_b" would share one series.
 func sanitizeOptions() *tally.SanitizeOptions {
 	options := prometheus.DefaultSanitizerOpts
 	options.ValueCharacters = tally.ValidCharacters{
@@ -93,10 +96,10 @@
 	return &options
 }
 
-// Handler serves the figures in the Prometheus text format.
+// Handler serves the metrics in the Prometheus text format.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Close reports what is left and stops reporting.
+// Close reports the remaining values and stops the reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
 // SetGauge sets a gauge of the whole router.
@@ -114,13 +117,14 @@
 	m.addToCounter(&m.decisions, string(service), decision, 1)
 }
 
-// AddAdmissionCost adds the cost of a request, in the units of the stated throughput, to
-// what was decided on requests of its workspace.
+// AddAdmissionCost adds the cost of a request to the counter of its workspace
+// and decision. The unit is that in which the service's throughput is
+// configured.
 func (m *Metrics) AddAdmissionCost(ws state.Workspace, decision string, cost float64) {
 	m.addToCounter(&m.admissionCosts, string(ws), decision, int64(cost))
 }
 
-// CountAttempt counts how an attempt ended at an upstream.
+// CountAttempt counts the outcome of an attempt at an upstream.
 func (m *Metrics) CountAttempt(upstream state.Upstream, outcome string) {
 	m.addToCounter(&m.attempts, string(upstream), outcome, 1)
 }
@@ -131,7 +135,8 @@
 	c.get(subject, event).Inc(delta)
 }
 
-// SetViewAge sets the age of what the router knows of something, in seconds.
+// SetViewAge sets the gauge for the age of one of the router's views of the
+// fleet, in seconds.
 func (m *Metrics) SetViewAge(view string, age time.Duration) {
 	m.scope.Tagged(map[string]string{"view": view}).Gauge("view_age_seconds").Update(age.Seconds())
 }
@@ -155,8 +160,9 @@
 	return s
 }
 
-// The buckets: waits and answers from 1 ms to about 17 minutes, gaps between
-// tokens from 1 ms to 2 s, costs from 0.1 to about 100,000 units.
+// The buckets of durations range from 1 ms to about 17 minutes, those of gaps
+// between tokens from 1 ms to 2 s, and those of costs from 0.1 to about 100,000
+// cost units.
 var (
 	durationBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 21)
 	eventGapBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 1.5, 20)
@@ -175,19 +181,21 @@
 	}
 }
 
-// RecordDispatch records the time a request waited for its turn.
+// RecordDispatch records a dispatch and the time that the request waited for
+// it.
 func (s *Series) RecordDispatch(wait time.Duration) {
 	s.attempts.Inc(1)
 	s.queueWait.RecordDuration(wait)
 }
 
-// RecordFirstByte records the time from arrival to the first part of the answer.
+// RecordFirstByte records the time from arrival to the first part of the
+// answer.
 func (s *Series) RecordFirstByte(d time.Duration) { s.firstByte.RecordDuration(d) }
 
 // RecordEventGap records the time between two parts of an answer.
 func (s *Series) RecordEventGap(d time.Duration) { s.eventGap.RecordDuration(d) }
 
-// RecordResult records a final answer.
+// RecordResult records the result, total time and cost of a finished request.
 func (s *Series) RecordResult(r result.Result, total time.Duration, cost state.Cost) {
 	s.requestTime.RecordDuration(total)
 	s.cost.RecordValue(float64(cost) / float64(state.CostUnit))
--- a/transport/metrics/metrics_test.go
+++ b/transport/metrics/metrics_test.go
@@ -25,8 +25,8 @@
 	require.Contains(t, response.Body.String(), `result="ok"`)
 }
 
-// A caller invents a new class with every request. Without a bound the
-// router's memory grows until it is killed and every caller loses its answer.
+// TestInventedClassesShareOneSeries guards against running out of memory when a
+// caller sends a new class with every request.
 func TestInventedClassesShareOneSeries(t *testing.T) {
 	m := New("r1", "dc")
 	for i := range 10 * MaxSeries {
@@ -55,8 +55,8 @@
 	require.Contains(t, response.Body.String(), `figstile_view_age_seconds{data_centre="dc",router="r1",view="configuration"} 1.5`)
 }
 
-// Upstreams are replaced all day long, each with a new id. A counter for each
-// would grow until the router is killed for its memory.
+// TestUpstreamsThatComeAndGoShareOneCounter guards against running out of
+// memory when upstreams are replaced again and again, each with a new ID.
 func TestUpstreamsThatComeAndGoShareOneCounter(t *testing.T) {
 	m := New("r1", "dc")
 	for i := range 3 * maxSubjects {
@@ -66,7 +66,8 @@
 	require.NoError(t, m.Close())
 }
 
-// Guards against collectors that take the beginning of a page and miss the router's state.
+// TestShortFamiliesComeFirst guards against collectors that read only the
+// beginning of an answer and miss the state of the router.
 func TestShortFamiliesComeFirst(t *testing.T) {
 	m := New("r1", "dc")
 	for i := range 50 {
--- a/transport/metrics/order.go
+++ b/transport/metrics/order.go
@@ -8,9 +8,10 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// sortByLineCount orders what a gatherer returns by its number of series, counters
-// and gauges before histograms: collectors that take only the beginning of a page
-// miss buckets then, and not the router's state.
+// sortByLineCount sorts the metric families of a gatherer by their number of
+// lines, so that counters and gauges come before histograms. A collector that
+// reads only the beginning of the answer then misses buckets, but not the state
+// of the router.
 func sortByLineCount(inner prom.Gatherer) prom.Gatherer {
 	return prom.GathererFunc(func() ([]*dto.MetricFamily, error) {
 		families, err := inner.Gather()
@@ -21,7 +22,7 @@
 	})
 }
 
-// lineCount is the number of lines of a family's series.
+// lineCount returns the number of lines that a family takes in the text format.
 func lineCount(f *dto.MetricFamily) int {
 	n := 0
 	for _, m := range f.GetMetric() {
