--- a/transport/orders/controller.go
+++ b/transport/orders/controller.go
@@ -15,68 +15,75 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// Defaults of Options.
+// These are the defaults of Options.
 const (
-	// DefaultTimeout is how long an engine may take to load a model: a large
-	// read from a rate-limited weight store.
+	// DefaultTimeout is the time that an engine may take to load a model, which
+	// is a large read from a rate-limited weight store.
 	DefaultTimeout = 10 * time.Minute
-	// DefaultTickInterval is a third of the gap that the decider takes for a pause.
+	// DefaultTickInterval is a third of the gap between events (3 s by default)
+	// after which the state machine assumes that the process was paused.
 	DefaultTickInterval = time.Second
-	// connectTimeout is the share of the lease's margin meant for connecting.
+	// connectTimeout is the part of the lease's safety margin that is meant for
+	// connecting to the engine.
 	connectTimeout = 2 * time.Second
-	// inputBuffer holds reports and ticks while one event is handled.
+	// inputBuffer is the number of reports and ticks that can wait while one
+	// event is handled.
 	inputBuffer = 16
 )
 
-// Options sets up a Controller.
+// Options configure a Controller.
 type Options struct {
 	Upstream state.Upstream
 	// BaseURL is the engine's address.
 	BaseURL string
 	Store   objectstore.Store
 	Holder  fencing.Config
-	// HTTPClient sends orders; a client that opens a connection for each
-	// order if nil.
+	// HTTPClient sends orders; nil means a client that opens a connection for
+	// each order.
 	HTTPClient *http.Client
-	// Timeout bounds one order.
+	// Timeout limits one order.
 	Timeout time.Duration
-	// TickInterval is the pace of the decider's clock.
+	// TickInterval is the interval of the state machine's ticks.
 	TickInterval time.Duration
-	// Clock reads both clocks of the process; SystemClock if nil.
+	// Clock reads the monotonic and the wall clock; nil means SystemClock.
 	Clock func() fencing.Instant
 	Log   zerolog.Logger
 }
 
-// Controller gives one engine the orders that bring it to what is wanted.
+// Controller gives orders to one engine until it has the desired models and
+// role.
 type Controller struct {
 	opts   Options
 	holder *fencing.Holder
 	inputs chan input
 	done   chan struct{}
 
-	// settingsVersion is the version that the present wish is in force by.
+	// settingsVersion is the version of the settings that contain the current
+	// desired state.
 	settingsVersion atomic.Uint64
-	// storeUnavailable is set while the store gives no answer.
+	// storeUnavailable is set while calls to the store fail.
 	storeUnavailable atomic.Bool
-	// draining is set once the engine is given up.
+	// draining is set once Run has received the input of Drain.
 	draining atomic.Bool
-	// pendingActions counts the actions without an answer; only Run touches it.
+	// pendingActions counts the actions that have not been answered yet; only
+	// Run uses it.
 	pendingActions int
 }
 
-// input is what Run takes: an event and what comes with it.
+// input is one input of Run: an event for the state machine with additional
+// values.
 type input struct {
 	event fencing.Event
-	// settingsVersion is the version that the wish is in force by; zero if the event
-	// tells nothing of it.
+	// settingsVersion is the version of the settings that contain the desired
+	// state; zero if the input does not change it.
 	settingsVersion uint64
 	// completesAction is set if the event is the answer to an action.
 	completesAction bool
-	// startsDrain is set if the engine is given up.
+	// startsDrain is set if the controller should drain.
 	startsDrain bool
 }
 
-// New returns a controller that wants nothing yet.
+// New returns a controller without a desired state.
 func New(opts Options) *Controller {
 	if opts.HTTPClient == nil {
 		opts.HTTPClient = newHTTPClient()
@@ -99,44 +106,47 @@
 	}
 }
 
-// newHTTPClient returns a client that keeps no connections: a kept one may be
-// cut without notice, and the kernel would hold an order back and deliver it
-// after the lease's end.
+// newHTTPClient returns a client that does not reuse connections. A reused
+// connection may be cut without notice; the kernel would then keep an order and
+// deliver it after the lease has ended.
 func newHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}}
 }
 
-// SystemClock returns a reader of the machine's clocks.
+// SystemClock returns a function that reads the machine's clocks.
 func SystemClock() func() fencing.Instant {
 	start := time.Now()
 	return func() fencing.Instant {
 		now := time.Now()
-		// Round strips the monotonic reading, which would hide from the wall
-		// clock what the monotonic one does not see.
+		// Round strips the monotonic reading. With it, the difference between
+		// two wall times would be computed from the monotonic clock, and a
+		// pause that only the wall clock shows would be missed.
 		return fencing.Instant{Monotonic: now.Sub(start), Wall: now.Round(0)}
 	}
 }
 
-// SetWish replaces what the engine is to hold; nil leaves it as it is. The
-// settings are the version that the wish was read from. Want waits for Run to
-// take it, and does nothing once Run has ended.
-func (c *Controller) SetWish(wish *fencing.DesiredState, settings uint64) {
-	c.post(input{event: fencing.DesiredChanged{Desired: wish}, settingsVersion: settings})
+// SetWish replaces the desired state of the engine; nil leaves the engine as it
+// is. settingsVersion is the version of the settings that contain the desired
+// state. SetWish waits until Run accepts it, and does nothing once Run has
+// ended.
+func (c *Controller) SetWish(desired *fencing.DesiredState, settingsVersion uint64) {
+	c.post(input{event: fencing.DesiredChanged{Desired: desired}, settingsVersion: settingsVersion})
 }
 
-// ConfirmSettings says that the present wish stands in later settings too. It is not
-// wanted anew, which would end the back-off of orders that fail.
-func (c *Controller) ConfirmSettings(settings uint64) {
-	c.post(input{event: fencing.Tick{}, settingsVersion: settings})
+// ConfirmSettings reports that later settings contain the same desired state.
+// It does not set the desired state again, because that would end the back-off
+// of failing orders.
+func (c *Controller) ConfirmSettings(settingsVersion uint64) {
+	c.post(input{event: fencing.Tick{}, settingsVersion: settingsVersion})
 }
 
-// Drain has Run end as soon as the order under way has ended and the lease is
+// Drain makes Run end as soon as the current order has ended and the lease is
 // released. No further order is given.
 func (c *Controller) Drain() { c.post(input{event: fencing.DesiredChanged{}, startsDrain: true}) }
 
-// Report passes on a load report of the engine that was read just now. It is
-// dropped if Run is behind, for another one follows.
+// Report passes on a load report that was just read from the engine. If Run is
+// behind, the report is dropped, as another one follows soon.
 func (c *Controller) Report(report state.LoadReport) {
 	select {
 	case c.inputs <- input{event: fencing.ReportReceived{Report: report}}:
@@ -151,10 +161,10 @@
 	}
 }
 
-// Run gives orders until the context ends, and returns its error, or until
-// the engine is given up, and returns nil. It must be called once. If the
-// context ends, an order under way is broken off and a lease that is held
-// lapses by itself.
+// Run gives orders until the context ends, in which case it returns the
+// context's error, or until the controller has drained, in which case it
+// returns nil. It must be called once. If the context ends, an order in
+// progress is aborted, and a lease that this router holds is left to expire.
 func (c *Controller) Run(ctx context.Context) error {
 	var calls sync.WaitGroup
 	defer calls.Wait()
@@ -173,9 +183,10 @@
 	return nil
 }
 
-// isDrained reports whether a given-up engine needs nothing more: no call is
-// under way, and the lease is not held. A lease that cannot be released is left
-// to its end: waiting for a store that is away would hold up the router's stop.
+// isDrained reports whether a draining controller has finished: no call is in
+// progress, and this router does not hold the lease. If the lease cannot be
+// released, it is left to expire, because waiting for an unavailable store
+// would delay the router's stop.
 func (c *Controller) isDrained() bool {
 	if !c.draining.Load() || c.pendingActions > 0 {
 		return false
@@ -194,7 +205,8 @@
 	}
 }
 
-// handleInput lets the decider see an input and counts what it asks for.
+// handleInput passes an input to the state machine and counts the actions that
+// it returns.
 func (c *Controller) handleInput(in input) []fencing.Action {
 	if in.completesAction {
 		c.pendingActions--
@@ -210,7 +222,7 @@
 	return actions
 }
 
-// perform does one action and returns the event that answers it.
+// perform performs one action and returns the event that answers it.
 func (c *Controller) perform(ctx context.Context, action fencing.Action) fencing.Event {
 	switch a := action.(type) {
 	case fencing.ReadLease:
--- a/transport/orders/controller_test.go
+++ b/transport/orders/controller_test.go
@@ -22,10 +22,11 @@
 	poll "github.com/figstile/figstile/transport/upstream"
 )
 
-// waitTimeout bounds waits on conditions; no outcome depends on it.
+// waitTimeout limits waits for conditions; no outcome depends on it.
 const waitTimeout = 20 * time.Second
 
-// controllerFixture is an engine, a store and a clock that only the test moves.
+// controllerFixture is an engine, a store and a clock that only the test
+// advances.
 type controllerFixture struct {
 	t             *testing.T
 	engine        *engine.Engine
@@ -56,22 +57,24 @@
 	})
 }
 
-// runStep lets a controller take an event and all that follows from it at once.
+// runStep passes an event to a controller, and performs all resulting actions
+// at once.
 func (b *controllerFixture) runStep(c *Controller, event fencing.Event) {
 	for _, action := range c.holder.Step(b.now, event) {
 		b.runStep(c, c.perform(b.t.Context(), action))
 	}
 }
 
-// advanceSecond lets a second pass, at whose end a controller reads the load.
+// advanceSecond advances the clock by one second and passes the engine's load
+// report to a controller.
 func (b *controllerFixture) advanceSecond(c *Controller) {
 	b.now.Monotonic += time.Second
 	b.now.Wall = b.now.Wall.Add(time.Second)
 	b.runStep(c, fencing.ReportReceived{Report: b.engine.Load()})
 }
 
-// delayedTransport is a transport that holds up the first order until the test has done
-// something else.
+// delayedTransport is a transport that calls beforeFirst before it sends the
+// first order.
 type delayedTransport struct{ beforeFirst func() }
 
 func (p *delayedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -82,14 +85,12 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// A router takes the lease to load model "old" and is paused before the order
-// leaves it. Its lease lapses, another router takes it and loads "new". The
-// first router resumes and lets its order go. An engine that checks fencing
-// numbers refuses it; for one that ignores them the router finds by its own
-// clock that it is late. Either way the engine holds "new" alone, and the first
-// router reads who holds the lease before anything else.
+// TestPausedHolderResumes pauses router r1 just before it sends an order under
+// its lease. The lease expires, and r2 loads "new". When r1 resumes, an engine
+// that checks fencing numbers rejects its order; for others r1 must find by its
+// own clock that it is too late. r1 must read the lease before it does more.
 func TestPausedHolderResumes(t *testing.T) {
-	for name, checks := range map[string]bool{"engine checks numbers": true, "engine ignores numbers": false} {
+	for name, checks := range map[string]bool{"engine checks fencing numbers": true, "engine ignores fencing numbers": false} {
 		t.Run(name, func(t *testing.T) {
 			b := newControllerFixture(t, checks)
 			second := b.controller("r2", nil)
@@ -103,7 +104,7 @@
 			b.runStep(first, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"old"}}})
 			b.advanceSecond(first)
 
-			require.Nil(t, transport.beforeFirst, "the order was not held up")
+			require.Nil(t, transport.beforeFirst, "the order was not delayed")
 			require.Equal(t, []state.Model{"new"}, b.engine.Models())
 			require.Zero(t, first.holder.Number())
 			received := b.engine.Orders().Orders
@@ -117,8 +118,9 @@
 	}
 }
 
-// The time for an order runs out while its bytes go out. It has been given, so
-// it must not be reported as one that was never sent.
+// TestOrderBeingSentIsNotLate covers an order whose time runs out while its
+// bytes are being sent. It has been given, so it must not be reported as never
+// sent.
 func TestOrderBeingSentIsNotLate(t *testing.T) {
 	var now fencing.Instant
 	var late atomic.Bool
@@ -136,8 +138,9 @@
 	require.False(t, late.Load())
 }
 
-// The store loses the answer to the write that takes the lease, and then is
-// away. No order may go out meanwhile; afterwards the wish is fulfilled.
+// TestNoOrderWithoutAnAnsweredLease loses the answer to the write that takes
+// the lease; then the store is unavailable. No order may be sent meanwhile.
+// Afterwards the engine must reach the desired state.
 func TestNoOrderWithoutAnAnsweredLease(t *testing.T) {
 	b := newControllerFixture(t, false)
 	p := platform.New(platform.Options{Faults: platform.Faults{LoseAnswers: 1}})
@@ -188,10 +191,10 @@
 	c.SetWish(nil, 1)
 }
 
-// An operator has "old" replaced by "new" while router r1 is cut off. r2 does
-// it and gives the lease back. r1 comes back, finds the lease free and the
-// engine without "old", which it still wants. It must not touch the engine
-// until the settings have reached it, and must obey them then.
+// TestHolderWithOldSettingsWaits has "old" replaced by "new" while router r1 is
+// cut off; r2 does it and releases the lease. r1 comes back with the old
+// settings and finds the lease free. It must give no order until it has
+// received the new settings, and must then follow them.
 func TestHolderWithOldSettingsWaits(t *testing.T) {
 	b := newControllerFixture(t, true)
 	old, second := b.controller("r1", nil), b.controller("r2", nil)
--- a/transport/orders/doc.go
+++ b/transport/orders/doc.go
@@ -1,3 +1,4 @@
-// Package orders gives orders to engines: it performs the decisions of
-// package fencing against the platform's store and an engine's HTTP interface.
+// Package orders gives orders to engines. It performs the actions of the state
+// machine in package fencing, using the platform's store and an engine's HTTP
+// interface.
 package orders
--- a/transport/orders/lease.go
+++ b/transport/orders/lease.go
@@ -16,16 +16,18 @@
 // leaseObject is the value of the lease object.
 type leaseObject struct {
 	fencing.Lease
-	// Settings is the version of the settings that the holder went by.
+	// Settings is the version of the settings that the holder of the lease
+	// followed.
 	Settings uint64 `json:"settings,omitempty"`
 }
 
-// readLease counts a lease of newer settings as unread. A router that was
-// paused, resumes and finds the lease free would otherwise take it with a wish
-// from before the pause, and undo what its successor did, until the settings
-// reach it. Every take-over is conditional on a version that was read here, so
-// that the versions of the settings in the lease never fall. A controller that
-// gives its engine up reads on, for it wants nothing but the release.
+// readLease reports a lease that was written under newer settings as not read.
+// Otherwise a router that was paused and finds the lease free when it resumes
+// could take it with a desired state from before the pause, and undo its
+// successor's work until it receives the new settings. A lease is only taken by
+// a write that is conditional on a version read here, so the settings versions
+// in the lease never decrease. A draining controller accepts every lease,
+// because it only releases its own.
 func (c *Controller) readLease(ctx context.Context) fencing.Event {
 	object, err := c.opts.Store.Get(ctx, LeaseKey(c.opts.Upstream))
 	if errors.Is(err, objectstore.ErrNotFound) {
@@ -48,8 +50,8 @@
 	return fencing.LeaseRead{Lease: lease.Lease, Version: uint64(object.Version)}
 }
 
-// writeLease tells a conflict, which is final, from every other failure, after
-// which the write may have taken effect.
+// writeLease distinguishes a conflict, which is final, from all other failures,
+// after which the write may have taken effect.
 func (c *Controller) writeLease(ctx context.Context, write fencing.WriteLease) fencing.Event {
 	value, err := json.Marshal(leaseObject{Lease: write.Lease, Settings: c.settingsVersion.Load()})
 	if err != nil {
@@ -71,9 +73,9 @@
 	return fencing.LeaseWritten{Version: uint64(version)}
 }
 
-// recordStoreResult logs when the store stops answering and when it answers again, and
-// not each try in between: an outage may last hours and is tried every two
-// seconds for each engine.
+// recordStoreResult logs when the store stops answering and when it answers
+// again, but not each attempt in between: an outage may last hours, and the
+// store is called every two seconds for each engine.
 func (c *Controller) recordStoreResult(err error) {
 	unavailable := err != nil
 	if c.storeUnavailable.Swap(unavailable) == unavailable {
--- a/transport/orders/send.go
+++ b/transport/orders/send.go
@@ -13,7 +13,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-// orderBody is the body of POST /orders at an engine.
+// orderBody is the body of POST /orders to an engine.
 type orderBody struct {
 	Action  fencing.OrderKind `json:"action"`
 	Model   state.Model       `json:"model,omitempty"`
@@ -21,21 +21,24 @@
 	Fencing uint64            `json:"fencing"`
 }
 
-// rejectionBody is the part of an engine's refusal that is read.
+// rejectionBody contains the member that is read from an engine's rejection.
 type rejectionBody struct {
 	Stale bool `json:"stale"`
 }
 
-// maxAnswerBytes bounds what is read of an engine's answer to an order.
+// maxAnswerBytes limits the bytes that are read of an engine's answer to an
+// order.
 const maxAnswerBytes = 1 << 20
 
-// errTooLate stops an order whose time to be sent has passed.
-var errTooLate = errors.New("orders: too late in the lease")
+// errTooLate aborts an order that can no longer be sent safely within the
+// lease.
+var errTooLate = errors.New("orders: too little time left in the lease to send the order")
 
-// guardedBody is an order's body that looks at the clock when it is read. The
-// transport reads it once the connection stands, as the last thing before the
-// bytes go out; an engine acts on a whole body only. An order held up before
-// that, by a slow connection or a paused process, is thus never given.
+// guardedBody is the body of an order that checks the clock when it is first
+// read. The transport reads the body once the connection is established, just
+// before it sends the bytes, and an engine acts only on a complete body. An
+// order that was delayed before that, by a slow connection or a paused process,
+// is therefore never given.
 type guardedBody struct {
 	io.Reader
 	order       fencing.SendOrder
@@ -44,9 +47,10 @@
 	readStarted bool
 }
 
-// Read fails with errLate if the order's time has passed at the first read. The
-// transport reads on after the last byte to find the end; by then the order is
-// on its way and must not be reported as never sent.
+// Read returns errTooLate if the order's time has passed at the first read. It
+// does not check later reads: the transport reads on after the last byte to
+// find the end, and by then the order is being sent and must not be reported as
+// never sent.
 func (b *guardedBody) Read(p []byte) (int, error) {
 	if !b.readStarted && b.order.Late(b.clock()) {
 		b.late.Store(true)
@@ -56,8 +60,8 @@
 	return b.Reader.Read(p)
 }
 
-// sendOrder sends an order once. An answer that is no clear one counts as
-// failed: the engine may have obeyed, and its next reports will tell.
+// sendOrder sends an order once. An unclear answer counts as a failure: the
+// engine may have followed the order, which its next load reports will show.
 func (c *Controller) sendOrder(ctx context.Context, order fencing.SendOrder) fencing.Event {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
@@ -102,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// With its length known the body is sent whole or not at all, and without
+	// With a known length the body is sent completely or not at all. Without
 	// GetBody the transport cannot send it twice.
 	request.ContentLength = int64(len(text))
 	request.Header.Set("Content-Type", "application/json")
