--- a/transport/objectstore/check.go
+++ b/transport/objectstore/check.go
@@ -5,12 +5,13 @@
 	"strings"
 )
 
-// MaxKeyBytes is the longest key the platform takes.
+// MaxKeyBytes is the length in bytes of the longest key that the platform
+// accepts.
 const MaxKeyBytes = 512
 
 // CheckKey returns an error of kind ErrInvalid unless the key is a relative
-// path of non-empty segments. An HTTP server would rewrite any other path, so
-// that a write would land on a different key.
+// path of non-empty segments. An HTTP server would rewrite any other path, and
+// a write would change a different key.
 func CheckKey(key string) error {
 	if len(key) > MaxKeyBytes {
 		return fmt.Errorf("%w: key of %d bytes", ErrInvalid, len(key))
@@ -23,8 +24,8 @@
 	return nil
 }
 
-// CheckPut returns an error of kind ErrInvalid for a bad key or a value that
-// is too large.
+// CheckPut returns an error of kind ErrInvalid if the key is invalid or the
+// value is too large.
 func CheckPut(key string, value []byte) error {
 	if len(value) > MaxValueBytes {
 		return fmt.Errorf("%w: value of %d bytes for %s", ErrInvalid, len(value), key)
--- a/transport/objectstore/client.go
+++ b/transport/objectstore/client.go
@@ -17,49 +17,53 @@
 	"time"
 )
 
-// Defaults of ClientOptions.
+// These are the defaults of ClientOptions.
 const (
-	// DefaultTimeout is a thousand times the platform's usual answer time:
-	// beyond it the platform is down, and callers are better refused.
+	// DefaultTimeout is a thousand times the platform's usual answer time. If a
+	// call takes longer, the platform is down, and refusing callers is better
+	// than letting them wait.
 	DefaultTimeout = 3 * time.Second
-	// DefaultWatchWait bounds, with DefaultTimeout, how long a watch can hang
-	// on a connection that a partition has cut, to some seconds. It costs a
-	// fifth of a call a second: at 730 routers with three watches each, a
-	// fifth of the platform's reads.
+	// DefaultWatchWait, together with DefaultTimeout, limits the time that a
+	// watch can hang on a connection cut by a partition to a few seconds. Each
+	// watch costs a fifth of a call per second: with 730 routers and three
+	// watches each, that is a fifth of the platform's read rate.
 	DefaultWatchWait = 5 * time.Second
-	// DefaultMaxAnswerBytes holds a list of some dozen values of full size.
+	// DefaultMaxAnswerBytes is enough for a list of some dozen values of the
+	// maximum size.
 	DefaultMaxAnswerBytes = 64 << 20
 )
 
-// Settings of the connections to the platform.
+// These constants configure the connections to the platform.
 const (
-	// connectTimeout leaves time within DefaultTimeout for the call itself.
+	// connectTimeout leaves time for the call itself within DefaultTimeout.
 	connectTimeout = 2 * time.Second
 	maxIdleConns   = 16
-	// idleConnTimeout outlasts several watches.
+	// idleConnTimeout is longer than several watches.
 	idleConnTimeout = 30 * time.Second
 )
 
-// ClientOptions sets up a Client.
+// ClientOptions configure a Client.
 type ClientOptions struct {
 	// BaseURL is the platform's address, for example http://10.0.0.1:8080.
 	BaseURL string
-	// HTTPClient makes the calls; one that keeps a few connections if nil. Its
-	// redirects are switched off: a redirected write could run twice.
+	// HTTPClient makes the calls; nil means a client that keeps a few
+	// connections open. The Client does not follow redirects, because a
+	// redirected write could run twice.
 	HTTPClient *http.Client
-	// Token is sent as a bearer token unless empty.
+	// Token is sent as a bearer token unless it is empty.
 	Token string
-	// Timeout bounds one call; a watch may take WatchWait longer.
+	// Timeout limits one call; a watch may take WatchWait longer.
 	Timeout time.Duration
-	// WatchWait is how long the platform is asked to hold a watch.
+	// WatchWait is the time for which the platform is asked to hold a watch
+	// open.
 	WatchWait time.Duration
-	// MaxAnswerBytes bounds what is read of one answer.
+	// MaxAnswerBytes limits the bytes that are read of one answer.
 	MaxAnswerBytes int64
 }
 
-// Client is a Store over the platform's HTTP API. It repeats no write and no
-// watch by itself; the transport may repeat another read on a new connection
-// if a kept one turns out to be closed.
+// Client is a Store that uses the platform's HTTP API. It never repeats a write
+// or a watch. The transport may repeat another read on a new connection if a
+// reused connection turns out to be closed.
 type Client struct {
 	opts ClientOptions
 	http http.Client
@@ -67,7 +71,7 @@
 
 var _ Store = (*Client)(nil)
 
-// NewClient returns a client; it makes no call yet.
+// NewClient returns a client. It does not call the platform.
 func NewClient(opts ClientOptions) *Client {
 	opts.BaseURL = strings.TrimSuffix(opts.BaseURL, "/")
 	if opts.HTTPClient == nil {
@@ -87,8 +91,9 @@
 	return c
 }
 
-// newHTTPClient keeps enough connections for a router's watches and the calls
-// beside them; the standard two would have each further call connect anew.
+// newHTTPClient returns a client that keeps enough idle connections for a
+// router's watches and the calls beside them. With the default of two per host,
+// further calls would each open a new connection.
 func newHTTPClient() *http.Client {
 	dialer := &net.Dialer{Timeout: connectTimeout}
 	return &http.Client{Transport: &http.Transport{
@@ -168,13 +173,14 @@
 	return decodePut(key, answer)
 }
 
-// readSpec describes a call without effects.
+// readSpec returns the description of a call that changes nothing.
 func (c *Client) readSpec(target string) callSpec {
 	return callSpec{method: http.MethodGet, target: target, timeout: c.opts.Timeout}
 }
 
-// read makes a call without effects and decodes its answer. Any failure that
-// is no whole answer is ErrUnavailable, for nothing can have been changed.
+// read makes a call that changes nothing and decodes its answer. Any failure to
+// get a complete answer is ErrUnavailable, because nothing can have been
+// changed.
 func (c *Client) read(ctx context.Context, spec callSpec, into any) error {
 	answer, err := c.call(ctx, spec)
 	if err != nil {
@@ -183,7 +189,7 @@
 	return decodeRead(spec.target, answer, into)
 }
 
-// callSpec is one HTTP call.
+// callSpec describes one HTTP call.
 type callSpec struct {
 	method, target string
 	body           []byte
@@ -193,10 +199,10 @@
 	noRetry bool
 }
 
-// bodyReader returns the request's body. A body of a type that the transport
-// does not know keeps it from repeating a read at once when its connection is
-// cut. A platform that goes away cuts the watches of all routers, and their
-// repetitions would come as one burst, ahead of any back-off.
+// bodyReader returns the request's body. With noRetry its type is unknown to
+// the transport, which then does not repeat the call at once if its connection
+// is cut. A platform that fails cuts the watches of all routers, and the
+// repeated calls would arrive as one burst, before any back-off.
 func (s callSpec) bodyReader() io.Reader {
 	body := bytes.NewReader(s.body)
 	if s.noRetry {
@@ -205,7 +211,7 @@
 	return body
 }
 
-// writeCondition is the header that a write is conditional on.
+// writeCondition is the header that makes a write conditional.
 type writeCondition struct{ name, value string }
 
 func versionCondition(expected Version) writeCondition {
@@ -215,15 +221,15 @@
 	return writeCondition{name: HeaderIfMatch, value: strconv.Quote(strconv.FormatUint(uint64(expected), 10))}
 }
 
-// httpAnswer is an answer that arrived whole.
+// httpAnswer is an answer that was received completely.
 type httpAnswer struct {
 	status int
 	body   []byte
 }
 
-// call sends one request and reads the whole answer. A failure is a CallError
-// of kind ErrUnavailable if no connection was had, so that nothing was sent,
-// and of kind ErrUnknownOutcome otherwise.
+// call sends one request and reads the complete answer. A failure is a
+// CallError. Its kind is ErrUnavailable if no connection was obtained, so that
+// nothing was sent, and ErrUnknownOutcome otherwise.
 func (c *Client) call(ctx context.Context, spec callSpec) (httpAnswer, error) {
 	if err := ctx.Err(); err != nil {
 		return httpAnswer{}, &CallError{Op: spec.method, Target: spec.target, Kind: ErrUnavailable, Cause: err}
@@ -255,8 +261,8 @@
 	}
 }
 
-// roundTrip reads the answer to its end, so that a cut one is never taken for
-// a whole one.
+// roundTrip reads the answer to its end, so that a truncated answer is never
+// taken for a complete one.
 func (c *Client) roundTrip(request *http.Request) (httpAnswer, error) {
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -278,11 +284,11 @@
 	errMismatchedAnswer = errors.New("answer belongs to another object")
 )
 
-// connTrace proves that a request was not sent. Telling by the kind of error
-// would be a guess: a write that reached the platform would then be reported
-// as without effect and be done twice. The transport announces that it looks
-// for a connection and that it has one; only the first without the second is
-// proof. A transport that announces neither gives none.
+// connTrace proves that a request was not sent. Deciding by the kind of error
+// would be a guess: a write that reached the platform could be reported as
+// without effect and be repeated. The transport reports when it requests a
+// connection and when it has obtained one. Only the first report without the
+// second is proof; a transport that reports neither proves nothing.
 type connTrace struct{ connRequested, connObtained atomic.Bool }
 
 func (s *connTrace) attach(ctx context.Context) context.Context {
--- a/transport/objectstore/client_test.go
+++ b/transport/objectstore/client_test.go
@@ -9,7 +9,7 @@
 	"github.com/figstile/figstile/transport/objectstore/objectstoretest"
 )
 
-// startPlatform starts a stand-in platform and returns a client of it.
+// startPlatform starts a stand-in platform and returns it with a client.
 func startPlatform(t *testing.T, opts platform.Options) (*platform.Platform, *objectstore.Client) {
 	t.Helper()
 	p := platform.New(opts)
--- a/transport/objectstore/decode.go
+++ b/transport/objectstore/decode.go
@@ -8,18 +8,19 @@
 	"strings"
 )
 
-// CallError is a failed call. errors.Is finds both its kind, which is one of
-// the package's errors, and its cause.
+// CallError is the error of a failed call. errors.Is matches both its kind,
+// which is one of the package's errors, and its cause.
 type CallError struct {
 	Op     string
 	Target string
-	// Status is the HTTP status of the answer; zero if none arrived whole.
+	// Status is the HTTP status of the answer; zero if no complete answer
+	// arrived.
 	Status int
 	Kind   error
 	Cause  error
 }
 
-// Error names the call, its kind and its cause.
+// Error describes the call, its kind and its cause.
 func (e *CallError) Error() string {
 	text := fmt.Sprintf("%v: %s %s", e.Kind, e.Op, e.Target)
 	if e.Status != 0 {
@@ -39,9 +40,9 @@
 	return []error{e.Kind, e.Cause}
 }
 
-// errorCodes lists which codes each status may carry. An answer with another
-// pair does not come from the platform but from something in between, and
-// proves nothing about what happened to the call.
+// errorCodes lists the valid codes for each status, with the kind of error. An
+// answer with another combination does not come from the platform but from an
+// intermediary, and proves nothing about the outcome of the call.
 var errorCodes = map[int]map[ErrorCode]error{
 	http.StatusNotFound:              {CodeNotFound: ErrNotFound},
 	http.StatusGone:                  {CodeTooOld: ErrTooOld},
@@ -54,7 +55,7 @@
 	http.StatusPreconditionRequired:  {CodeInvalid: ErrInvalid},
 }
 
-// decodePut turns a whole answer to a write into its outcome.
+// decodePut returns the outcome of a write from its complete answer.
 func decodePut(key string, answer httpAnswer) (Version, error) {
 	if answer.status == http.StatusOK {
 		return decodeWritten(key, answer)
@@ -74,7 +75,7 @@
 	return written.Version, nil
 }
 
-// decodeConflict returns nil unless the answer is a whole conflict.
+// decodeConflict returns nil unless the answer is a complete conflict.
 func decodeConflict(key string, answer httpAnswer) error {
 	if answer.status != http.StatusConflict && answer.status != http.StatusPreconditionFailed {
 		return nil
@@ -86,7 +87,7 @@
 	return &ConflictError{Key: key, Current: failure.Current}
 }
 
-// decodeRead decodes a whole answer to a read.
+// decodeRead decodes the complete answer to a read.
 func decodeRead(target string, answer httpAnswer, into any) error {
 	if answer.status != http.StatusOK {
 		return decodeError(http.MethodGet, target, answer, ErrUnavailable)
@@ -97,9 +98,10 @@
 	return nil
 }
 
-// checkList refuses a list that cannot be the answer to this prefix. Taken
-// for it, a list of other objects would be delivered as settings, and a version
-// beyond the list's own would make a watcher skip changes.
+// checkList returns an error for a list that cannot be the answer for this
+// prefix. If it were accepted, a list of other objects would be delivered as
+// settings, and an object's version above that of the list would make a watcher
+// skip changes.
 func checkList(prefix string, list ListAnswer) ([]Object, Version, error) {
 	for _, object := range list.Objects {
 		if !strings.HasPrefix(object.Key, prefix) || object.Version == 0 || object.Version > list.Version {
@@ -109,8 +111,9 @@
 	return list.Objects, list.Version, nil
 }
 
-// decodeError maps an error answer to its kind, or to fallback if the answer
-// is not one that the platform gives.
+// decodeError returns a CallError for an error answer. Its kind is that of
+// errorCodes for the answer's status and code, or fallback if they are not
+// listed there.
 func decodeError(op, target string, answer httpAnswer, fallback error) error {
 	call := &CallError{Op: op, Target: target, Status: answer.status, Kind: fallback}
 	var failure ErrorAnswer
@@ -127,7 +130,7 @@
 	return call
 }
 
-// asReadError turns the unknown outcome of a call without effects into
+// asReadError turns the unknown outcome of a call that changes nothing into
 // ErrUnavailable.
 func asReadError(err error) error {
 	var call *CallError
@@ -137,7 +140,7 @@
 	return err
 }
 
-// withTarget names the object instead of the path.
+// withTarget replaces the path in a CallError with the key of the object.
 func withTarget(err error, key string) error {
 	var call *CallError
 	if errors.As(err, &call) {
--- a/transport/objectstore/doc.go
+++ b/transport/objectstore/doc.go
@@ -1,4 +1,4 @@
-// Package objectstore is the routers' view of the platform's object API:
-// versioned objects with conditional update and watch. Every implementation
-// passes the conformance suite in objectstoretest.
+// Package objectstore is the interface of routers to the platform's object API:
+// versioned objects with conditional updates and watches. Every implementation
+// must pass the conformance suite in objectstoretest.
 package objectstore
--- a/transport/objectstore/faults_test.go
+++ b/transport/objectstore/faults_test.go
@@ -15,12 +15,13 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// waitTimeout bounds waits on conditions; no outcome depends on it.
+// waitTimeout limits waits for conditions; no outcome depends on it.
 const waitTimeout = 20 * time.Second
 
-// An operator saves a change and the connection breaks before the answer: once
-// after the platform applied the write and once before. To the client both look
-// the same, so it must not claim to know; reading the object settles it.
+// TestLostAnswerLeavesTheOutcomeUnknown breaks the connection before the answer
+// to a write, once after the platform applied the write and once before. The
+// client cannot distinguish the two, so it must report an unknown outcome;
+// reading the object shows which it was.
 func TestLostAnswerLeavesTheOutcomeUnknown(t *testing.T) {
 	for fault, applied := range map[platform.Faults]bool{{LoseAnswers: 1}: true, {LoseWrites: 1}: false} {
 		p, client := startPlatform(t, platform.Options{Faults: fault})
@@ -33,8 +34,10 @@
 	}
 }
 
-// The platform accepts connections but never answers, and the caller gives
-// up. A write may have been applied; a read may not, so it is just unavailable.
+// TestHangingPlatform covers a platform that accepts connections but never
+// answers until the caller gives up. A write may have been applied, so its
+// outcome is unknown. A read changes nothing, so the platform is just
+// unavailable.
 func TestHangingPlatform(t *testing.T) {
 	p, client := startPlatform(t, platform.Options{})
 	p.SetFaults(platform.Faults{Outage: platform.Hang})
@@ -59,7 +62,8 @@
 	require.ErrorIs(t, <-errs, objectstore.ErrUnavailable)
 }
 
-// The platform's address refuses connections. Nothing can have been written.
+// TestRefusedConnectionHasNoEffect covers a platform whose address refuses
+// connections. Nothing can have been written.
 func TestRefusedConnectionHasNoEffect(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	client := objectstore.NewClient(objectstore.ClientOptions{BaseURL: server.URL})
@@ -69,10 +73,10 @@
 	require.NotErrorIs(t, err, objectstore.ErrUnknownOutcome)
 }
 
-// A watch waits on one kept connection and a write is about to go out on
-// another when the platform cuts both. The write's outcome is unknown, for it
-// had a connection. The watch must not be repeated by the transport, for every
-// router would do so at that moment.
+// TestCutPooledConnections cuts a connection on which a watch waits and one on
+// which a write is about to be sent. The write's outcome is unknown, because it
+// had a connection. The transport must not repeat the watch, because all
+// routers would do so at that moment.
 func TestCutPooledConnections(t *testing.T) {
 	p, client := startPlatform(t, platform.Options{})
 	_, err := client.VMs(t.Context())
@@ -92,9 +96,9 @@
 	require.EqualValues(t, 1, p.Calls().Watch)
 }
 
-// A write beyond the rate is answered with 429 and has no effect; once the
-// clock has moved on, writes pass again. A watch that waits has used up one
-// read, however long it waits.
+// TestRateLimits covers writes above the rate limit, which are answered with
+// 429 and have no effect; later writes succeed again. A waiting watch uses up
+// one read, however long it waits.
 func TestRateLimits(t *testing.T) {
 	var now atomic.Int64
 	p, client := startPlatform(t, platform.Options{
@@ -125,8 +129,9 @@
 	require.EqualValues(t, 2, calls.Limited)
 }
 
-// Reads are answered from an old replica: the client passes on what it is
-// told, with the old version, so that callers can see that it is old.
+// TestStaleReadsShowTheirVersion covers reads that are answered from an old
+// replica. The client returns the old object with its old version, so that its
+// users can notice.
 func TestStaleReadsShowTheirVersion(t *testing.T) {
 	p, client := startPlatform(t, platform.Options{})
 	first, err := client.Put(t.Context(), "a", []byte("old"), 0)
@@ -143,7 +148,8 @@
 	require.Equal(t, "new", string(object.Value))
 }
 
-// A machine leaves but the list of machines still shows it for a while.
+// TestLaggingVMList covers a VM that leaves but stays on the platform's list
+// for a while.
 func TestLaggingVMList(t *testing.T) {
 	var now atomic.Int64
 	p, client := startPlatform(t, platform.Options{
@@ -163,9 +169,9 @@
 	require.Empty(t, list)
 }
 
-// A balancer or a dying server stands between client and platform and answers
-// in its place. Only an answer with the platform's own code proves that a
-// write had no effect; anything else leaves the outcome unknown.
+// TestOutcomeOfAWriteByItsAnswer covers answers of a load balancer or a failing
+// server in place of the platform. Only an answer with the platform's own code
+// proves that a write had no effect; any other leaves the outcome unknown.
 func TestOutcomeOfAWriteByItsAnswer(t *testing.T) {
 	conflict := &objectstore.ConflictError{Key: "a", Current: 7}
 	cases := []struct {
@@ -175,18 +181,18 @@
 		want   error
 	}{
 		{"platform is down", 503, `{"code":"unavailable"}`, objectstore.ErrUnavailable},
-		{"platform limits", 429, `{"code":"rate_limited"}`, objectstore.ErrUnavailable},
-		{"balancer is down", 503, `<html>no server</html>`, objectstore.ErrUnknownOutcome},
-		{"code of another status", 500, `{"code":"unavailable"}`, objectstore.ErrUnknownOutcome},
+		{"platform limits the rate", 429, `{"code":"rate_limited"}`, objectstore.ErrUnavailable},
+		{"load balancer has no server", 503, `<html>no server</html>`, objectstore.ErrUnknownOutcome},
+		{"code that does not fit the status", 500, `{"code":"unavailable"}`, objectstore.ErrUnknownOutcome},
 		{"server failed", 500, ``, objectstore.ErrUnknownOutcome},
 		{"gateway timeout", 504, `{}`, objectstore.ErrUnknownOutcome},
 		{"refused token", 401, `{"code":"invalid"}`, objectstore.ErrInvalid},
-		{"half an answer", 200, `{"vers`, objectstore.ErrUnknownOutcome},
+		{"truncated answer", 200, `{"vers`, objectstore.ErrUnknownOutcome},
 		{"answer without version", 200, `{}`, objectstore.ErrUnknownOutcome},
 		{"redirect", 307, ``, objectstore.ErrUnknownOutcome},
 		{"conflict", 412, `{"code":"conflict","current":7}`, conflict},
-		{"conflict by another status", 409, `{"code":"conflict","current":7}`, conflict},
-		{"conflict of something in between", 412, ``, objectstore.ErrUnknownOutcome},
+		{"conflict with status 409", 409, `{"code":"conflict","current":7}`, conflict},
+		{"conflict from an intermediary", 412, ``, objectstore.ErrUnknownOutcome},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/transport/objectstore/fuzz_test.go
+++ b/transport/objectstore/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzDecodePut feeds answers to a write. A write counts as done only with a
-// version, and as without effect only by the platform's own word.
+// FuzzDecodePut decodes arbitrary answers to a write. A write may count as done
+// only with a version, and as without effect only if the platform states so.
 func FuzzDecodePut(f *testing.F) {
 	f.Add(200, []byte(`{"version":7}`))
 	f.Add(200, []byte(`{"version":0}`))
@@ -35,8 +35,9 @@
 	})
 }
 
-// FuzzDecodeList feeds answers to a list or a watch. Nothing outside the prefix
-// and no version beyond the list's own may come through.
+// FuzzDecodeList decodes arbitrary answers to a list or a watch. The result
+// must not contain objects outside the prefix, or versions above that of the
+// list.
 func FuzzDecodeList(f *testing.F) {
 	f.Add(200, []byte(`{"objects":[{"key":"a/b","version":3,"value":"eA=="}],"version":4}`))
 	f.Add(200, []byte(`{"objects":[{"key":"b","version":3}],"version":4}`))
--- a/transport/objectstore/watcher.go
+++ b/transport/objectstore/watcher.go
@@ -12,50 +12,57 @@
 	"github.com/figstile/figstile/transport/pause"
 )
 
-// Defaults of WatcherOptions.
+// These are the defaults of WatcherOptions.
 const (
-	// DefaultWatchInterval limits a watcher on a busy prefix to five calls a second,
-	// whatever the rate of writes; a change still arrives within a second.
+	// DefaultWatchInterval limits a watcher on a prefix with frequent writes to
+	// five calls per second. A change still arrives within a second.
 	DefaultWatchInterval = 200 * time.Millisecond
-	// DefaultInitialBackoff is about the time a platform restarts a server in.
+	// DefaultInitialBackoff is about the time in which the platform restarts a
+	// server.
 	DefaultInitialBackoff = 250 * time.Millisecond
-	// DefaultMaxBackoff has every watcher back within twice its length of the
-	// outage's end, which is seconds. At 730 routers with three watchers each,
-	// retries spread evenly over it are 730 calls a second, two fifths of the
-	// platform's reads.
+	// DefaultMaxBackoff ensures that every watcher calls the platform within
+	// twice this time after an outage, that is, within a few seconds. With 730
+	// routers and three watchers each, retries spread evenly over it are 730
+	// calls per second, two fifths of the platform's read rate.
 	DefaultMaxBackoff = 3 * time.Second
 )
 
-// WatcherOptions sets up a Watcher.
+// WatcherOptions configure a Watcher.
 type WatcherOptions struct {
 	Store  Store
 	Prefix string
 	// Deliver receives new objects and new versions of known ones, never a
-	// version lower than one already delivered. The first call holds the
+	// version lower than one already delivered. The first call contains the
 	// whole list, which may be empty. Calls do not overlap.
 	Deliver func(objects []Object)
 	// WatchInterval is the mean time between an answer and the next watch.
 	WatchInterval time.Duration
-	// InitialBackoff and LastRetry bound the back-off after failed calls.
+	// InitialBackoff and MaxBackoff are the mean back-off after the first
+	// failed call and the upper limit of that mean.
 	InitialBackoff time.Duration
 	MaxBackoff     time.Duration
-	// Now is the clock of Health; time.Now if nil.
+	// Now is the clock of Health; nil means time.Now.
 	Now func() time.Time
-	// Sleep waits for a duration or the context's end; by real time if nil.
+	// Sleep waits for a duration or until the context ends; nil means real
+	// time.
 	Sleep func(ctx context.Context, d time.Duration) error
-	// Rand draws from [0, 1); the shared random source if nil.
+	// Rand returns random numbers in [0, 1); nil means the shared random
+	// source.
 	Rand func() float64
 }
 
-// Health is how well a watcher follows the platform.
+// Health describes how well a watcher follows the platform.
 type Health struct {
-	// LastSuccess is when the platform last answered; zero if it never has.
+	// LastSuccess is the time of the platform's last answer; zero if there was
+	// none.
 	LastSuccess time.Time
-	// Version is the version up to which everything has been delivered.
+	// Version is the version of the store up to which all changes have been
+	// delivered.
 	Version Version
 	// Failures counts the failed calls since LastSuccess.
 	Failures int
-	// LastError is the latest failure; nil while Failures is zero.
+	// LastError is the error of the latest failed call; nil while Failures is
+	// zero.
 	LastError error
 }
 
@@ -64,10 +71,10 @@
 type Watcher struct {
 	opts    WatcherOptions
 	backoff *backoff.ExponentialBackOff
-	// delivered holds the version delivered of each object. It stops a read
-	// answered from an old replica, which shows as an object of a lower
-	// version, from taking the reader back: versions only rise, so whatever
-	// is not higher has been delivered or replaced before.
+	// delivered holds the delivered version of each object. A read answered
+	// from an old replica may return an object with a lower version. Versions
+	// only increase, so an object whose version is not higher has been
+	// delivered or replaced before and is skipped.
 	delivered map[string]Version
 	listed    bool
 
@@ -98,7 +105,7 @@
 	exponential.InitialInterval = opts.InitialBackoff
 	exponential.MaxInterval = opts.MaxBackoff
 	exponential.Multiplier = 2
-	// The jitter is drawn in jitter, from a source that tests can set.
+	// The method jitter adds the randomness, from a source that tests can set.
 	exponential.RandomizationFactor = 0
 	exponential.Reset()
 	return &Watcher{opts: opts, backoff: exponential, delivered: make(map[string]Version)}
@@ -110,15 +117,16 @@
 	}
 }
 
-// Health returns how the watcher is doing. It may be called at any time.
+// Health returns how well the watcher follows the platform. It may be called at
+// any time.
 func (w *Watcher) Health() Health {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.health
 }
 
-// Run follows the prefix until the context ends, and returns its error. It
-// must be called once.
+// Run follows the prefix until the context ends, and returns the context's
+// error. It must be called once.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := w.step(ctx)
@@ -162,8 +170,9 @@
 	return nil
 }
 
-// deliver passes on what is new. The position never falls, because all that
-// was written up to it has been delivered, whatever a stale read says.
+// deliver delivers the objects that are new. The watcher's version never
+// decreases, because all changes up to it have been delivered, even if a stale
+// read returns a lower version.
 func (w *Watcher) deliver(objects []Object, version Version) {
 	newer := make([]Object, 0, len(objects))
 	for _, object := range objects {
@@ -181,8 +190,8 @@
 	w.health.Version = max(w.health.Version, version)
 }
 
-// recordResult records the outcome of a call and returns the time to wait before
-// the next one.
+// recordResult records the result of a call and returns the time to wait before
+// the next call.
 func (w *Watcher) recordResult(err error) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -198,9 +207,9 @@
 	return w.jitter(w.backoff.NextBackOff())
 }
 
-// jitter draws evenly from zero to twice the mean. All routers lose a platform
-// at the same moment; without the draw they would also come back at the same
-// moment, meet the rate limit together, and again at each retry.
+// jitter returns a random duration between zero and twice the mean. All routers
+// lose the platform at the same moment. Without jitter they would retry at the
+// same moment, exceed the rate limit together, and do so again at each retry.
 func (w *Watcher) jitter(mean time.Duration) time.Duration {
 	return time.Duration(2 * w.opts.Rand() * float64(mean))
 }
--- a/transport/objectstore/watcher_test.go
+++ b/transport/objectstore/watcher_test.go
@@ -12,20 +12,20 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// scriptedAnswer is what a scripted store says to one list or watch.
+// scriptedAnswer is the answer of a scriptedStore to one list or watch.
 type scriptedAnswer struct {
 	objects []objectstore.Object
 	version objectstore.Version
 	err     error
 }
 
-// scriptedStore is a store that answers lists and watches in turn and ends the
-// watcher's context after the last answer.
+// scriptedStore is a store that gives the scripted answers to lists and watches
+// in order. It ends the watcher's context after the last answer.
 type scriptedStore struct {
 	objectstore.Store
 	answers []scriptedAnswer
 	done    context.CancelFunc
-	// watchedAfter holds the versions that watches asked for.
+	// watchedAfter contains the versions from which watches asked for changes.
 	watchedAfter []objectstore.Version
 	lists        int
 }
@@ -50,8 +50,8 @@
 	return s.next()
 }
 
-// runWatcher runs a watcher through a script and returns what it delivered and
-// how long it slept after each answer.
+// runWatcher runs a watcher with a scripted store. It returns the delivered
+// objects and the time slept after each answer.
 func runWatcher(t *testing.T, s *scriptedStore, random func() float64) (w *objectstore.Watcher, delivered [][]objectstore.Object, slept []time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -76,10 +76,10 @@
 	return objectstore.Object{Key: key, Version: version}
 }
 
-// A setting is changed at version 10. Then a lagging replica answers a watch
-// and, after the history was cut, a list with the setting of version 7. The
-// reader must never see it, and must not watch from the past again. A fresh list
-// after the next cut brings just what changed meanwhile.
+// TestWatcherNeverDeliversOlderVersions guards against stale reads. A lagging
+// replica answers a watch and, after the history was cut, a list with an older
+// version of an object. The watcher must neither deliver it nor watch from an
+// older version. A list after the next cut must deliver only what has changed.
 func TestWatcherNeverDeliversOlderVersions(t *testing.T) {
 	s := &scriptedStore{answers: []scriptedAnswer{
 		{objects: []objectstore.Object{object("a", 10)}, version: 10},
@@ -102,8 +102,9 @@
 	require.Equal(t, [][]objectstore.Object{nil}, delivered)
 }
 
-// The platform is away for seven calls. The watcher calls less and less often,
-// up to a bound, keeps count, and is back at its usual pace after one success.
+// TestWatcherBacksOffDuringAnOutage covers an outage of seven calls. The
+// watcher must call less and less often, up to a limit, count the failures, and
+// return to its normal interval after one success.
 func TestWatcherBacksOffDuringAnOutage(t *testing.T) {
 	s := &scriptedStore{answers: []scriptedAnswer{{version: 1}}}
 	for range 7 {
@@ -125,9 +126,10 @@
 	require.Equal(t, 1, w.Health().Failures)
 }
 
-// Every router loses the platform at the same moment. Were they to retry in
-// step, each retry would meet the rate limit as one burst. Of 730 routers no
-// tenth of the retry interval may see much more than its tenth of the calls.
+// TestRetriesOfAFleetAreSpread guards against retries in step after all routers
+// lost the platform at the same moment: each retry would exceed the rate limit
+// as one burst. Each tenth of the retry interval must contain fewer than twice
+// its share of the calls of 730 routers.
 func TestRetriesOfAFleetAreSpread(t *testing.T) {
 	const routers, slices = 730, 10
 	source := rand.New(rand.NewPCG(1, 2))
@@ -141,8 +143,9 @@
 	}
 }
 
-// A prefix is written many times a second. The watcher must not make a call
-// for each write: what is written during its pause comes as one change.
+// TestWatcherBatchesFrequentWrites guards against one call for each of many
+// writes per second. All writes during the watcher's interval must arrive as
+// one change.
 func TestWatcherBatchesFrequentWrites(t *testing.T) {
 	const writes = 50
 	store := platform.NewStore(platform.StoreOptions{})
@@ -170,8 +173,9 @@
 	require.Equal(t, []objectstore.Version{writes, 2 * writes, 3 * writes}, versions)
 }
 
-// The platform cuts a waiting watch and goes away. A setting is changed before
-// routers reach it again. The change must arrive without anybody's help.
+// TestWatcherResumesAfterAnOutage cuts a waiting watch, and changes a setting
+// before the watcher reaches the platform again. The change must arrive without
+// any intervention.
 func TestWatcherResumesAfterAnOutage(t *testing.T) {
 	p, client := startPlatform(t, platform.Options{})
 	seen := make(chan string, 2)
--- a/transport/objectstore/wire.go
+++ b/transport/objectstore/wire.go
@@ -1,26 +1,26 @@
 package objectstore
 
-// The HTTP schema of the object API, shared by the client and by servers of
-// the same API.
+// This file defines the HTTP schema of the object API. The client and servers
+// of the API share it.
 
-// Paths of the object API.
+// These are the paths of the object API.
 const (
 	PathObjects = "/v1/objects"
 	PathWatch   = "/v1/watch"
 	PathVMs     = "/v1/vms"
 )
 
-// Query parameters of the object API.
+// These are the query parameters of the object API.
 const (
 	ParamPrefix = "prefix"
 	ParamAfter  = "after"
-	// ParamWait is the longest wait of a watch, as a Go duration.
+	// ParamWait is the longest time for which a watch waits, as a Go duration.
 	ParamWait = "wait"
 )
 
-// Headers that carry the condition of a write. A write has exactly one:
-// If-Match with the expected version in quotes, or If-None-Match: * for an
-// object that must not exist.
+// These headers make a write conditional. A write has exactly one of them:
+// If-Match with the expected version in quotes, or If-None-Match: * if the
+// object must not exist.
 const (
 	HeaderIfMatch     = "If-Match"
 	HeaderIfNoneMatch = "If-None-Match"
@@ -30,8 +30,8 @@
 // ErrorCode is the machine-readable part of an error answer.
 type ErrorCode string
 
-// Error codes of the object API. CodeUnavailable and CodeRateLimited promise
-// that the call had no effect.
+// These are the error codes of the object API. CodeUnavailable and
+// CodeRateLimited guarantee that the call had no effect.
 const (
 	CodeNotFound    ErrorCode = "not_found"
 	CodeConflict    ErrorCode = "conflict"
@@ -44,7 +44,7 @@
 // ErrorAnswer is the body of every answer that is not a success.
 type ErrorAnswer struct {
 	Code ErrorCode `json:"code"`
-	// Current is the version found by a conflicting write.
+	// Current is the version found by a write that conflicts.
 	Current Version `json:"current,omitempty"`
 	Message string  `json:"message,omitempty"`
 }
@@ -65,7 +65,7 @@
 	Version Version  `json:"version"`
 }
 
-// VMsAnswer is the body of a successful read of the list of machines.
+// VMsAnswer is the body of a successful read of the VM list.
 type VMsAnswer struct {
 	VMs []VM `json:"vms"`
 }
