--- a/transport/objectstore/objectstoretest/suite.go
+++ b/transport/objectstore/objectstoretest/suite.go
@@ -1,5 +1,5 @@
-// Package objectstoretest is the conformance suite that every implementation
-// of objectstore.Store passes.
+// Package objectstoretest contains the conformance suite that every
+// implementation of objectstore.Store must pass.
 package objectstoretest
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// Run checks the stores that newStore returns. Each must be empty.
+// Run checks the stores that newStore returns, which must be empty.
 func Run(t *testing.T, newStore func(t *testing.T) objectstore.Store) {
 	cases := []struct {
 		name  string
@@ -25,14 +25,14 @@
 		{"largest value", checkLargestValue},
 		{"conditions", checkConditions},
 		{"one winner", checkOneWinner},
-		{"versions rise over all keys", checkVersions},
+		{"versions increase over all keys", checkVersions},
 		{"list", checkList},
-		{"watch returns what is there", checkWatchExisting},
+		{"watch returns existing objects", checkWatchExisting},
 		{"watch waits", checkWatchWaits},
-		{"watch keeps to its prefix", checkWatchPrefix},
+		{"watch is limited to its prefix", checkWatchPrefix},
 		{"watch ends with its context", checkWatchContext},
 		{"ended context", checkEndedContext},
-		{"machines", checkVMs},
+		{"VM list", checkVMs},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { c.check(t, newStore(t)) })
@@ -165,7 +165,7 @@
 	require.Equal(t, third, version)
 }
 
-// watchResult is what a watch in another goroutine returned.
+// watchResult is the result of a watch that runs in another goroutine.
 type watchResult struct {
 	objects []objectstore.Object
 	version objectstore.Version
