--- a/transport/settings/errors.go
+++ b/transport/settings/errors.go
@@ -8,23 +8,23 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// retryAfter is when a caller may come back after the platform failed to
-// answer: about the time in which short outages end.
+// retryAfter is the time after which a client should retry when the platform
+// failed to answer. Short outages usually end within it.
 const retryAfter = 2 * time.Second
 
-// ConflictError says that somebody else changed the object first. Nothing was
-// changed by the write that lost.
+// ConflictError reports that another change of the object was written first.
+// The write that returns it changed nothing.
 type ConflictError struct {
 	Key      string
 	Expected uint64
-	// Version is the one found; zero if the object does not exist.
+	// Version is the version found; zero if the object does not exist.
 	Version uint64
-	// Winner is the change that produced it; its ID is empty if the platform
-	// could not be asked.
+	// Winner is the change that produced this version. Its ID is empty if the
+	// change could not be read from the platform.
 	Winner config.Change
 }
 
-// Error names the winner.
+// Error names the object, the versions and the winner.
 func (e *ConflictError) Error() string {
 	if e.Winner.ID == "" {
 		return fmt.Sprintf("%s is at version %d, not %d", e.Key, e.Version, e.Expected)
@@ -37,18 +37,18 @@
 	return result.New(result.ConfigConflict, e.Error())
 }
 
-// UnavailableError says that the platform did not answer and that nothing was
-// changed.
+// UnavailableError reports that the platform did not answer and that nothing
+// was changed.
 type UnavailableError struct {
 	Err error
 }
 
-// Error repeats the platform's failure.
+// Error contains the platform's error.
 func (e *UnavailableError) Error() string {
 	return fmt.Sprintf("the platform does not answer: %v", e.Err)
 }
 
-// Unwrap returns the platform's failure.
+// Unwrap returns the platform's error.
 func (e *UnavailableError) Unwrap() error {
 	return e.Err
 }
@@ -58,8 +58,8 @@
 	return result.New(result.PlatformUnavailable, e.Error()).WithRetryAfter(retryAfter)
 }
 
-// UnknownOutcomeError says that a write was sent and that nobody could tell in time
-// whether it took effect. Repeating it with the same change id and expected
+// UnknownOutcomeError reports that a write was sent, but that its outcome could
+// not be determined in time. Repeating it with the same change ID and expected
 // version is safe.
 type UnknownOutcomeError struct {
 	Key      string
@@ -67,12 +67,12 @@
 	Err      error
 }
 
-// Error names the change to look for.
+// Error names the change whose outcome is unknown.
 func (e *UnknownOutcomeError) Error() string {
 	return fmt.Sprintf("change %s of %s may or may not have taken effect: %v", e.ChangeID, e.Key, e.Err)
 }
 
-// Unwrap returns the platform's last failure.
+// Unwrap returns the platform's last error.
 func (e *UnknownOutcomeError) Unwrap() error {
 	return e.Err
 }
@@ -82,7 +82,7 @@
 	return result.New(result.ConfigUnknown, e.Error()).WithRetryAfter(retryAfter)
 }
 
-// NotFoundError says that the platform holds no object of this key.
+// NotFoundError reports that the platform has no object with this key.
 type NotFoundError struct {
 	Key string
 }
--- a/transport/settings/fake_test.go
+++ b/transport/settings/fake_test.go
@@ -16,7 +16,7 @@
 	"github.com/figstile/figstile/transport/settings"
 )
 
-// fakeStore is the platform's object API in memory, with faults that tests
+// fakeStore is the platform's object API in memory, with faults that tests can
 // switch on.
 type fakeStore struct {
 	objectstore.Store
@@ -25,9 +25,9 @@
 	version     objectstore.Version
 	objects     map[string]objectstore.Object
 	unavailable bool
-	// putFaults are taken one for each Put.
+	// putFaults are the faults of the next calls of Put, one for each.
 	putFaults []putFault
-	// stale, if set, answers every Get.
+	// staleObject, if set, is the answer to every Get.
 	staleObject *objectstore.Object
 	// beforePut runs once, before the next Put takes effect.
 	beforePut func()
@@ -37,10 +37,12 @@
 type putFault int
 
 const (
+	// answerLost makes the write and loses the answer; writeLost loses the write
+	// itself.
 	answerLost putFault = iota + 1
 	writeLost
-	// writeUnavailable refuses the write, conflicting makes it and reports the
-	// conflict that a second copy of it meets.
+	// writeUnavailable refuses the write. duplicateConflict makes the write and
+	// then reports a conflict, as if a second copy of it had been sent.
 	writeUnavailable
 	duplicateConflict
 )
@@ -108,7 +110,7 @@
 	return f.version, nil
 }
 
-// root and subtree return values whose newest change has the id.
+// root and subtree return encoded objects whose newest change has the given ID.
 func root(t *testing.T, id string, base uint64) []byte {
 	t.Helper()
 	r := config.Root{
@@ -133,7 +135,8 @@
 
 var teamKey = config.TeamKey("turismo")
 
-// fleet is a platform with a root at version 1 and a router's parts.
+// fleet is a platform with a root at version 1, and the source and writer of a
+// router.
 type fleet struct {
 	store  *fakeStore
 	source *settings.Source
@@ -156,7 +159,7 @@
 	return f.writer.Write(context.Background(), teamKey, subtree(t, id, expected, weight), expected)
 }
 
-// workspaces lists the names in force.
+// workspaces returns the names of the workspaces in force.
 func workspaces(s *settings.Source) []state.Workspace {
 	var names []state.Workspace
 	for _, w := range s.View().Settings().Workspaces {
--- a/transport/settings/follow.go
+++ b/transport/settings/follow.go
@@ -10,17 +10,16 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// FollowerOptions are what a Follower needs.
+// FollowerOptions configure a Follower.
 type FollowerOptions struct {
 	Store  objectstore.Store
 	Source *Source
 	Log    zerolog.Logger
-	// Sleep waits or returns early when the context ends. Nil means by the
-	// machine's clock.
+	// Sleep waits, or returns early when the context ends; nil means real time.
 	Sleep func(ctx context.Context, d time.Duration)
 }
 
-// Follower feeds a Source from the platform.
+// Follower passes the objects of the platform to a Source.
 type Follower struct {
 	options FollowerOptions
 	watcher *objectstore.Watcher
@@ -28,7 +27,7 @@
 	listed bool
 }
 
-// NewFollower returns a Follower that does nothing until Run.
+// NewFollower returns a Follower; Run starts it.
 func NewFollower(options FollowerOptions) *Follower {
 	f := &Follower{options: options}
 	watch := objectstore.WatcherOptions{Store: options.Store, Prefix: config.Prefix, Deliver: f.deliver}
@@ -48,12 +47,13 @@
 	f.options.Log.Debug().Str("event", "config_watch_ended").Err(err).Send()
 }
 
-// Health returns how well the platform is followed.
+// Health returns how well the Follower follows the platform.
 func (f *Follower) Health() objectstore.Health {
 	return f.watcher.Health()
 }
 
-// deliver takes what the watcher brings: first the whole list, then changes.
+// deliver receives objects from the watcher: first the whole list, then
+// changes.
 func (f *Follower) deliver(objects []objectstore.Object) {
 	if !f.listed {
 		f.listed = true
--- a/transport/settings/source.go
+++ b/transport/settings/source.go
@@ -11,35 +11,36 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// SourceOptions are what a Source needs.
+// SourceOptions configure a Source.
 type SourceOptions struct {
-	// OnChange hears every new view, the newest last. It must not hand
-	// objects to the Source. Nil means that nobody listens.
+	// OnChange receives every new view in order. It must not pass objects to
+	// the Source. It may be nil.
 	OnChange func(*config.View)
 	Log      zerolog.Logger
 }
 
-// Source holds a router's tree of settings and publishes the view in force.
-// All methods are safe for concurrent use.
+// Source holds a router's tree of settings and publishes the view in force. All
+// methods are safe for concurrent use.
 type Source struct {
 	options SourceOptions
 	view    atomic.Pointer[config.View]
 
-	// publishMu orders publications; it is taken before mu.
+	// publishMu orders the publication of views. It is locked before mu.
 	publishMu sync.Mutex
 
 	mu   sync.Mutex
 	tree *config.Tree
-	// complete is set once the tree holds all that the platform or a ready
-	// peer had. Until then nothing is published.
+	// complete is set once the tree contains all objects that the platform or a
+	// ready peer had. Until then nothing is published.
 	complete bool
 	// listed is set once the platform has been listed.
 	listed bool
-	// announced is the last peer's announcement while the tree is incomplete.
+	// announced contains the versions that a peer announced last while the tree
+	// is incomplete.
 	announced map[string]uint64
 }
 
-// NewSource returns a Source that holds nothing yet.
+// NewSource returns a Source without objects.
 func NewSource(options SourceOptions) *Source {
 	return &Source{options: options, tree: config.NewTree()}
 }
@@ -49,16 +50,16 @@
 	return s.view.Load()
 }
 
-// Ready tells whether a whole tree is in force. A router with a part of it
-// would refuse callers of workspaces it has not heard of yet, and share out
-// capacity among the others only.
+// Ready reports whether a complete tree is in force. A router with a part of
+// the tree would refuse callers of workspaces that it has not received yet, and
+// divide the capacity among the other workspaces only.
 func (s *Source) Ready() bool {
 	return s.View() != nil
 }
 
-// Versions returns the version held of every object, to be announced to
+// Versions returns the version of each object in the tree, to be announced to
 // peers. It is empty until the Source is ready, so that every announcement
-// is of a whole tree.
+// describes a complete tree.
 func (s *Source) Versions() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,8 +69,9 @@
 	return s.tree.Versions()
 }
 
-// MissingKeys returns the keys of which a peer announced a greater version than
-// is held here, in order. The caller requests them from that peer.
+// MissingKeys returns the sorted keys of the objects for which a peer announced
+// a greater version than this tree has. The caller requests them from that
+// peer.
 func (s *Source) MissingKeys(peer map[string]uint64) []string {
 	missing := s.missingKeys(peer)
 	s.publish()
@@ -93,10 +95,10 @@
 	return missing
 }
 
-// isKnown tells whether this version of an object, or a later one, was already
-// taken, or this very one refused: it is not requested again. A peer's valid
-// version below a refused one is wanted, as the platform shows only the
-// refused one.
+// isKnown reports whether an object need not be requested, because the tree has
+// this version or a later one, or because this very version was refused as
+// invalid. A peer's valid version below a refused one is still requested, as
+// the platform offers only the refused one.
 func (s *Source) isKnown(key string, version uint64) bool {
 	if cached, ok := s.tree.Object(key); ok && cached.Version >= version {
 		return true
@@ -104,10 +106,10 @@
 	return s.tree.InvalidVersion(key) == version
 }
 
-// updateComplete finds out whether the tree is whole: it has a root, and all that the
-// last peer announced. Without any announcement it is enough to follow the
-// platform from a list on, as the routers do that start before the fleet has
-// its first root.
+// updateComplete sets complete once the tree has a root and all objects that a
+// peer announced last. Without an announcement, a list from the platform is
+// enough; this is so for routers that start before the fleet has its first
+// root.
 func (s *Source) updateComplete() {
 	if s.complete || s.tree.View() == nil {
 		return
@@ -120,35 +122,36 @@
 	s.complete = s.listed || s.announced != nil
 }
 
-// Object returns the version held of an object, to answer a peer's request.
+// Object returns an object of the tree, to answer a peer's request.
 func (s *Source) Object(key string) (config.Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tree.Object(key)
 }
 
-// ApplyFromPeer takes an object that a peer sent. An older version than the one
-// held is ignored; an invalid one gives an *config.InvalidError.
+// ApplyFromPeer applies an object that a peer sent. It ignores a version older
+// than that in the tree, and returns a *config.InvalidError for an invalid
+// object.
 func (s *Source) ApplyFromPeer(key string, version uint64, value []byte) error {
 	return s.applyAndPublish(originPeer, config.Object{Key: key, Version: version, Value: value})
 }
 
-// InvalidObjects returns the newest version of each object that was seen but not
-// taken, for status.
+// InvalidObjects returns, for the status, the newest version of each object
+// that was refused as invalid.
 func (s *Source) InvalidObjects() map[string]*config.InvalidError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tree.Invalid()
 }
 
-// CheckWith checks an object against the rest of the tree held.
+// CheckWith checks an object against the rest of the tree.
 func (s *Source) CheckWith(key string, value []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tree.CheckWith(key, value)
 }
 
-// origin says where an object came from.
+// origin names the source from which an object was received.
 type origin string
 
 const (
@@ -157,17 +160,17 @@
 	originWrite    origin = "write"
 )
 
-// applyAndPublish applies objects and publishes the result once. It returns the last
-// refusal.
+// applyAndPublish applies objects and publishes the resulting view once. It
+// returns the last refusal.
 func (s *Source) applyAndPublish(from origin, objects ...config.Object) error {
 	err := s.apply(from, objects)
 	s.publish()
 	return err
 }
 
-// applyWritten takes an object that this router has just written. A root makes
-// the tree whole: the writer has listed the rest, and the first root of a
-// fleet has none beside it.
+// applyWritten applies an object that this router has just written. A root
+// makes the tree complete: the writer has listed the other objects before, and
+// a fleet's first root has none beside it.
 func (s *Source) applyWritten(o config.Object) {
 	_ = s.apply(originWrite, []config.Object{o})
 	s.mu.Lock()
@@ -194,10 +197,11 @@
 	return rejected
 }
 
-// applyList takes everything the platform holds, which makes the tree whole.
-// An object that the list lacks stays: the platform's copy may lag, and a
-// deleted team is a tombstone, never a missing object. A list without a root
-// comes from before the first one, or from a copy that old.
+// applyList applies the list of all objects on the platform, which makes the
+// tree complete if it has a root. An object that is not in the list stays in
+// the tree: the platform's answer may be stale, and a deleted team is a
+// tombstone and never a missing object. A list without a root is from before
+// the first root, or from a replica that old.
 func (s *Source) applyList(objects []config.Object) {
 	_ = s.apply(originPlatform, objects)
 	s.mu.Lock()
@@ -207,9 +211,9 @@
 	s.publish()
 }
 
-// publish puts the newest view in force. It does so outside mu, so that
-// OnChange may ask the Source what it holds; publishing keeps two views from
-// overtaking each other on the way.
+// publish puts the newest view in force. It does not hold mu while it does so,
+// so that OnChange may call the Source. publishMu ensures that views come into
+// force in order.
 func (s *Source) publish() {
 	s.publishMu.Lock()
 	defer s.publishMu.Unlock()
--- a/transport/settings/source_test.go
+++ b/transport/settings/source_test.go
@@ -14,7 +14,7 @@
 	"github.com/figstile/figstile/transport/settings"
 )
 
-// syncMissing hands a peer everything it misses of what from announces.
+// syncMissing sends to one Source all objects that it misses from another.
 func syncMissing(t *testing.T, from, to *settings.Source) {
 	t.Helper()
 	for _, key := range to.MissingKeys(from.Versions()) {
@@ -24,38 +24,38 @@
 	}
 }
 
-// All VMs of a data centre restart while the platform is away; one router of
-// another data centre still holds the tree. The cold router takes it from
-// there, and serves nobody on a part of it: it would refuse callers whose
-// workspaces had not arrived yet.
+// TestColdStartFromPeers covers a restart of all VMs of a data centre while the
+// platform is unavailable. A router in another data centre still has the tree.
+// The starting router must get the whole tree from there and not be ready with
+// a part of it: it would refuse callers whose workspaces are missing.
 func TestColdStartFromPeers(t *testing.T) {
 	f := newFleet(t)
 	_, err := f.write(t, "base", 0, 1)
 	require.NoError(t, err)
 
 	var seen []*config.View
-	cold := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop(), OnChange: func(v *config.View) { seen = append(seen, v) }})
-	missing := cold.MissingKeys(f.source.Versions())
+	starting := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop(), OnChange: func(v *config.View) { seen = append(seen, v) }})
+	missing := starting.MissingKeys(f.source.Versions())
 	require.Equal(t, []string{config.RootKey, teamKey}, missing)
 	o, _ := f.source.Object(config.RootKey)
-	require.NoError(t, cold.ApplyFromPeer(o.Key, o.Version, o.Value))
-	require.False(t, cold.Ready())
-	require.Empty(t, cold.Versions(), "a part is not announced")
-	pushed := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop()})
-	require.NoError(t, pushed.ApplyFromPeer(o.Key, o.Version, o.Value))
-	require.False(t, pushed.Ready(), "a root alone proves nothing")
-
-	syncMissing(t, f.source, cold)
-	require.True(t, cold.Ready())
-	require.Equal(t, f.source.Versions(), cold.Versions())
-	require.Equal(t, []state.Workspace{"guides"}, workspaces(cold))
-	require.Equal(t, []*config.View{cold.View()}, seen)
-	require.Empty(t, cold.MissingKeys(f.source.Versions()))
+	require.NoError(t, starting.ApplyFromPeer(o.Key, o.Version, o.Value))
+	require.False(t, starting.Ready())
+	require.Empty(t, starting.Versions(), "an incomplete tree is not announced")
+	rootOnly := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop()})
+	require.NoError(t, rootOnly.ApplyFromPeer(o.Key, o.Version, o.Value))
+	require.False(t, rootOnly.Ready(), "a root alone does not make the tree complete")
+
+	syncMissing(t, f.source, starting)
+	require.True(t, starting.Ready())
+	require.Equal(t, f.source.Versions(), starting.Versions())
+	require.Equal(t, []state.Workspace{"guides"}, workspaces(starting))
+	require.Equal(t, []*config.View{starting.View()}, seen)
+	require.Empty(t, starting.MissingKeys(f.source.Versions()))
 }
 
-// A router that was cut off rejoins with an old copy of a team, and its
-// platform reads come from a lagging copy as well. Neither may take back the
-// weight that the fleet has accepted.
+// TestOldVersionsNeverReturn covers a router that was cut off and rejoins with
+// an old copy of a team, while the platform also returns old copies. Neither
+// may revert the weight that the fleet has accepted.
 func TestOldVersionsNeverReturn(t *testing.T) {
 	f := newFleet(t)
 	_, err := f.write(t, "old", 0, 1)
@@ -74,7 +74,7 @@
 	require.Equal(t, uint64(3), rejoined.Versions()[teamKey])
 }
 
-// scriptedStore answers watches with what the test sends.
+// scriptedStore answers watches with the objects that the test sends.
 type scriptedStore struct {
 	*fakeStore
 	watches chan []objectstore.Object
@@ -92,17 +92,18 @@
 	}
 }
 
-// startFollower runs a follower without pauses until the test ends. Each failed call
-// is told on the channel it returns.
-func startFollower(t *testing.T, store objectstore.Store, onChange func(*config.View)) (source *settings.Source, pauses chan time.Duration) {
+// startFollower runs a follower until the test ends. The returned channel
+// delivers the duration of each sleep, and the sleep ends when the test
+// receives it.
+func startFollower(t *testing.T, store objectstore.Store, onChange func(*config.View)) (source *settings.Source, sleeps chan time.Duration) {
 	t.Helper()
 	source = settings.NewSource(settings.SourceOptions{Log: zerolog.Nop(), OnChange: onChange})
-	pauses = make(chan time.Duration)
+	sleeps = make(chan time.Duration)
 	follower := settings.NewFollower(settings.FollowerOptions{
 		Store: store, Source: source, Log: zerolog.Nop(),
 		Sleep: func(ctx context.Context, d time.Duration) {
 			select {
-			case pauses <- d:
+			case sleeps <- d:
 			case <-ctx.Done():
 			}
 		},
@@ -117,23 +118,24 @@
 		cancel()
 		<-done
 	})
-	return source, pauses
+	return source, sleeps
 }
 
-// awaitView takes pauses until a view is in force.
-func awaitView(pauses chan time.Duration, changes chan *config.View) {
+// awaitView ends sleeps until a view is in force.
+func awaitView(sleeps chan time.Duration, changes chan *config.View) {
 	for {
 		select {
-		case <-pauses:
+		case <-sleeps:
 		case <-changes:
 			return
 		}
 	}
 }
 
-// The platform is away when a router starts, and returns. Then a watch says
-// that a team's object is gone, as an emptied store would, and a damaged one
-// follows. The team's callers must not notice any of it.
+// TestFollowThroughOutageAndLoss starts a router during an outage of the
+// platform. Later a watch returns a team's object as missing, as after a loss
+// of data, and then a damaged one. The team's workspaces must stay in force
+// throughout.
 func TestFollowThroughOutageAndLoss(t *testing.T) {
 	f := newFleet(t)
 	_, err := f.write(t, "base", 0, 1)
@@ -141,47 +143,48 @@
 	f.store.unavailable = true
 	store := &scriptedStore{fakeStore: f.store, watches: make(chan []objectstore.Object, 4)}
 	changes := make(chan *config.View, 8)
-	source, pauses := startFollower(t, store, func(v *config.View) { changes <- v })
-	<-pauses
+	source, sleeps := startFollower(t, store, func(v *config.View) { changes <- v })
+	<-sleeps
 	require.False(t, source.Ready())
 	f.store.mu.Lock()
 	f.store.unavailable = false
 	f.store.mu.Unlock()
-	awaitView(pauses, changes)
+	awaitView(sleeps, changes)
 
 	store.watches <- []objectstore.Object{{Key: teamKey}}
 	store.watches <- []objectstore.Object{{Key: teamKey, Version: 8}}
-	store.watches <- nil // too old: lists again
+	store.watches <- nil // answers ErrTooOld, after which the follower lists again
 	store.watches <- []objectstore.Object{{Key: teamKey, Version: 9, Value: subtree(t, "later", 2, 3)}}
-	awaitView(pauses, changes)
+	awaitView(sleeps, changes)
 	require.Equal(t, uint64(9), source.Versions()[teamKey])
 	require.Equal(t, []state.Workspace{"guides"}, workspaces(source))
 	require.Empty(t, source.InvalidObjects())
 }
 
-// Routers start before the fleet has its first root, which is then written
-// through one of them. The others must become ready by their watches.
+// TestFirstRootReachesEveryRouter covers routers that start before the fleet
+// has its first root, which is then written through one of them. The others
+// must become ready through their watches.
 func TestFirstRootReachesEveryRouter(t *testing.T) {
 	store := &scriptedStore{fakeStore: newFakeStore(), watches: make(chan []objectstore.Object, 1)}
 	changes := make(chan *config.View, 1)
-	source, pauses := startFollower(t, store, func(v *config.View) { changes <- v })
-	<-pauses
+	source, sleeps := startFollower(t, store, func(v *config.View) { changes <- v })
+	<-sleeps
 	require.False(t, source.Ready())
 	store.watches <- []objectstore.Object{{Key: config.RootKey, Version: 1, Value: root(t, "first", 0)}}
-	awaitView(pauses, changes)
+	awaitView(sleeps, changes)
 	require.True(t, source.Ready())
 }
 
-// The newest version of a team on the platform is damaged, and a router that
-// starts now can read nothing else there. A peer still holds the valid one
-// before it, which must be asked for.
+// TestPeerBringsTheVersionBeforeADamagedOne covers a router that starts when
+// the newest version of a team on the platform is damaged. The platform offers
+// no other, so the router must request the valid version before it from a peer.
 func TestPeerBringsTheVersionBeforeADamagedOne(t *testing.T) {
 	f := newFleet(t)
 	_, err := f.write(t, "base", 0, 1)
 	require.NoError(t, err)
-	cold := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop()})
-	require.Error(t, cold.ApplyFromPeer(teamKey, 7, []byte("{")))
-	syncMissing(t, f.source, cold)
-	require.Equal(t, []state.Workspace{"guides"}, workspaces(cold))
-	require.Equal(t, uint64(7), cold.InvalidObjects()[teamKey].Version)
+	starting := settings.NewSource(settings.SourceOptions{Log: zerolog.Nop()})
+	require.Error(t, starting.ApplyFromPeer(teamKey, 7, []byte("{")))
+	syncMissing(t, f.source, starting)
+	require.Equal(t, []state.Workspace{"guides"}, workspaces(starting))
+	require.Equal(t, uint64(7), starting.InvalidObjects()[teamKey].Version)
 }
--- a/transport/settings/writer.go
+++ b/transport/settings/writer.go
@@ -14,35 +14,34 @@
 	"github.com/figstile/figstile/transport/pause"
 )
 
-// Bounds on one write.
+// These constants limit the duration of one write.
 const (
-	// callTimeout bounds one call. The platform answers in milliseconds; a
+	// callTimeout limits one call. The platform answers within milliseconds; a
 	// call that takes seconds is lost.
 	callTimeout = 3 * time.Second
-	// resolveAttempts bounds the tries to find out what became of a lost
-	// write, so that an operator waits half a minute at the most.
+	// resolveAttempts limits the attempts to determine the outcome of a write
+	// whose answer was lost, so that an operator waits at most half a minute.
 	resolveAttempts = 5
-	// resolveInterval is the mean pause between them.
+	// resolveInterval is the mean time between two attempts.
 	resolveInterval = 400 * time.Millisecond
 )
 
-// WriterOptions are what a Writer needs.
+// WriterOptions configure a Writer.
 type WriterOptions struct {
 	Store  objectstore.Store
 	Source *Source
 	Log    zerolog.Logger
-	// Sleep waits or returns early when the context ends. Nil means by the
-	// machine's clock.
+	// Sleep waits, or returns early when the context ends; nil means real time.
 	Sleep func(ctx context.Context, d time.Duration)
 }
 
-// Writer changes objects of the tree in the platform's store. It is safe for
-// concurrent use.
+// Writer changes objects of the settings tree in the platform's store. It is
+// safe for concurrent use.
 type Writer struct {
 	options WriterOptions
 }
 
-// NewWriter returns a Writer.
+// NewWriter returns a Writer with the given options.
 func NewWriter(options WriterOptions) *Writer {
 	if options.Sleep == nil {
 		options.Sleep = func(ctx context.Context, d time.Duration) { _ = pause.For(ctx, d) }
@@ -50,8 +49,8 @@
 	return &Writer{options: options}
 }
 
-// Read returns the platform's present version of an object, a *NotFoundError
-// or an *UnavailableError.
+// Read returns the platform's current version of an object, or a *NotFoundError
+// or *UnavailableError.
 func (w *Writer) Read(ctx context.Context, key string) (config.Object, error) {
 	o, err := w.get(ctx, key)
 	switch {
@@ -64,22 +63,23 @@
 }
 
 func (w *Writer) get(ctx context.Context, key string) (config.Object, error) {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	o, err := w.options.Store.Get(limited, key)
+	o, err := w.options.Store.Get(callCtx, key)
 	return config.Object{Key: o.Key, Version: uint64(o.Version), Value: o.Value}, err
 }
 
-// Validate checks an object by itself and against the platform's present
-// tree. It changes nothing.
+// Validate checks an object by itself and against the platform's current tree.
+// It changes nothing.
 //
-// It lists the tree first: a router that lags would else let a workspace's
-// name be taken twice. Two writes of different objects at the same moment can
-// still clash; the view then settles it the same way on every router.
+// It lists the tree first, because a router whose copy lags might otherwise
+// accept a workspace's name that is already in use. Two writes of different
+// objects at the same moment can still conflict; every router's view then
+// resolves the conflict in the same way.
 func (w *Writer) Validate(ctx context.Context, key string, value []byte) error {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	objects, _, err := w.options.Store.List(limited, config.Prefix)
+	objects, _, err := w.options.Store.List(callCtx, config.Prefix)
 	if err != nil {
 		return &UnavailableError{Err: err}
 	}
@@ -87,10 +87,11 @@
 	return w.options.Source.CheckWith(key, value)
 }
 
-// Write replaces an object if its version is still expected; zero means that
-// it must not exist yet. The value carries the change's id as its newest
-// change. Errors are *config.Error, *ConflictError, *UnavailableError or
-// *UnknownError; only the last leaves open whether anything changed.
+// Write replaces an object if its version is equal to expected; zero means that
+// it must not exist yet. The newest change in the value's history must have the
+// ID of this change. Errors are *config.Error, *ConflictError,
+// *UnavailableError or *UnknownOutcomeError; only with the last may the object
+// have been changed.
 func (w *Writer) Write(ctx context.Context, key string, value []byte, expected uint64) (uint64, error) {
 	changes, err := requireHistory(key, value)
 	if err != nil {
@@ -118,7 +119,8 @@
 		Uint64("expected", p.expected).Uint64("version", version).Bool("answer_lost", p.answerLost).Send()
 }
 
-// requireHistory returns the changes that a valid object carries.
+// requireHistory returns the changes in an object's history. It returns an
+// error unless the last one has an ID.
 func requireHistory(key string, value []byte) ([]config.Change, error) {
 	changes, err := config.HistoryOf(key, value)
 	if err != nil {
@@ -130,33 +132,34 @@
 	return changes, nil
 }
 
-// pendingWrite is one conditional write until its outcome is known.
+// pendingWrite is one conditional write until its outcome is determined.
 type pendingWrite struct {
 	writer   *Writer
 	key      string
 	value    []byte
 	expected uint64
 	changeID string
-	// answerLost is set once an answer was lost, so that the outcome is open.
+	// answerLost is set once an answer was lost, so that the outcome is
+	// unknown.
 	answerLost bool
-	// lastErr is the platform's last failure.
+	// lastErr is the platform's last error.
 	lastErr error
 }
 
-// run writes and, if the answer is lost, finds out what became of the write.
+// run sends the write and, if its answer is lost, determines its outcome.
 //
-// An operator whose answer was lost would else either repeat a change that
-// somebody has since replaced, or believe in one that never happened. The
-// read looks for the change id in the object's history, so it recognises the
-// write even below later ones. If the object is still at the expected version
-// the first write may yet arrive; it is sent again under the same condition,
-// which lets only one of the two take effect.
+// Without that, an operator whose answer was lost might repeat a change that
+// another has replaced since, or rely on a change that was never made. The read
+// looks for the change ID in the object's history, so it recognises the write
+// even below later ones. If the object is still at the expected version, the
+// first write may still arrive. It is sent again under the same condition, so
+// that only one of the two can take effect.
 func (p *pendingWrite) run(ctx context.Context) (uint64, error) {
 	version, done, err := p.put(ctx)
 	if done {
 		return version, err
 	}
-	// The operator's connection may end now; the outcome is still wanted.
+	// The operator's connection may end now, but the outcome is still needed.
 	ctx = context.WithoutCancel(ctx)
 	for range resolveAttempts {
 		p.writer.options.Sleep(ctx, resolveInterval/2+rand.N(resolveInterval))
@@ -167,15 +170,16 @@
 	return 0, &UnknownOutcomeError{Key: p.key, ChangeID: p.changeID, Err: p.lastErr}
 }
 
-// put sends the write once. It is not done if the outcome is open.
+// put sends the write once. It returns false for done if the outcome is
+// unknown.
 func (p *pendingWrite) put(ctx context.Context) (version uint64, done bool, err error) {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	put, err := p.writer.options.Store.Put(limited, p.key, p.value, objectstore.Version(p.expected))
+	written, err := p.writer.options.Store.Put(callCtx, p.key, p.value, objectstore.Version(p.expected))
 	var conflict *objectstore.ConflictError
 	switch {
 	case err == nil:
-		return uint64(put), true, nil
+		return uint64(written), true, nil
 	case errors.As(err, &conflict):
 		return p.afterConflict(ctx, uint64(conflict.Current))
 	case errors.Is(err, objectstore.ErrUnavailable) && !p.answerLost:
@@ -186,7 +190,8 @@
 	return 0, false, nil
 }
 
-// resolve reads the object back, and writes again if it has not changed.
+// resolve reads the object back, and sends the write again if the object has
+// not changed.
 func (p *pendingWrite) resolve(ctx context.Context) (uint64, bool, error) {
 	found, err := p.writer.get(ctx, p.key)
 	if err != nil && !errors.Is(err, objectstore.ErrNotFound) {
@@ -206,9 +211,9 @@
 	return 0, true, p.conflictWith(found)
 }
 
-// afterConflict finds the winner. The winner may be this very change: a
-// transport may have sent it twice, or an operator may repeat it after a lost
-// answer. A copy older than the version that won says nothing about that.
+// afterConflict determines the winner of a conflict. The winner may be this
+// change itself, if a transport sent it twice or if an operator repeated it
+// after a lost answer. A copy older than the version that won cannot show that.
 func (p *pendingWrite) afterConflict(ctx context.Context, current uint64) (uint64, bool, error) {
 	found, err := p.writer.get(ctx, p.key)
 	if version, ok := p.versionWritten(found); err == nil && ok {
@@ -224,8 +229,8 @@
 	return 0, true, &ConflictError{Key: p.key, Expected: p.expected, Version: current}
 }
 
-// versionWritten tells whether this write took effect in the object's past, and the
-// version it produced then.
+// versionWritten reports whether the object's history contains this change, and
+// returns the version that it produced.
 func (p *pendingWrite) versionWritten(found config.Object) (uint64, bool) {
 	changes, err := config.HistoryOf(p.key, found.Value)
 	if err != nil {
--- a/transport/settings/writer_test.go
+++ b/transport/settings/writer_test.go
@@ -13,8 +13,8 @@
 	"github.com/figstile/figstile/transport/settings"
 )
 
-// An operator changes a weight; the platform writes it, but the answer is
-// lost. The operator hears that it worked, and it was written once.
+// TestLostAnswerOfAWriteThatTookEffect loses the answer to a write that took
+// effect. The operator must get a success, and the object must be written once.
 func TestLostAnswerOfAWriteThatTookEffect(t *testing.T) {
 	f := newFleet(t)
 	f.store.putFaults = []putFault{answerLost}
@@ -25,8 +25,8 @@
 	require.Equal(t, uint64(2), f.source.Versions()[teamKey])
 }
 
-// The same, but the write itself was lost. It is sent again under the same
-// condition and takes effect once.
+// TestLostAnswerOfAWriteThatDidNot loses the write itself. It must be sent
+// again under the same condition and take effect once.
 func TestLostAnswerOfAWriteThatDidNot(t *testing.T) {
 	f := newFleet(t)
 	f.store.putFaults = []putFault{writeLost, writeLost, answerLost}
@@ -36,9 +36,9 @@
 	require.Equal(t, objectstore.Version(2), f.store.version)
 }
 
-// A transport between sends the write twice, and the answer that arrives is
-// that of the second copy: a conflict with the first. The operator must not
-// hear that somebody else won.
+// TestConflictWithOwnDuplicate covers a transport that sends a write twice and
+// returns the answer to the second copy, which conflicts with the first. The
+// operator must not receive a conflict.
 func TestConflictWithOwnDuplicate(t *testing.T) {
 	f := newFleet(t)
 	f.store.putFaults = []putFault{duplicateConflict}
@@ -47,8 +47,9 @@
 	require.Equal(t, uint64(2), version)
 }
 
-// The operator's connection ends at the moment the answer of the platform is
-// lost. The outcome is still found out, for the log and for a repetition.
+// TestLostAnswerAfterTheCallerLeft ends the operator's connection when the
+// platform's answer is lost. The outcome must still be determined, for the log
+// and for a repeated request.
 func TestLostAnswerAfterTheCallerLeft(t *testing.T) {
 	f := newFleet(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -59,9 +60,9 @@
 	require.Equal(t, uint64(2), version)
 }
 
-// The answer is lost after the write took effect, and before it can be read
-// back a second operator builds on it. The first must not be told that he
-// lost, though the newest change is another's.
+// TestLostAnswerUnderALaterChange loses the answer to a write that took effect,
+// and another operator changes the object before it is read back. The first
+// operator must get a success although the newest change is another one.
 func TestLostAnswerUnderALaterChange(t *testing.T) {
 	f := newFleet(t)
 	mine := config.Subtree{Team: "turismo"}.WithChange(config.Change{ID: "mine"})
@@ -77,8 +78,9 @@
 	require.Equal(t, uint64(3), uint64(f.store.version))
 }
 
-// Two operators change one team from the same version. One wins; the other
-// sees the winner's version and change, and nothing of hers was written.
+// TestTwoOperatorsRace has two operators change one team from the same version.
+// One wins; the other receives the winner's version and change, and her own
+// change is not written.
 func TestTwoOperatorsRace(t *testing.T) {
 	f := newFleet(t)
 	for _, lost := range [][]putFault{nil, {writeLost}} {
@@ -100,9 +102,9 @@
 	}
 }
 
-// The platform goes away, before a write and in the middle of one. In the
-// first case the operator is told that nothing was changed; in the second
-// that nobody can tell, and the change id to look for.
+// TestPlatformUnavailable makes the platform unavailable before a write and
+// during one. In the first case the error must state that nothing was changed;
+// in the second that the outcome is unknown, with the change ID to look for.
 func TestPlatformUnavailable(t *testing.T) {
 	f := newFleet(t)
 	f.store.unavailable = true
@@ -118,17 +120,18 @@
 	var unknown *settings.UnknownOutcomeError
 	require.True(t, errors.As(err, &unknown), "%v", err)
 	require.Equal(t, "late", unknown.ChangeID)
-	require.NotContains(t, f.source.Versions(), teamKey, "an unsettled write is not in force")
+	require.NotContains(t, f.source.Versions(), teamKey, "a write with an unknown outcome is not in force")
 
-	// A second copy that is surely refused says nothing of the first.
+	// A second copy that is refused without effect proves nothing about the
+	// first.
 	f.store.putFaults = []putFault{writeLost, writeUnavailable, writeUnavailable, writeUnavailable, writeUnavailable, writeUnavailable}
 	_, err = f.write(t, "again", 0, 2)
 	require.True(t, errors.As(err, &unknown), "%v", err)
 }
 
-// After a lost answer the platform answers from a lagging copy that shows the
-// object before the expected version. That proves nothing, so the outcome
-// stays open instead of being called a conflict.
+// TestStaleReadBackSettlesNothing loses an answer; the platform then returns a
+// stale copy from before the expected version. That proves nothing, so the
+// outcome must stay unknown and not be reported as a conflict.
 func TestStaleReadBackSettlesNothing(t *testing.T) {
 	f := newFleet(t)
 	_, err := f.write(t, "base", 0, 1)
@@ -139,7 +142,7 @@
 	var unknown *settings.UnknownOutcomeError
 	require.True(t, errors.As(err, &unknown), "%v", err)
 
-	// A conflict that was answered stands; the copy names no winner.
+	// A conflict that was answered is reported; the stale copy shows no winner.
 	_, err = f.write(t, "late", 2, 2)
 	var conflict *settings.ConflictError
 	require.True(t, errors.As(err, &conflict), "%v", err)
@@ -147,8 +150,9 @@
 	require.Empty(t, conflict.Winner)
 }
 
-// A team takes a name that another team's workspace has. Callers of the first
-// would be served from the second's share, so the write is refused.
+// TestInvalidWritesChangeNothing covers a team that uses the name of another
+// team's workspace. Its callers would be served from the other team's share, so
+// the write must be refused.
 func TestInvalidWritesChangeNothing(t *testing.T) {
 	f := newFleet(t)
 	_, err := f.write(t, "mine", 0, 2)
