--- a/transport/admin/admin_test.go
+++ b/transport/admin/admin_test.go
@@ -24,11 +24,12 @@
 	"github.com/figstile/figstile/transport/settings"
 )
 
-// fakeStore is the stand-in's object API, which tests can take away.
+// fakeStore is the object API of the stand-in platform, which tests can make
+// unavailable.
 type fakeStore struct {
 	*platform.Store
 	unavailable atomic.Bool
-	// objectsLost makes objects look as if they had never been written.
+	// objectsLost makes Get answer as if no object had ever been written.
 	objectsLost atomic.Bool
 }
 
@@ -93,7 +94,8 @@
 	return &fakeStore{Store: platform.NewStore(platform.StoreOptions{})}
 }
 
-// request sends a request and decodes the answer, which must have the status.
+// request sends a request, checks the status of the answer and decodes its
+// body.
 func (r *testRouter) request(token, method, path string, body any, header map[string]string, status int, into any) {
 	r.t.Helper()
 	data, ok := body.([]byte)
@@ -119,7 +121,7 @@
 	}
 }
 
-// requireRefused sends a request that must be refused with the code.
+// requireRefused sends a request that must be refused with the given code.
 func (r *testRouter) requireRefused(token, method, path string, body any, header map[string]string, code result.Code) admin.Problem {
 	r.t.Helper()
 	var p admin.Problem
@@ -165,8 +167,9 @@
 	r.request(operatorToken, http.MethodGet, "/config", nil, nil, http.StatusOK, nil)
 }
 
-// A team's administrator tries to enlarge her team's share, to reach another
-// team, and to stop a router. All of it would be at other teams' cost.
+// TestTeamReachesOnlyItsSubtree covers a team's administrator who tries to
+// enlarge the team's share, to change another team, or to stop a router. All of
+// these are at the cost of other teams and must be refused.
 func TestTeamReachesOnlyItsSubtree(t *testing.T) {
 	r := newReadyRouter(t)
 	for _, c := range []struct {
@@ -203,8 +206,9 @@
 	require.Len(t, teams.Teams, 1)
 }
 
-// Two operators have read the same version; the second to write is shown who
-// won and with which change, and his own change is not in force.
+// TestConflictShowsTheWinner has two operators change the same version. The
+// second must be shown the winner and its change, and the second change must
+// not be in force.
 func TestConflictShowsTheWinner(t *testing.T) {
 	r := newReadyRouter(t)
 	seen := map[string]string{"If-Match": `"2"`}
@@ -219,9 +223,9 @@
 	require.InDelta(t, 1, list.Workspaces[0].Share, 0)
 }
 
-// An operator's connection breaks after her change took effect, and another
-// changes the same workspace. She repeats hers with the same change id: it
-// must not come back over the later one.
+// TestRepeatedChangeIsNotDoneTwice repeats a change with the same change ID
+// after its answer was lost and another operator has changed the same
+// workspace. The repeated change must not overwrite the later one.
 func TestRepeatedChangeIsNotDoneTwice(t *testing.T) {
 	r := newReadyRouter(t)
 	path := "/teams/turismo/workspaces/guides/weight"
@@ -236,8 +240,9 @@
 	require.InDelta(t, 3, subtree.Workspaces[0].Weight, 0)
 }
 
-// The platform goes away. Operators still see what is in force, and a change
-// is refused with the word that nothing was changed.
+// TestPlatformUnavailable covers an outage of the platform. Operators can still
+// read the settings in force, and a change is refused with the statement that
+// nothing was changed.
 func TestPlatformUnavailable(t *testing.T) {
 	r := newReadyRouter(t)
 	r.store.unavailable.Store(true)
@@ -249,9 +254,10 @@
 	require.Equal(t, "no", p.Ran)
 }
 
-// The platform loses a team's object; the routers go on with their copy. An
-// operator adds a workspace: begun from nothing, the write would take all
-// other workspaces of the team away from their callers.
+// TestNoEditOfALostObject covers a team's object that the platform has lost
+// while the routers still have their copies. Adding a workspace would start
+// from an empty object and remove all other workspaces of the team, so it must
+// be refused.
 func TestNoEditOfALostObject(t *testing.T) {
 	r := newReadyRouter(t)
 	r.store.objectsLost.Store(true)
@@ -318,8 +324,8 @@
 	require.Equal(t, version, r.store.Version())
 }
 
-// A fleet without a fleet token must not show its status to those without a
-// token.
+// TestEmptyFleetTokenGrantsNoAccess covers a fleet without a fleet token:
+// requests without a token must not be able to read its status.
 func TestEmptyFleetTokenGrantsNoAccess(t *testing.T) {
 	r := newReadyRouter(t)
 	r.request(fleetToken, http.MethodGet, "/status", nil, nil, http.StatusOK, nil)
@@ -329,8 +335,9 @@
 	require.Equal(t, http.StatusUnauthorized, answer.Code)
 }
 
-// One router of three is cut off. The status shows the other two at once with
-// their versions, and the third with the reason, not a failure as a whole.
+// TestFleetStatusInAPartition covers a fleet in which one of three routers is
+// cut off. The status must show the other two with their versions and the
+// reason for the third, instead of failing as a whole.
 func TestFleetStatusInAPartition(t *testing.T) {
 	r := newReadyRouter(t)
 	second := newRouter(t, "router-2", r.store)
@@ -344,7 +351,7 @@
 		require.Equal(t, state.Router(fmt.Sprintf("router-%d", i+1)), report.Router)
 	}
 	require.Len(t, fleet.Routers[0].Status.Config, 2)
-	require.Empty(t, fleet.Routers[1].Status.Config, "it has not followed the platform yet")
+	require.Empty(t, fleet.Routers[1].Status.Config, "router-2 has not followed the platform yet")
 	require.NotEmpty(t, fleet.Routers[2].Error)
 	r.request(operatorToken, http.MethodPost, "/drain", nil, nil, http.StatusAccepted, nil)
 	require.Equal(t, int32(1), r.drains.Load())
--- a/transport/admin/api.go
+++ b/transport/admin/api.go
@@ -11,20 +11,21 @@
 // Prefix is the path under which the API is served.
 const Prefix = "/admin/v1"
 
-// HeaderChangeID lets a client choose a change's id. A client that repeats a
-// write with the same id after a lost answer changes nothing twice.
+// HeaderChangeID is the header with which a client chooses the ID of its
+// change. If a client repeats a write with the same ID after a lost answer, the
+// change is made only once.
 const HeaderChangeID = "Figstile-Change-Id"
 
-// Origins of a document.
+// These are the values of Source in documents.
 const (
-	// FromPlatform marks the platform's present version.
+	// FromPlatform marks the platform's current version.
 	FromPlatform = "platform"
-	// FromRouter marks the version in force on the answering router, shown
-	// while the platform is away.
+	// FromRouter marks the version in force on the answering router, which is
+	// shown while the platform is unavailable or has lost the object.
 	FromRouter = "router"
 )
 
-// ObjectDocument is one object of the tree.
+// ObjectDocument is one object of the settings tree.
 type ObjectDocument struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
@@ -37,30 +38,31 @@
 type ObjectVersion struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
-	// Change is the one that produced the version.
+	// Change is the change that produced the version.
 	Change *config.Change `json:"change,omitempty"`
 }
 
-// RefusedVersion is a version that a router has seen but not taken.
+// RefusedVersion is a version of an object that a router received but refused
+// as invalid.
 type RefusedVersion struct {
 	Key     string `json:"key"`
 	Version uint64 `json:"version"`
 	Reason  string `json:"reason"`
 }
 
-// ObjectList lists the versions in force.
+// ObjectList lists the versions in force and the refused ones.
 type ObjectList struct {
 	Objects []ObjectVersion  `json:"objects"`
 	Refused []RefusedVersion `json:"refused,omitempty"`
 }
 
-// ChangeRecord is a change with the version it produced.
+// ChangeRecord is a change with the version that it produced.
 type ChangeRecord struct {
 	config.Change
 	Version uint64 `json:"version"`
 }
 
-// HistoryDocument lists an object's last changes, the newest first.
+// HistoryDocument lists an object's last changes, newest first.
 type HistoryDocument struct {
 	Key     string         `json:"key"`
 	Version uint64         `json:"version"`
@@ -68,18 +70,18 @@
 	Changes []ChangeRecord `json:"changes"`
 }
 
-// WriteResult tells what a change did.
+// WriteResult describes the result of a change.
 type WriteResult struct {
 	Key      string `json:"key"`
 	Version  uint64 `json:"version"`
 	ChangeID string `json:"change_id,omitempty"`
-	// Unchanged says that the object was already as wanted.
+	// Unchanged is set if the object already had the wanted content.
 	Unchanged bool `json:"unchanged,omitempty"`
-	// DryRun says that the change was only checked.
+	// DryRun is set if the change was only checked.
 	DryRun bool `json:"dry_run,omitempty"`
 }
 
-// Problem is the body of a refusal, after RFC 9457.
+// Problem is the body of a refusal, in the format of RFC 9457.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
@@ -87,25 +89,27 @@
 	Detail string `json:"detail"`
 	Code   int    `json:"code"`
 	Ran    string `json:"ran"`
-	// Faults lists what is wrong with the settings.
+	// Faults lists the errors in the settings.
 	Faults []config.Fault `json:"faults,omitempty"`
-	// Conflict is what won a race.
+	// Conflict describes the version that was written first, if there was a
+	// conflict.
 	Conflict *Conflict `json:"conflict,omitempty"`
-	// ChangeID is the change whose outcome is unknown.
+	// ChangeID is the ID of the change whose outcome is unknown.
 	ChangeID string `json:"change_id,omitempty"`
 }
 
-// Conflict describes the version that a write met instead of the expected
+// Conflict describes the version that a write found instead of the expected
 // one.
 type Conflict struct {
 	Key      string `json:"key"`
 	Expected uint64 `json:"expected"`
 	Version  uint64 `json:"version"`
-	// Winner is the change that produced it, unless it could not be read.
+	// Winner is the change that produced the version, unless it could not be
+	// read.
 	Winner *config.Change `json:"winner,omitempty"`
 }
 
-// TeamDocument is one team as the root and its subtree describe it.
+// TeamDocument is one team, as described by the root and the team's subtree.
 type TeamDocument struct {
 	Name       state.Team      `json:"name"`
 	Share      float64         `json:"share"`
@@ -114,12 +118,12 @@
 	Workspaces int             `json:"workspaces"`
 }
 
-// TeamList lists teams in order of their names.
+// TeamList lists teams in the order of their names.
 type TeamList struct {
 	Teams []TeamDocument `json:"teams"`
 }
 
-// CreateTeam adds a team to the root.
+// CreateTeam is the body of a request that adds a team to the root.
 type CreateTeam struct {
 	Name     state.Team      `json:"name"`
 	Share    float64         `json:"share"`
@@ -127,31 +131,31 @@
 	Services []state.Service `json:"services,omitempty"`
 }
 
-// SetShare changes a team's share.
+// SetShare is the body of a request that changes a team's share.
 type SetShare struct {
 	Share float64 `json:"share"`
 }
 
-// WorkspaceDocument is one workspace with what follows from its settings.
+// WorkspaceDocument is one workspace with its team and its resulting share.
 type WorkspaceDocument struct {
 	config.Workspace
 	Team state.Team `json:"team"`
-	// Share is its part of the whole fleet.
+	// Share is the workspace's share of the whole fleet.
 	Share float64 `json:"share"`
 }
 
-// WorkspaceList lists workspaces in order of their names.
+// WorkspaceList lists workspaces in the order of their names.
 type WorkspaceList struct {
 	Workspaces []WorkspaceDocument `json:"workspaces"`
 }
 
-// SetWeight changes a workspace's weight.
+// SetWeight is the body of a request that changes a workspace's weight.
 type SetWeight struct {
 	Weight float64 `json:"weight"`
 }
 
-// AddToken adds a token by its digest; the token itself never leaves the
-// client.
+// AddToken is the body of a request that adds a token by its digest. The token
+// itself never leaves the client.
 type AddToken struct {
 	Digest string `json:"digest"`
 }
@@ -167,7 +171,7 @@
 	Upstreams []UpstreamDocument `json:"upstreams"`
 }
 
-// RouterStatus is what one router says of itself.
+// RouterStatus is the status that a router reports of itself.
 type RouterStatus struct {
 	Router      state.Router      `json:"router"`
 	DataCentre  state.DataCentre  `json:"data_centre"`
@@ -183,44 +187,46 @@
 	Services   []ServiceStatus   `json:"services,omitempty"`
 }
 
-// UpstreamStatus is a router's view of one upstream.
+// UpstreamStatus is one upstream as a router sees it.
 type UpstreamStatus struct {
 	Upstream   state.Upstream   `json:"upstream"`
 	Service    state.Service    `json:"service"`
 	DataCentre state.DataCentre `json:"data_centre"`
-	// Owner is the router that hands out its slots, as this one sees it.
+	// Owner is the router that grants the upstream's slots, as this router sees
+	// it.
 	Owner state.Router `json:"owner,omitempty"`
-	// Running counts this router's requests on it.
+	// Running counts this router's requests that run on the upstream.
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
-	// Usable says that it gets new work.
+	// Usable is set if the upstream gets new work.
 	Usable   bool `json:"usable"`
 	Draining bool `json:"draining,omitempty"`
-	// ReportAgeMillis is the age of its last load report; negative if there
-	// is none.
+	// ReportAgeMillis is the age in milliseconds of the last load report;
+	// negative if there is none.
 	ReportAgeMillis int64 `json:"report_age_ms"`
 }
 
-// WorkspaceStatus is a workspace's work on one service at one router.
+// WorkspaceStatus describes a workspace's requests to one service at one
+// router.
 type WorkspaceStatus struct {
 	Service      state.Service   `json:"service"`
 	Workspace    state.Workspace `json:"workspace"`
 	Waiting      int             `json:"waiting"`
 	WaitingBytes int64           `json:"waiting_bytes"`
 	Running      int             `json:"running"`
-	// Served is the cost charged by this incarnation.
+	// Served is the cost that was charged by this incarnation of the router.
 	Served state.Cost `json:"served"`
 }
 
 // ServiceStatus is one service as a router sees it.
 type ServiceStatus struct {
 	Service state.Service `json:"service"`
-	// Gap is the fairness gap between backlogged workspaces.
+	// Gap is the fairness gap between workspaces with waiting requests.
 	Gap state.Cost `json:"gap"`
 }
 
-// RouterReport is the status of one router of the fleet, or why there is
-// none.
+// RouterReport is the status of one router of the fleet, or the error if it
+// could not be read.
 type RouterReport struct {
 	Router state.Router  `json:"router"`
 	URL    string        `json:"url,omitempty"`
@@ -228,13 +234,13 @@
 	Error  string        `json:"error,omitempty"`
 }
 
-// FleetStatus is the status of every router that the answering one knows, in
-// order of their names.
+// FleetStatus contains a report for every router known to the answering router,
+// in the order of their names.
 type FleetStatus struct {
 	Routers []RouterReport `json:"routers"`
 }
 
-// DrainResult answers a request to drain.
+// DrainResult is the answer to a request to drain.
 type DrainResult struct {
 	Router   state.Router `json:"router"`
 	Draining bool         `json:"draining"`
--- a/transport/admin/auth.go
+++ b/transport/admin/auth.go
@@ -11,10 +11,10 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// actor is who makes a request.
+// actor is the administrator who makes a request.
 type actor struct {
 	principal config.Principal
-	// name goes into the history of changes and into logs.
+	// name identifies the actor in the history of changes and in logs.
 	name string
 }
 
@@ -22,12 +22,12 @@
 	return a.principal.Kind == config.Operator
 }
 
-// mayAccessTeam tells whether the actor may read and change a team's subtree.
+// mayAccessTeam reports whether the actor may read and change a team's subtree.
 func (a actor) mayAccessTeam(team state.Team) bool {
 	return a.isOperator() || a.principal.Kind == config.TeamAdmin && a.principal.Team == team
 }
 
-// mayAccessKey tells whether the actor may read and change an object.
+// mayAccessKey reports whether the actor may read and change an object.
 func (a actor) mayAccessKey(key string) bool {
 	if team, ok := config.TeamOf(key); ok {
 		return a.mayAccessTeam(team)
@@ -39,8 +39,8 @@
 	return result.New(result.ConfigOutside, "the token does not reach "+what)
 }
 
-// authenticate finds the administrator behind a request. Callers' tokens are
-// known but reach nothing here.
+// authenticate returns the administrator who makes a request. The tokens of
+// callers are recognised, but give access to nothing in this API.
 func (h *Handler) authenticate(r *http.Request) (actor, error) {
 	token := bearerToken(r)
 	if token == "" {
@@ -61,14 +61,16 @@
 	if view != nil {
 		return view.Authenticate(token)
 	}
-	// A fleet without a root knows no operator, so the first root could
-	// never be written. The start-up setting counts only until there is one.
+	// A fleet without a root has no operator tokens, so the first root could
+	// never be written. The tokens from the start-up settings are valid only
+	// until there is a root.
 	known := slices.Contains(h.options.BootstrapDigests, config.DigestOf(token))
 	return config.Principal{Kind: config.Operator}, known
 }
 
-// unknownToken says nothing of the token while no settings are held: a router
-// that starts cold would tell an operator that his token is wrong.
+// unknownToken returns the error for an unrecognised token. While the router
+// has no settings, the error is that the router is not ready: during a cold
+// start, an unauthorized error would mislead an operator whose token is right.
 func (h *Handler) unknownToken() error {
 	if h.options.Source.Ready() {
 		return result.New(result.Unauthorized, "the token is not known")
@@ -92,8 +94,8 @@
 	return strings.TrimSpace(token)
 }
 
-// isFromRouter tells whether another router asks. An empty fleet token admits
-// nobody.
+// isFromRouter reports whether a request has the fleet token of other routers.
+// An empty fleet token grants access to no request.
 func (h *Handler) isFromRouter(r *http.Request) bool {
 	want := config.DigestOf(h.options.FleetToken)
 	got := config.DigestOf(bearerToken(r))
--- a/transport/admin/edit.go
+++ b/transport/admin/edit.go
@@ -13,20 +13,22 @@
 	"github.com/figstile/figstile/transport/settings"
 )
 
-// changeable is an object of the tree.
+// changeable is implemented by the objects of the settings tree.
 type changeable[T any] interface {
 	WithChange(config.Change) T
 }
 
-// edit is one change of one object, from reading it to writing it.
+// edit is one change of one object: how to read, change and describe it.
 type edit[T changeable[T]] struct {
 	key     string
 	summary string
-	// load reads the present value; it is given no bytes if there is none.
+	// load decodes the current value, which is empty if the object does not
+	// exist.
 	load func([]byte) (T, error)
-	// change makes the object what is wanted.
+	// change applies the change to the object in place.
 	change func(*T) error
-	// replacesWhole says that the change does not build on what the object holds.
+	// replacesWhole is set if the change does not depend on the current content
+	// of the object.
 	replacesWhole bool
 }
 
@@ -51,9 +53,10 @@
 	return edit[config.Subtree]{key: config.TeamKey(team), summary: summary, load: load, change: change}
 }
 
-// runEdit reads the platform's present version, changes it and writes it on the
-// condition that nobody else did so meanwhile. It does not try again after a
-// conflict: the loser of a race is shown what won and decides anew.
+// runEdit reads the platform's current version, changes it, and writes it on
+// the condition that the version has not changed meanwhile. It does not retry
+// after a conflict: the client is shown the change that won and can decide
+// again.
 func runEdit[T changeable[T]](h *Handler, c *call, e edit[T]) (WriteResult, error) {
 	expected, err := c.expectedVersion()
 	if err != nil {
@@ -84,23 +87,23 @@
 	if same {
 		return WriteResult{Key: e.key, Version: current.Version, Unchanged: true}, nil
 	}
-	stamped := value.WithChange(config.Change{ID: id, By: c.name, At: h.options.Now().UTC(), Base: current.Version, Summary: e.summary})
-	return h.write(c, e.key, id, current.Version, stamped)
+	updated := value.WithChange(config.Change{ID: id, By: c.name, At: h.options.Now().UTC(), Base: current.Version, Summary: e.summary})
+	return h.write(c, e.key, id, current.Version, updated)
 }
 
-// answerRepeated answers a client that repeats a change whose answer it lost. An
-// id that was used for another change is refused: the client would else
-// believe in a change that was never made.
-func answerRepeated[T changeable[T]](e edit[T], done config.Change, changes []config.Change, present config.Object) (WriteResult, error) {
-	if done.Summary != e.summary {
-		return WriteResult{}, badRequest("this change id was used for another change: " + done.Summary)
+// answerRepeated answers a client that repeats a change after it lost the
+// answer. If the ID was used for a different change, it returns an error,
+// because the client would otherwise assume that its change was made.
+func answerRepeated[T changeable[T]](e edit[T], previous config.Change, changes []config.Change, current config.Object) (WriteResult, error) {
+	if previous.Summary != e.summary {
+		return WriteResult{}, badRequest("this change id was used for another change: " + previous.Summary)
 	}
-	version, _ := config.VersionOf(changes, done.ID, present.Version)
-	return WriteResult{Key: e.key, Version: version, ChangeID: done.ID}, nil
+	version, _ := config.VersionOf(changes, previous.ID, current.Version)
+	return WriteResult{Key: e.key, Version: version, ChangeID: previous.ID}, nil
 }
 
-// apply returns the object after the change, and whether it is the same as
-// before. The value is loaded twice, as the change works in place.
+// apply returns the object after the change, and whether it is equal to the
+// object before. The value is decoded twice, because the change works in place.
 func (e edit[T]) apply(data []byte) (after T, same bool, err error) {
 	before, err := e.load(data)
 	if err != nil {
@@ -116,8 +119,8 @@
 	return after, len(data) > 0 && reflect.DeepEqual(before, after), nil
 }
 
-// readCurrent returns the platform's version of an object, or one of version zero
-// if there is none.
+// readCurrent returns the platform's version of an object, or an object with
+// version zero if it does not exist.
 func (h *Handler) readCurrent(c *call, key string) (config.Object, error) {
 	o, err := h.options.Writer.Read(c.r.Context(), key)
 	var missing *settings.NotFoundError
@@ -127,21 +130,21 @@
 	return o, err
 }
 
-// checkNotLost stops an edit of an object that the platform has lost while
-// routers go on with their copy. The edit would begin from nothing, and its
-// higher version would take away everything else the object holds: all other
-// workspaces of a team at once. Only a whole object may be written then.
-func (h *Handler) checkNotLost(present config.Object, replacesWhole bool) error {
-	cached, ok := h.options.Source.Object(present.Key)
-	if !ok || replacesWhole || present.Version > 0 {
+// checkNotLost returns an error for an edit of an object that the platform has
+// lost while routers still use their copies. The edit would start from an empty
+// object, and its higher version would remove all other content, such as all
+// other workspaces of a team. Only a write of the whole object is allowed then.
+func (h *Handler) checkNotLost(current config.Object, replacesWhole bool) error {
+	cached, ok := h.options.Source.Object(current.Key)
+	if !ok || replacesWhole || current.Version > 0 {
 		return nil
 	}
 	reason := fmt.Sprintf("the platform has lost this object, which is in force at version %d: restore it as a whole first", cached.Version)
-	return invalid(present.Key, reason)
+	return invalid(current.Key, reason)
 }
 
-func (h *Handler) write(c *call, key, id string, expected uint64, stamped any) (WriteResult, error) {
-	data, err := json.Marshal(stamped)
+func (h *Handler) write(c *call, key, id string, expected uint64, updated any) (WriteResult, error) {
+	data, err := json.Marshal(updated)
 	if err != nil {
 		return WriteResult{}, badRequest("the object holds a number that JSON cannot")
 	}
@@ -154,15 +157,15 @@
 	return done, err
 }
 
-func conflict(present config.Object, expected uint64, changes []config.Change) error {
-	e := &settings.ConflictError{Key: present.Key, Expected: expected, Version: present.Version}
+func conflict(current config.Object, expected uint64, changes []config.Change) error {
+	e := &settings.ConflictError{Key: current.Key, Expected: expected, Version: current.Version}
 	if len(changes) > 0 {
 		e.Winner = changes[len(changes)-1]
 	}
 	return e
 }
 
-// answerEdit runs an edit and writes its result.
+// answerEdit runs an edit and writes the answer with its result.
 func answerEdit[T changeable[T]](h *Handler, c *call, e edit[T]) error {
 	done, err := runEdit(h, c, e)
 	if err != nil {
@@ -173,7 +176,7 @@
 	return nil
 }
 
-// invalid returns a fault of the wanted settings.
+// invalid returns an error with one fault of the wanted settings.
 func invalid(path, reason string) error {
 	return &config.Error{Faults: []config.Fault{{Path: path, Reason: reason}}}
 }
--- a/transport/admin/handler.go
+++ b/transport/admin/handler.go
@@ -13,32 +13,34 @@
 	"github.com/figstile/figstile/transport/settings"
 )
 
-// Drainer begins a planned stop.
+// Drainer begins a planned stop of the router.
 type Drainer interface {
-	// Drain returns at once; the stop goes on until the last request in
+	// Drain returns at once; the stop continues until the last request in
 	// progress has ended. A second call does nothing.
 	Drain()
 }
 
-// Options are what a Handler needs.
+// Options configure a Handler.
 type Options struct {
 	Source *settings.Source
 	Writer *settings.Writer
 	Status StatusSource
 	Drain  Drainer
-	// Peers may be nil for a router that stands alone.
+	// Peers may be nil if the router has no peers.
 	Peers PeerSource
-	// Client asks other routers for their status; nil means the default one.
+	// Client is used to read the status of other routers; nil means
+	// http.DefaultClient.
 	Client *http.Client
-	// FleetToken is what routers show each other to read status.
+	// FleetToken authenticates routers to each other when they read status.
 	FleetToken string
-	// BootstrapDigests holds digests of operators' tokens that count until the
-	// first root is in force.
+	// BootstrapDigests contains the digests of operator tokens that are valid
+	// until the first root is in force.
 	BootstrapDigests []config.Digest
 	Log              zerolog.Logger
-	// Now is the time of changes; nil means the machine's clock.
+	// Now returns the time that is recorded for a change; nil means the
+	// system's clock.
 	Now func() time.Time
-	// NewID returns a new change id; nil means a random one.
+	// NewID returns a new change ID; nil means a random ID.
 	NewID func() string
 }
 
@@ -48,7 +50,7 @@
 	mux     *http.ServeMux
 }
 
-// New returns a Handler.
+// New returns a Handler with the given options.
 func New(options Options) *Handler {
 	if options.Now == nil {
 		options.Now = time.Now
@@ -64,19 +66,19 @@
 	return h
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP serves one request.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	h.mux.ServeHTTP(w, r)
 }
 
-// call is one authenticated request.
+// call is one authenticated request with its response writer.
 type call struct {
 	w http.ResponseWriter
 	r *http.Request
 	actor
 }
 
-// routeFunc answers a call or returns why it does not.
+// routeFunc serves a call, or returns the error with which to refuse it.
 type routeFunc func(c *call) error
 
 func (h *Handler) routes() {
@@ -111,8 +113,8 @@
 	})
 }
 
-// handle registers a route for administrators. The pattern is a method and a
-// path below Prefix.
+// handle registers a route for administrators. The pattern consists of a method
+// and a path below Prefix.
 func (h *Handler) handle(pattern string, serve routeFunc) {
 	method, path, _ := strings.Cut(pattern, " ")
 	h.mux.HandleFunc(method+" "+Prefix+path, func(w http.ResponseWriter, r *http.Request) {
@@ -143,7 +145,7 @@
 		Str("by", c.name).Uint16("code", uint16(res.Code)).Err(err).Send()
 }
 
-// operatorsOnly keeps teams out of a route.
+// operatorsOnly restricts a route to operators.
 func operatorsOnly(serve routeFunc) routeFunc {
 	return func(c *call) error {
 		if !c.isOperator() {
@@ -153,7 +155,8 @@
 	}
 }
 
-// ownTeamOnly keeps other teams out of a route below /teams/{team}.
+// ownTeamOnly restricts a route below /teams/{team} to operators and the
+// administrators of that team.
 func ownTeamOnly(serve routeFunc) routeFunc {
 	return func(c *call) error {
 		if !c.mayAccessTeam(c.team()) {
--- a/transport/admin/objects.go
+++ b/transport/admin/objects.go
@@ -10,7 +10,7 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// listObjects shows the versions in force on this router.
+// listObjects answers with the versions in force on this router.
 func (h *Handler) listObjects(c *call) error {
 	list := ObjectList{Objects: h.versions(c.mayAccessKey), Refused: h.refused(c.mayAccessKey)}
 	writeJSON(c.w, http.StatusOK, list)
@@ -49,9 +49,9 @@
 	return found
 }
 
-// read returns the platform's version of an object or, while the platform is
-// away or has lost it, the one in force here: operators need to see settings
-// most during an outage.
+// read returns the platform's version of an object or, if the platform is
+// unavailable or has lost it, the version in force on this router. Operators
+// need to see the settings most during an outage.
 func (h *Handler) read(c *call, key string) (config.Object, string, error) {
 	o, err := h.options.Writer.Read(c.r.Context(), key)
 	if err == nil {
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// putObject replaces a whole object. The client must say which version it
-// replaces; the change and the history in the body are not taken.
+// putObject replaces a whole object. The client must state which version it
+// replaces. The change ID and the history in the body are ignored.
 func (h *Handler) putObject(c *call) error {
 	key, err := c.key()
 	if err != nil {
@@ -151,8 +151,9 @@
 	return e
 }
 
-// requireOperatorToken stops a root that would lock every operator out: nobody
-// could mend it through the API.
+// requireOperatorToken returns an error for a root without operator tokens,
+// which would lock out all operators and could not be corrected through the
+// API.
 func requireOperatorToken(r config.Root) error {
 	if len(r.OperatorTokens) == 0 {
 		return invalid("operator_tokens", "at least one must remain")
--- a/transport/admin/problem.go
+++ b/transport/admin/problem.go
@@ -13,17 +13,19 @@
 	"github.com/figstile/figstile/transport/settings"
 )
 
-// defaultRetryAfter is used if a code asks to come back and nobody said when.
+// defaultRetryAfter is the time in Retry-After if a result code asks the client
+// to retry and the error does not state when.
 const defaultRetryAfter = 2 * time.Second
 
-// resultError is an error that knows its code.
+// resultError is an error with a result code.
 type resultError interface {
 	error
 	Result() result.Result
 }
 
-// resultOf maps any error of this package and of settings to a code. An
-// unforeseen one tells the client nothing of the inside.
+// resultOf returns the result for any error of this package and of package
+// settings. For an unexpected error it is Internal, without details, so that
+// the client learns nothing about the implementation.
 func resultOf(err error) result.Result {
 	var known result.Result
 	if errors.As(err, &known) {
@@ -108,7 +110,8 @@
 	return res
 }
 
-// retrySeconds rounds up: a client that comes back early is refused again.
+// retrySeconds returns the seconds for Retry-After. It rounds up, because a
+// client that retries too early is refused again.
 func retrySeconds(res result.Result) int {
 	after := res.RetryAfter
 	if after <= 0 && result.Lookup(res.Code).Retry {
--- a/transport/admin/request.go
+++ b/transport/admin/request.go
@@ -14,7 +14,8 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// changeIDPattern admits ids that are long enough not to meet by chance.
+// changeIDPattern matches change IDs. The minimum length makes accidental
+// collisions unlikely.
 var changeIDPattern = regexp.MustCompile(`^[A-Za-z0-9_-]{16,64}$`)
 
 func badRequest(detail string) error {
@@ -29,8 +30,9 @@
 	return state.Workspace(c.r.PathValue("workspace"))
 }
 
-// key returns the object that the path names, if the actor reaches it. An
-// object out of reach and one that cannot exist look the same to a team.
+// key returns the key of the object that the path names, if the actor may
+// access it. For a team's administrator, an object without access and one that
+// cannot exist give the same answer.
 func (c *call) key() (string, error) {
 	key := config.Prefix + c.r.PathValue("key")
 	_, isTeam := config.TeamOf(key)
@@ -53,7 +55,7 @@
 	return force
 }
 
-// body reads a bounded body.
+// body reads the body up to the maximum size of an object.
 func (c *call) body() ([]byte, error) {
 	data, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, config.MaxObjectBytes))
 	var tooLarge *http.MaxBytesError
@@ -63,7 +65,7 @@
 	return data, err
 }
 
-// decode reads the body of an edit.
+// decode decodes the body of an edit.
 func (c *call) decode(into any) error {
 	data, err := c.body()
 	if err != nil {
@@ -86,8 +88,8 @@
 	given   bool
 }
 
-// expectedVersion reads If-Match with a version, or If-None-Match with a star for an
-// object that must not exist.
+// expectedVersion reads If-Match with a version, or If-None-Match with a star
+// for an object that must not exist.
 func (c *call) expectedVersion() (versionCondition, error) {
 	match := c.r.Header.Get("If-Match")
 	none := c.r.Header.Get("If-None-Match")
@@ -106,7 +108,7 @@
 	return versionCondition{version: version, given: true}, nil
 }
 
-// changeID returns the client's change id, or a new one.
+// changeID returns the change ID that the client chose, or a new one.
 func (h *Handler) changeID(c *call) (string, error) {
 	id := c.r.Header.Get(HeaderChangeID)
 	if id == "" {
@@ -118,7 +120,7 @@
 	return id, nil
 }
 
-// etag renders a version as the API's entity tag.
+// etag returns a version in the form of an entity tag.
 func etag(version uint64) string {
 	return `"` + strconv.FormatUint(version, 10) + `"`
 }
--- a/transport/admin/status.go
+++ b/transport/admin/status.go
@@ -16,33 +16,35 @@
 	"github.com/figstile/figstile/state"
 )
 
-// StatusSource tells what this router does.
+// StatusSource provides the status of this router.
 type StatusSource interface {
-	// Status returns a snapshot. Config and Refused are filled in later.
+	// Status returns a snapshot. The Handler fills in Config and Refused.
 	Status() RouterStatus
 }
 
 // Peer is another router of the fleet.
 type Peer struct {
 	Router state.Router
-	// URL is the base of its administration API, without Prefix.
+	// URL is the base URL of the peer's administration API, without Prefix.
 	URL string
 }
 
-// PeerSource knows the other routers.
+// PeerSource provides the other routers of the fleet.
 type PeerSource interface {
 	AdminPeers() []Peer
 }
 
-// Bounds on asking the fleet.
+// These constants limit the requests to the fleet's routers.
 const (
-	// peerTimeout keeps one router behind a network partition from delaying
-	// the answer of all others.
+	// peerTimeout limits the request to one router, so that a router behind a
+	// network partition does not delay the answer for all others.
 	peerTimeout = 2 * time.Second
-	// maxConcurrentPeers lets a fleet of hundreds of routers answer within a few
-	// timeouts without as many connections at once.
+	// maxConcurrentPeers limits the concurrent requests. A fleet of hundreds of
+	// routers can still answer within a few timeouts, without as many
+	// connections at once.
 	maxConcurrentPeers = 64
-	// maxStatusBytes is above the status of 120 workspaces on ten services.
+	// maxStatusBytes is larger than the status of 120 workspaces on ten
+	// services.
 	maxStatusBytes = 4 << 20
 )
 
@@ -64,15 +66,15 @@
 }
 
 func (h *Handler) status() RouterStatus {
-	everything := func(string) bool { return true }
+	allowAll := func(string) bool { return true }
 	s := h.options.Status.Status()
-	s.Config = h.versions(everything)
-	s.Refused = h.refused(everything)
+	s.Config = h.versions(allowAll)
+	s.Refused = h.refused(allowAll)
 	return s
 }
 
-// getFleet gathers the status of every router. A router that does not answer
-// is listed with the reason, so that the list is complete in a partition.
+// getFleet collects the status of all routers. A router that does not answer is
+// listed with the error, so that the list is complete during a partition.
 func (h *Handler) getFleet(c *call) error {
 	own := h.status()
 	reports := []RouterReport{{Router: own.Router, Status: &own}}
@@ -109,8 +111,9 @@
 	return report
 }
 
-// fetchStatus shows the fleet token, never the operator's: an address that a
-// peer spread is not proof enough to hand over the right to change settings.
+// fetchStatus reads the status of a peer. It sends the fleet token and never
+// the operator's token: the address was only announced by a peer, which is not
+// enough proof to send it a token that can change settings.
 func (h *Handler) fetchStatus(ctx context.Context, p Peer) (*RouterStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
--- a/transport/admin/teams.go
+++ b/transport/admin/teams.go
@@ -11,7 +11,7 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// view returns the settings in force.
+// view returns the settings in force, or an error if there are none yet.
 func (h *Handler) view() (*config.View, error) {
 	v := h.options.Source.View()
 	if v == nil {
@@ -87,7 +87,7 @@
 	}))
 }
 
-// editTeam changes a team's entry in the root.
+// editTeam returns an edit of a team's entry in the root.
 func editTeam(team state.Team, summary string, change func(*config.TeamShare) error) edit[config.Root] {
 	return editRoot(summary, func(r *config.Root) error {
 		for i := range r.Teams {
@@ -99,8 +99,8 @@
 	})
 }
 
-// shortDigest names a token in the history by the first digits of its digest, as
-// config.Digest does.
+// shortDigest returns the first digits of a token's digest, which name the
+// token in the history. config.Digest.Short returns the same digits.
 func shortDigest(digest string) string {
 	return digest[:min(len(digest), config.ShortDigits)]
 }
@@ -114,20 +114,20 @@
 	return nil
 }
 
-// deleteTeam turns the subtree into a tombstone, then takes the share out of
-// the root. In this order every step leaves a valid tree, so that a failure
-// between the two is mended by deleting again.
+// deleteTeam turns the team's subtree into a tombstone, and then removes the
+// team from the root. In this order the tree is valid after each step, so that
+// a failure between the two is corrected by deleting the team again.
 func (h *Handler) deleteTeam(c *call) error {
 	team := c.team()
 	if expected, err := c.expectedVersion(); err != nil || expected.given || c.dryRun() {
 		return badRequest("deleting a team writes two objects; it takes no expected version and no dry run")
 	}
-	present, err := h.readCurrent(c, config.TeamKey(team))
+	current, err := h.readCurrent(c, config.TeamKey(team))
 	if err != nil {
 		return err
 	}
 	summary := "deleted team " + string(team)
-	if present.Version > 0 {
+	if current.Version > 0 {
 		if _, err := runEdit(h, c, tombstoneTeam(c, summary)); err != nil {
 			return err
 		}
--- a/transport/admin/workspaces.go
+++ b/transport/admin/workspaces.go
@@ -33,8 +33,9 @@
 	return nil
 }
 
-// createWorkspace also brings a deleted team's subtree back to life; whether
-// the team exists is decided by its share in the root.
+// createWorkspace adds a workspace to a team's subtree. It also restores the
+// subtree of a deleted team; whether the team exists is decided by its entry in
+// the root.
 func (h *Handler) createWorkspace(c *call) error {
 	var wanted config.Workspace
 	if err := c.decode(&wanted); err != nil {
@@ -91,7 +92,7 @@
 	}))
 }
 
-// editWorkspace changes one workspace of a team's subtree.
+// editWorkspace returns an edit of one workspace in a team's subtree.
 func editWorkspace(c *call, summary string, change func(*config.Workspace) error) edit[config.Subtree] {
 	return editSubtree(c.team(), summary, func(s *config.Subtree) error {
 		i := indexWorkspace(c, s)
