--- a/transport/caller/relay.go
+++ b/transport/caller/relay.go
@@ -64,18 +64,18 @@
 func (x *exchange) relayAnswer(answer *upstream.Answer, m *meter) result.Result {
 	buffer := relayBuffers.Get().(*[relayBufferBytes]byte)
 	defer relayBuffers.Put(buffer)
-	y := &answerRelay{x: x, answer: answer, meter: m}
-	y.isStream = isEventStream(answer.Header)
+	relay := &answerRelay{x: x, answer: answer, meter: m}
+	relay.isStream = isEventStream(answer.Header)
 	if x.job.isEngine() && answer.Status == http.StatusOK {
-		y.events = &eventScanner{}
+		relay.events = &eventScanner{}
 	}
 	var err error
-	if y.isStream {
-		err = y.copyStream(buffer[:])
+	if relay.isStream {
+		err = relay.copyStream(buffer[:])
 	} else {
-		err = y.copyBuffered(buffer[:])
+		err = relay.copyBuffered(buffer[:])
 	}
-	return y.finishAnswer(err)
+	return relay.finishAnswer(err)
 }
 
 func isEventStream(header http.Header) bool {
@@ -85,10 +85,10 @@
 
 // copyBuffered collects the answer in the buffer, and switches to streaming if
 // it does not fit.
-func (y *answerRelay) copyBuffered(buffer []byte) error {
+func (a *answerRelay) copyBuffered(buffer []byte) error {
 	buffered := 0
 	for buffered < len(buffer) {
-		n, err := y.answer.Read(buffer[buffered:])
+		n, err := a.answer.Read(buffer[buffered:])
 		buffered += n
 		if err == nil {
 			continue
@@ -96,64 +96,64 @@
 		if !errors.Is(err, io.EOF) {
 			return err
 		}
-		y.readUsage(buffer[:buffered])
-		return y.writeWhole(buffer[:buffered])
+		a.readUsage(buffer[:buffered])
+		return a.writeWhole(buffer[:buffered])
 	}
-	y.sendHead()
-	if err := y.writePart(buffer[:buffered]); err != nil {
+	a.sendHead()
+	if err := a.writePart(buffer[:buffered]); err != nil {
 		return err
 	}
-	return y.copyRest(buffer)
+	return a.copyRest(buffer)
 }
 
 // readUsage counts the tokens of a complete JSON answer of an engine.
-func (y *answerRelay) readUsage(body []byte) {
-	if y.events == nil {
+func (a *answerRelay) readUsage(body []byte) {
+	if a.events == nil {
 		return
 	}
-	y.events.usage = lastUsage(body)
-	y.events.tokens = int64(len(body)) / bytesPerToken
+	a.events.usage = lastUsage(body)
+	a.events.tokens = int64(len(body)) / bytesPerToken
 }
 
 // appendTail keeps the end of a long JSON answer, which contains the usage.
-func (y *answerRelay) appendTail(part []byte) {
+func (a *answerRelay) appendTail(part []byte) {
 	part = part[max(len(part)-answerTailBytes, 0):]
-	y.tail = append(y.tail, part...)
-	if extra := len(y.tail) - answerTailBytes; extra > 0 {
-		y.tail = append(y.tail[:0], y.tail[extra:]...)
+	a.tail = append(a.tail, part...)
+	if extra := len(a.tail) - answerTailBytes; extra > 0 {
+		a.tail = append(a.tail[:0], a.tail[extra:]...)
 	}
 }
 
 // writeWhole writes a complete answer at once.
-func (y *answerRelay) writeWhole(body []byte) error {
-	if int64(len(body)) > y.x.job.answerLimit() {
+func (a *answerRelay) writeWhole(body []byte) error {
+	if int64(len(body)) > a.x.job.answerLimit() {
 		return errAnswerTooLong
 	}
-	header := y.x.w.Header()
-	endtoend.Copy(header, y.answer.Header)
-	problem.SetResult(header, y.result())
-	y.setLength(header, len(body))
-	y.headSent = true
-	y.x.extendWriteDeadline()
-	y.x.w.WriteHeader(y.answer.Status)
-	if _, err := y.x.w.Write(body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
+	header := a.x.w.Header()
+	endtoend.Copy(header, a.answer.Header)
+	problem.SetResult(header, a.result())
+	a.setLength(header, len(body))
+	a.headSent = true
+	a.x.extendWriteDeadline()
+	a.x.w.WriteHeader(a.answer.Status)
+	if _, err := a.x.w.Write(body); err != nil && !errors.Is(err, http.ErrBodyNotAllowed) {
 		return errCallerLeft
 	}
 	// The answer is flushed here and not by the server, so that a caller that
 	// does not read it is noticed and the request is not counted as served.
-	if y.x.control.Flush() != nil {
+	if a.x.control.Flush() != nil {
 		return errCallerLeft
 	}
 	return nil
 }
 
-func (y *answerRelay) setLength(header http.Header, length int) {
+func (a *answerRelay) setLength(header http.Header, length int) {
 	switch {
-	case y.x.job.method == http.MethodHead:
-		if contentLength := y.answer.Header.Get("Content-Length"); contentLength != "" {
+	case a.x.job.method == http.MethodHead:
+		if contentLength := a.answer.Header.Get("Content-Length"); contentLength != "" {
 			header.Set("Content-Length", contentLength)
 		}
-	case y.answer.Status == http.StatusNoContent || y.answer.Status == http.StatusNotModified:
+	case a.answer.Status == http.StatusNoContent || a.answer.Status == http.StatusNotModified:
 	default:
 		header.Set("Content-Length", strconv.Itoa(length))
 	}
@@ -162,38 +162,38 @@
 // sendHead sends the head of a streamed answer. The result is known only at the
 // end, so it is sent in trailers. The head has no Content-Length, so that the
 // answer is chunked and the caller's HTTP library notices a missing end.
-func (y *answerRelay) sendHead() {
-	header := y.x.w.Header()
-	endtoend.Copy(header, y.answer.Header)
+func (a *answerRelay) sendHead() {
+	header := a.x.w.Header()
+	endtoend.Copy(header, a.answer.Header)
 	header.Set("Trailer", problem.HeaderResult+", "+problem.HeaderRan)
-	y.headSent = true
-	y.hasTrailers = true
-	y.x.extendWriteDeadline()
-	y.x.w.WriteHeader(y.answer.Status)
-	_ = y.x.control.Flush()
+	a.headSent = true
+	a.hasTrailers = true
+	a.x.extendWriteDeadline()
+	a.x.w.WriteHeader(a.answer.Status)
+	_ = a.x.control.Flush()
 }
 
-func (y *answerRelay) copyStream(buffer []byte) error {
-	y.sendHead()
-	err := y.copyRest(buffer)
-	if y.events == nil {
+func (a *answerRelay) copyStream(buffer []byte) error {
+	a.sendHead()
+	err := a.copyRest(buffer)
+	if a.events == nil {
 		return err
 	}
-	if errors.Is(err, upstream.ErrUnframed) && y.events.doneSeen {
+	if errors.Is(err, upstream.ErrUnframed) && a.events.doneSeen {
 		return nil
 	}
-	if err == nil && !y.events.doneSeen {
+	if err == nil && !a.events.doneSeen {
 		return errMissingDone
 	}
 	return err
 }
 
 // copyRest copies the answer to the caller until it ends.
-func (y *answerRelay) copyRest(buffer []byte) error {
+func (a *answerRelay) copyRest(buffer []byte) error {
 	for {
-		n, err := y.answer.Read(buffer)
+		n, err := a.answer.Read(buffer)
 		if n > 0 {
-			if err := y.writePart(buffer[:n]); err != nil {
+			if err := a.writePart(buffer[:n]); err != nil {
 				return err
 			}
 		}
@@ -207,54 +207,54 @@
 }
 
 // writePart writes a part of the answer and charges its cost.
-func (y *answerRelay) writePart(part []byte) error {
-	y.passedBytes += int64(len(part))
-	if y.passedBytes > y.x.job.answerLimit() {
+func (a *answerRelay) writePart(part []byte) error {
+	a.passedBytes += int64(len(part))
+	if a.passedBytes > a.x.job.answerLimit() {
 		return errAnswerTooLong
 	}
-	y.chargePart(part)
-	y.x.extendWriteDeadline()
-	if _, err := y.x.w.Write(part); err != nil {
+	a.chargePart(part)
+	a.x.extendWriteDeadline()
+	if _, err := a.x.w.Write(part); err != nil {
 		return errCallerLeft
 	}
-	if y.x.control.Flush() != nil {
+	if a.x.control.Flush() != nil {
 		return errCallerLeft
 	}
 	return nil
 }
 
-func (y *answerRelay) chargePart(part []byte) {
-	if y.events == nil {
+func (a *answerRelay) chargePart(part []byte) {
+	if a.events == nil {
 		return
 	}
-	now := y.x.h.opts.Now()
-	if y.isStream {
-		before := y.events.tokens
-		y.events.feed(part)
-		y.observeGap(now, y.events.tokens > before)
+	now := a.x.h.opts.Now()
+	if a.isStream {
+		before := a.events.tokens
+		a.events.feed(part)
+		a.observeGap(now, a.events.tokens > before)
 	} else {
-		y.events.tokens = y.passedBytes / bytesPerToken
-		y.appendTail(part)
+		a.events.tokens = a.passedBytes / bytesPerToken
+		a.appendTail(part)
 	}
-	total := y.meter.streamedCost(y.events.tokens)
-	if cost, due := y.meter.dueReport(total, now); due {
-		y.x.h.opts.Scheduler.ReportProgress(y.x.id, cost)
+	total := a.meter.streamedCost(a.events.tokens)
+	if cost, due := a.meter.dueReport(total, now); due {
+		a.x.h.opts.Scheduler.ReportProgress(a.x.id, cost)
 	}
 }
 
-func (y *answerRelay) observeGap(now time.Time, hasTokens bool) {
-	if !hasTokens || y.x.h.opts.Observer == nil {
+func (a *answerRelay) observeGap(now time.Time, hasTokens bool) {
+	if !hasTokens || a.x.h.opts.Observer == nil {
 		return
 	}
-	if !y.lastTokenAt.IsZero() {
-		y.x.h.opts.Observer.ObserveEventGap(y.x.record.Workspace, y.x.record.Class, now.Sub(y.lastTokenAt))
+	if !a.lastTokenAt.IsZero() {
+		a.x.h.opts.Observer.ObserveEventGap(a.x.record.Workspace, a.x.record.Class, now.Sub(a.lastTokenAt))
 	}
-	y.lastTokenAt = now
+	a.lastTokenAt = now
 }
 
 // result returns the result of a complete answer according to its status.
-func (y *answerRelay) result() result.Result {
-	switch status := y.answer.Status; {
+func (a *answerRelay) result() result.Result {
+	switch status := a.answer.Status; {
 	case isRejection(status):
 		return result.New(result.UpstreamRefused, "")
 	case status >= http.StatusInternalServerError:
@@ -266,44 +266,44 @@
 
 // finishAnswer ends the dispatch and, where possible, reports the result to the
 // caller.
-func (y *answerRelay) finishAnswer(err error) result.Result {
-	if err == nil && len(y.tail) > 0 {
-		y.events.usage = lastUsage(y.tail)
+func (a *answerRelay) finishAnswer(err error) result.Result {
+	if err == nil && len(a.tail) > 0 {
+		a.events.usage = lastUsage(a.tail)
 	}
-	total := y.meter.totalCost(y.events, y.answer.Header, y.x.h.opts.Now())
-	if err != nil && y.x.ctx.Err() != nil && !y.x.isCutOff() {
+	total := a.meter.totalCost(a.events, a.answer.Header, a.x.h.opts.Now())
+	if err != nil && a.x.ctx.Err() != nil && !a.x.isCutOff() {
 		err = errCallerLeft
 	}
 	switch {
 	case err == nil:
-		return y.endWhole(total)
-	case y.x.isCutOff():
-		y.x.endAttempt(y.meter, total, scheduler.OutcomeAbandoned)
-		return y.abortAnswer(y.x.stoppedResult())
+		return a.endWhole(total)
+	case a.x.isCutOff():
+		a.x.endAttempt(a.meter, total, scheduler.OutcomeAbandoned)
+		return a.abortAnswer(a.x.stoppedResult())
 	case errors.Is(err, errCallerLeft):
-		y.x.endAttempt(y.meter, total, scheduler.OutcomeAbandoned)
-		return y.x.endAbandoned()
+		a.x.endAttempt(a.meter, total, scheduler.OutcomeAbandoned)
+		return a.x.endAbandoned()
 	case errors.Is(err, errAnswerTooLong):
-		y.x.endAttempt(y.meter, total, scheduler.OutcomeTruncated)
-		return y.abortAnswer(result.New(result.AnswerTooLong, ""))
+		a.x.endAttempt(a.meter, total, scheduler.OutcomeTruncated)
+		return a.abortAnswer(result.New(result.AnswerTooLong, ""))
 	default:
-		y.x.endAttempt(y.meter, total, scheduler.OutcomeTruncated)
-		return y.abortAnswer(result.New(result.AnswerTruncated, ""))
+		a.x.endAttempt(a.meter, total, scheduler.OutcomeTruncated)
+		return a.abortAnswer(result.New(result.AnswerTruncated, ""))
 	}
 }
 
 // endWhole ends a dispatch whose complete answer was delivered to the caller.
 // The result of a streamed answer is sent as a trailer.
-func (y *answerRelay) endWhole(total state.Cost) result.Result {
-	res := y.result()
-	if y.hasTrailers {
-		problem.SetResult(y.x.w.Header(), res)
+func (a *answerRelay) endWhole(total state.Cost) result.Result {
+	res := a.result()
+	if a.hasTrailers {
+		problem.SetResult(a.x.w.Header(), res)
 	}
 	outcome := scheduler.OutcomeServed
 	if res.Code != result.OK {
 		outcome = scheduler.OutcomeFailed
 	}
-	y.x.endAttempt(y.meter, total, outcome)
+	a.x.endAttempt(a.meter, total, outcome)
 	return res
 }
 
@@ -311,16 +311,16 @@
 // ends with an error event. The connection of any answer that has begun is
 // broken, because a caller would take a truncated answer with a clean end for a
 // complete one.
-func (y *answerRelay) abortAnswer(res result.Result) result.Result {
-	if !y.headSent {
-		return y.x.refuse(res)
+func (a *answerRelay) abortAnswer(res result.Result) result.Result {
+	if !a.headSent {
+		return a.x.refuse(res)
 	}
-	if y.isStream {
-		y.x.extendWriteDeadline()
-		_, _ = y.x.w.Write(errorEvent(res))
-		_ = y.x.control.Flush()
+	if a.isStream {
+		a.x.extendWriteDeadline()
+		_, _ = a.x.w.Write(errorEvent(res))
+		_ = a.x.control.Flush()
 	}
-	y.x.abortConnection = true
+	a.x.abortConnection = true
 	return res
 }
 
