--- a/transport/daemon/stop_test.go
+++ b/transport/daemon/stop_test.go
@@ -168,12 +168,12 @@
 	}
 }
 
-func (d stopTarget) check(t *testing.T, b *stopFixture) {
-	address := d.address(b.Addresses())
+func (s stopTarget) check(t *testing.T, b *stopFixture) {
+	address := s.address(b.Addresses())
 	late := b.dial(address)
-	late.send(fmt.Sprintf(halfHead, d.path))
+	late.send(fmt.Sprintf(halfHead, s.path))
 	openRequest := b.dial(address)
-	openRequest.send(d.openRequestHead)
+	openRequest.send(s.openRequestHead)
 	line, err := openRequest.reader.ReadString('\n')
 	require.NoError(t, err)
 	require.Contains(t, line, "100 Continue")
@@ -184,8 +184,8 @@
 	eventually(t, "the listener is closed", func() bool { return !acceptsConnections(address) })
 	late.send("Bearer one\r\n\r\n")
 	answer := late.receive()
-	require.Equal(t, d.status, answer.StatusCode)
-	require.Equal(t, d.code, answer.Header.Get(problem.HeaderResult))
+	require.Equal(t, s.status, answer.StatusCode)
+	require.Equal(t, s.code, answer.Header.Get(problem.HeaderResult))
 	require.True(t, answer.Close)
 
 	openRequest.send("{}")
