--- a/transport/host/host.go
+++ b/transport/host/host.go
@@ -173,120 +173,120 @@
 }
 
 // Receive handles one message.
-func (r *schedulerActor) Receive(ctx actor.Context) {
-	defer r.failStop()
+func (s *schedulerActor) Receive(ctx actor.Context) {
+	defer s.failStop()
 	switch msg := ctx.Message().(type) {
 	case submission:
-		r.waiting[msg.request.ID] = &waitingRequest{actions: msg.actions}
-		r.step(scheduler.Arrived{Request: msg.request})
+		s.waiting[msg.request.ID] = &waitingRequest{actions: msg.actions}
+		s.step(scheduler.Arrived{Request: msg.request})
 	case inspection:
 		msg.read()
 		close(msg.done)
 	case scheduler.Event:
-		r.step(msg)
+		s.step(msg)
 	}
 }
 
 // failStop reports a panic to OnPanic, which ends the process. The actor
 // library would otherwise restart the actor without its state, and callers
 // would wait forever.
-func (r *schedulerActor) failStop() {
+func (s *schedulerActor) failStop() {
 	cause := recover()
 	if cause == nil {
 		return
 	}
-	if r.host.options.OnPanic == nil {
+	if s.host.options.OnPanic == nil {
 		panic(cause)
 	}
-	r.host.options.OnPanic(fmt.Errorf("scheduler: %v", cause))
+	s.host.options.OnPanic(fmt.Errorf("scheduler: %v", cause))
 }
 
-func (r *schedulerActor) step(ev scheduler.Event) {
-	now := r.host.options.Now()
-	actions := r.host.options.Scheduler.Step(now, ev)
-	r.updateWaiting(ev)
+func (s *schedulerActor) step(ev scheduler.Event) {
+	now := s.host.options.Now()
+	actions := s.host.options.Scheduler.Step(now, ev)
+	s.updateWaiting(ev)
 	for _, a := range actions {
-		r.perform(a)
+		s.perform(a)
 	}
 }
 
 // updateWaiting closes the channel of a request that needs no further action
 // after an event.
-func (r *schedulerActor) updateWaiting(ev scheduler.Event) {
+func (s *schedulerActor) updateWaiting(ev scheduler.Event) {
 	switch e := ev.(type) {
 	case scheduler.Left:
-		p, ok := r.waiting[e.ID]
-		if ok && !p.dispatched {
-			r.finishRequest(e.ID, p)
+		waiting, ok := s.waiting[e.ID]
+		if ok && !waiting.dispatched {
+			s.finishRequest(e.ID, waiting)
 		}
 	case scheduler.Ended:
-		r.updateEnded(e)
+		s.updateEnded(e)
 	}
 }
 
-func (r *schedulerActor) updateEnded(e scheduler.Ended) {
-	p, ok := r.waiting[e.ID]
+func (s *schedulerActor) updateEnded(e scheduler.Ended) {
+	waiting, ok := s.waiting[e.ID]
 	if !ok {
 		return
 	}
-	p.dispatched = false
+	waiting.dispatched = false
 	if e.Outcome == scheduler.OutcomeNotSent || e.Outcome == scheduler.OutcomeLost {
 		return
 	}
-	r.finishRequest(e.ID, p)
+	s.finishRequest(e.ID, waiting)
 }
 
-func (r *schedulerActor) finishRequest(id state.RequestID, p *waitingRequest) {
-	close(p.actions)
-	delete(r.waiting, id)
+func (s *schedulerActor) finishRequest(id state.RequestID, waiting *waitingRequest) {
+	close(waiting.actions)
+	delete(s.waiting, id)
 }
 
-func (r *schedulerActor) perform(a scheduler.Action) {
+func (s *schedulerActor) perform(a scheduler.Action) {
 	switch act := a.(type) {
 	case scheduler.Dispatch:
-		r.dispatch(act)
+		s.dispatch(act)
 	case scheduler.Refuse:
-		r.refuse(act)
+		s.refuse(act)
 	case scheduler.Owned:
-		r.host.options.SetPolledUpstreams(act.Upstreams)
+		s.host.options.SetPolledUpstreams(act.Upstreams)
 	case scheduler.Drained:
-		if r.host.options.OnDrained != nil {
-			r.host.options.OnDrained()
+		if s.host.options.OnDrained != nil {
+			s.host.options.OnDrained()
 		}
 	default:
-		r.send(a)
+		s.send(a)
 	}
 }
 
 // dispatch sends the action to the caller's goroutine. If the caller no longer
 // waits, the dispatch is ended at once, so that its slot is freed.
-func (r *schedulerActor) dispatch(act scheduler.Dispatch) {
-	p, ok := r.waiting[act.ID]
+func (s *schedulerActor) dispatch(act scheduler.Dispatch) {
+	waiting, ok := s.waiting[act.ID]
 	if !ok {
-		r.host.ReportEnd(act.ID, 0, scheduler.OutcomeAbandoned)
+		s.host.ReportEnd(act.ID, 0, scheduler.OutcomeAbandoned)
 		return
 	}
-	p.dispatched = true
-	p.actions <- act
+	waiting.dispatched = true
+	waiting.actions <- act
 }
 
-func (r *schedulerActor) refuse(act scheduler.Refuse) {
-	p, ok := r.waiting[act.ID]
+func (s *schedulerActor) refuse(act scheduler.Refuse) {
+	waiting, ok := s.waiting[act.ID]
 	if !ok {
 		return
 	}
-	p.actions <- act
-	r.finishRequest(act.ID, p)
+	waiting.actions <- act
+	s.finishRequest(act.ID, waiting)
 }
 
-func (r *schedulerActor) send(a scheduler.Action) {
+func (s *schedulerActor) send(a scheduler.Action) {
 	env, to, ok := wire.ToEnvelope(a)
 	if !ok {
 		return
 	}
 	if to == "" {
-		r.host.options.Peers.Broadcast(env)
+		s.host.options.Peers.Broadcast(env)
 		return
 	}
-	r.host.options.Peers.Send(to, env)
+	s.host.options.Peers.Send(to, env)
 }
