--- a/transport/logging/async_test.go
+++ b/transport/logging/async_test.go
@@ -107,8 +107,8 @@
 // writeRecorder records each write separately.
 type writeRecorder [][]byte
 
-func (p *writeRecorder) Write(b []byte) (int, error) {
-	*p = append(*p, bytes.Clone(b))
+func (w *writeRecorder) Write(b []byte) (int, error) {
+	*w = append(*w, bytes.Clone(b))
 	return len(b), nil
 }
 
