--- a/transport/objectstore/client.go
+++ b/transport/objectstore/client.go
@@ -291,15 +291,15 @@
 // second is proof; a transport that reports neither proves nothing.
 type connTrace struct{ connRequested, connObtained atomic.Bool }
 
-func (s *connTrace) attach(ctx context.Context) context.Context {
+func (c *connTrace) attach(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { s.connRequested.Store(true) },
-		GotConn: func(httptrace.GotConnInfo) { s.connObtained.Store(true) },
+		GetConn: func(string) { c.connRequested.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { c.connObtained.Store(true) },
 	})
 }
 
-func (s *connTrace) errorKind() error {
-	if s.connRequested.Load() && !s.connObtained.Load() {
+func (c *connTrace) errorKind() error {
+	if c.connRequested.Load() && !c.connObtained.Load() {
 		return ErrUnavailable
 	}
 	return ErrUnknownOutcome
