--- a/transport/orders/controller_test.go
+++ b/transport/orders/controller_test.go
@@ -77,10 +77,10 @@
 // first order.
 type delayedTransport struct{ beforeFirst func() }
 
-func (p *delayedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
-	if p.beforeFirst != nil {
-		p.beforeFirst()
-		p.beforeFirst = nil
+func (d *delayedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+	if d.beforeFirst != nil {
+		d.beforeFirst()
+		d.beforeFirst = nil
 	}
 	return http.DefaultTransport.RoundTrip(r)
 }
