--- a/transport/claims/host.go
+++ b/transport/claims/host.go
@@ -92,7 +92,7 @@
 	return h
 }
 
-// Claim asks for the right to run a request. Any result but OK is final, and
+// Claim requests the right to run a request. Any result but OK is final, and
 // the request must not be sent.
 func (h *Host) Claim(ctx context.Context, req claims.Request) result.Result {
 	if h.closed.Load() {
--- a/transport/claims/ledger.go
+++ b/transport/claims/ledger.go
@@ -62,7 +62,7 @@
 	return issued.String(), expires, res
 }
 
-// Claim asks for the right to run a request. Any result but OK is final.
+// Claim requests the right to run a request. Any result but OK is final.
 func (l *Ledger) Claim(ctx context.Context, req claims.Request) result.Result {
 	if !minted.IsMinted(req.Key) {
 		return l.host.Claim(ctx, req)
