--- a/transport/objectstore/client.go
+++ b/transport/objectstore/client.go
@@ -288,7 +288,7 @@
 // would be a guess: a write that reached the platform could be reported as
 // without effect and be repeated. The transport reports when it requests a
 // connection and when it has obtained one. Only the first report without the
-// second is proof; a transport that reports neither proves nothing.
+// second is proof; a transport that reports neither gives no proof.
 type connTrace struct{ connRequested, connObtained atomic.Bool }
 
 func (c *connTrace) attach(ctx context.Context) context.Context {
--- a/transport/objectstore/watcher_test.go
+++ b/transport/objectstore/watcher_test.go
@@ -126,10 +126,10 @@
 	require.Equal(t, 1, w.Health().Failures)
 }
 
-// TestRetriesOfAFleetAreSpread guards against retries in step after all routers
-// lost the platform at the same moment: each retry would exceed the rate limit
-// as one burst. Each tenth of the retry interval must contain fewer than twice
-// its share of the calls of 730 routers.
+// TestRetriesOfAFleetAreSpread guards against simultaneous retries after all
+// routers lost the platform at the same moment: each retry would exceed the
+// rate limit as one burst. Each tenth of the retry interval must contain fewer
+// than twice its share of the calls of 730 routers.
 func TestRetriesOfAFleetAreSpread(t *testing.T) {
 	const routers, slices = 730, 10
 	source := rand.New(rand.NewPCG(1, 2))
