--- a/transport/admin/api.go
+++ b/transport/admin/api.go
@@ -198,7 +198,7 @@
 	// Running counts this router's requests that run on the upstream.
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
-	// Usable is set if the upstream gets new work.
+	// Usable is set if new requests may be dispatched to the upstream.
 	Usable   bool `json:"usable"`
 	Draining bool `json:"draining,omitempty"`
 	// ReportAgeMillis is the age in milliseconds of the last load report;
