--- a/coordination/admission/fleet_test.go
+++ b/coordination/admission/fleet_test.go
@@ -75,10 +75,10 @@
 	usageDelay     time.Duration
 	events         []scheduledEvent
 	repeatedTokens int
-	// naive is the baseline: requests are placed at random and all are
+	// placeAtRandom is the baseline: requests are placed at random and all are
 	// admitted.
-	naive bool
-	rng   *rand.Rand
+	placeAtRandom bool
+	rng           *rand.Rand
 }
 
 type scheduledEvent struct {
@@ -165,7 +165,7 @@
 	r.ledger.RecordRequested(now, a.workspace, request.Cost)
 	*result = outcome{arrival: a}
 	var best placement.Estimate
-	if s.naive {
+	if s.placeAtRandom {
 		id := state.Upstream(fmt.Sprintf("e%d", s.rng.IntN(len(s.engines))))
 		best = placement.Estimate{Upstream: id}
 	} else {
--- a/coordination/admission/replay_test.go
+++ b/coordination/admission/replay_test.go
@@ -68,7 +68,7 @@
 	require.Greater(t, use, 0.75)
 
 	naive := newSimulation(replayRouters, replayEngines, 1)
-	naive.naive = true
+	naive.placeAtRandom = true
 	require.Less(t, fractionWhere(naive.run(load), anyOutcome, wasOnTime), 0.15, "the baseline places the same load at random and refuses nothing")
 }
 
--- a/coordination/admission/returns_test.go
+++ b/coordination/admission/returns_test.go
@@ -29,7 +29,7 @@
 	require.Equal(t, 1300*time.Millisecond, neighbour.Elapsed(now, 1))
 }
 
-func TestRefusedRequestsAreForgotten(t *testing.T) {
+func TestRefusalsExpire(t *testing.T) {
 	var r RetryTracker
 	r.RecordRefusal(epoch, 1, 0)
 	r.RecordRefusal(epoch.Add(refusalMemory+time.Second), 2, 0)
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -112,7 +112,7 @@
 
 // Guards against a router that fails and whose reported loads occupy an
 // upstream's slots for ever.
-func TestSilentPeerIsForgotten(t *testing.T) {
+func TestSilentPeerLoadsExpire(t *testing.T) {
 	v := testView()
 	v.ReceiveLoads(at(0), "peer", map[state.Upstream]Load{"p1": {Running: 9}}, false)
 	v.ExpirePeerLoads(start.Add(peerLoadExpiry + time.Second))
--- a/coordination/shares/shares_test.go
+++ b/coordination/shares/shares_test.go
@@ -87,7 +87,7 @@
 }
 
 // The counts of a peer that no longer sends any are used for one window only.
-func TestSilentPeerIsForgotten(t *testing.T) {
+func TestSilentPeerUsageExpires(t *testing.T) {
 	l := New()
 	l.ReceiveUsage(start, "peer", map[state.Workspace]Usage{"w": {Requested: 1000, Admitted: 1000}})
 	require.True(t, l.Standing(start, "w", 1).ShareExhausted)
@@ -114,7 +114,7 @@
 
 // Guards against a workspace that is refused for seconds after a burst and then
 // floods again.
-func TestUsageFadesSteadily(t *testing.T) {
+func TestUsageDecreasesSteadily(t *testing.T) {
 	l := New()
 	l.RecordAdmitted(start, "w", 1600)
 	before := l.OwnUsage(start)["w"].Admitted
--- a/coordination/workload/budget_test.go
+++ b/coordination/workload/budget_test.go
@@ -24,7 +24,7 @@
 
 // Guards against a VM that is sent two hundred streams at once, none of which
 // has started, and accepts more than it can relay.
-func TestBudgetChargesStreamsBeforeTheyBegin(t *testing.T) {
+func TestBudgetChargesStreamsBeforeTheyStart(t *testing.T) {
 	b := NewCPUBudget(smallVM)
 	stream := (requestCPUTime + initialStreamEvents*eventCPUTime).Seconds()
 	require.InDelta(t, callerCPUFraction*smallVM*budgetBurst.Seconds()/stream, acceptedConnections(t, b, start), 1)
--- a/coordination/workload/read_lag_test.go
+++ b/coordination/workload/read_lag_test.go
@@ -30,7 +30,7 @@
 	require.Equal(t, time.Millisecond, l.Lag(now))
 }
 
-func TestReadLagIsForgotten(t *testing.T) {
+func TestReadLagExpires(t *testing.T) {
 	var l ReadLag
 	now := time.Unix(1000, 0)
 	require.Zero(t, l.Lag(now))
--- a/coordination/workload/workload_test.go
+++ b/coordination/workload/workload_test.go
@@ -18,7 +18,7 @@
 // A VM with a fifth of a core is sent hundreds of streams within half a second.
 // None of them has started, so hardly any CPU time is used yet, but they will
 // need more than the VM has.
-func TestStreamsUnderWayCountBeforeTheyBegin(t *testing.T) {
+func TestActiveStreamsCountBeforeTheyStart(t *testing.T) {
 	e := New(0.2)
 	for range 5 {
 		for range 80 {
--- a/transport/admin/auth.go
+++ b/transport/admin/auth.go
@@ -35,7 +35,7 @@
 	return a.isOperator()
 }
 
-func outOfReach(what string) error {
+func accessDenied(what string) error {
 	return result.New(result.ConfigOutside, "the token does not reach "+what)
 }
 
@@ -51,7 +51,7 @@
 		return actor{}, h.unknownToken()
 	}
 	if principal.Kind == config.Caller {
-		return actor{}, outOfReach("the administration")
+		return actor{}, accessDenied("the administration")
 	}
 	return actor{principal: principal, name: actorName(principal, token)}, nil
 }
--- a/transport/admin/handler.go
+++ b/transport/admin/handler.go
@@ -149,7 +149,7 @@
 func operatorsOnly(serve routeFunc) routeFunc {
 	return func(c *call) error {
 		if !c.isOperator() {
-			return outOfReach("what only operators change")
+			return accessDenied("what only operators change")
 		}
 		return serve(c)
 	}
@@ -160,7 +160,7 @@
 func ownTeamOnly(serve routeFunc) routeFunc {
 	return func(c *call) error {
 		if !c.mayAccessTeam(c.team()) {
-			return outOfReach("team " + string(c.team()))
+			return accessDenied("team " + string(c.team()))
 		}
 		return serve(c)
 	}
--- a/transport/admin/objects.go
+++ b/transport/admin/objects.go
@@ -164,7 +164,7 @@
 func replaceSubtree(c *call, wanted config.Subtree) edit[config.Subtree] {
 	e := editSubtree(wanted.Team, replacedWhole, func(s *config.Subtree) error {
 		if wanted.Deleted != s.Deleted && !c.isOperator() {
-			return outOfReach("the existence of a team")
+			return accessDenied("the existence of a team")
 		}
 		wanted.ChangeID, wanted.History = s.ChangeID, s.History
 		*s = wanted
--- a/transport/admin/request.go
+++ b/transport/admin/request.go
@@ -37,7 +37,7 @@
 	key := config.Prefix + c.r.PathValue("key")
 	_, isTeam := config.TeamOf(key)
 	if !c.mayAccessKey(key) {
-		return "", outOfReach(key)
+		return "", accessDenied(key)
 	}
 	if !isTeam && key != config.RootKey {
 		return "", result.New(result.NotFound, "there is no "+key)
--- a/transport/caller/follow.go
+++ b/transport/caller/follow.go
@@ -67,16 +67,16 @@
 
 // endCancelled ends a request whose context has ended before the answer began.
 func (x *exchange) endCancelled() result.Result {
-	if x.isCutOff() {
-		return x.refuse(x.stoppedResult())
+	if x.isCancelledByStop() {
+		return x.refuse(x.stopResult())
 	}
 	return x.endAbandoned()
 }
 
-// isCutOff reports whether the router ended the request because it is stopping.
-func (x *exchange) isCutOff() bool { return conntrack.IsCancelled(x.ctx) }
+// isCancelledByStop reports whether the router ended the request because it is stopping.
+func (x *exchange) isCancelledByStop() bool { return conntrack.IsCancelled(x.ctx) }
 
-func (x *exchange) stoppedResult() result.Result {
+func (x *exchange) stopResult() result.Result {
 	if x.sent {
 		return result.New(result.StoppedWhileRun, "")
 	}
--- a/transport/caller/handler_test.go
+++ b/transport/caller/handler_test.go
@@ -147,8 +147,8 @@
 	url     string
 	// expire triggers the deadline of the current attempt.
 	expire atomic.Pointer[func()]
-	// cutOff cancels the contexts of all requests.
-	cutOff context.CancelCauseFunc
+	// cancelRequests cancels the contexts of all requests.
+	cancelRequests context.CancelCauseFunc
 }
 
 func newHandlerFixture(t *testing.T, worker http.HandlerFunc, script ...scheduler.Action) *handlerFixture {
@@ -172,7 +172,7 @@
 		},
 	}))
 	requests, cutOff := context.WithCancelCause(context.Background())
-	b.cutOff = cutOff
+	b.cancelRequests = cutOff
 	server.Config.BaseContext = func(net.Listener) context.Context { return requests }
 	server.Start()
 	t.Cleanup(server.Close)
@@ -451,9 +451,9 @@
 	})
 }
 
-// TestCrossedAnswerIsDropped guards against a caller that gets another caller's
+// TestMismatchedAnswerIsDropped guards against a caller that gets another caller's
 // answer: an upstream answers an earlier attempt on a later connection.
-func TestCrossedAnswerIsDropped(t *testing.T) {
+func TestMismatchedAnswerIsDropped(t *testing.T) {
 	b := newHandlerFixture(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(upstream.AttemptHeader, "laredo-1.2.0")
 		_, _ = io.WriteString(w, "another's map")
@@ -514,7 +514,7 @@
 		b := newHandlerFixture(t, nil)
 		go func() {
 			<-b.submitted
-			b.cutOff(conntrack.ErrStopping)
+			b.cancelRequests(conntrack.ErrStopping)
 		}()
 		resp, _, err := b.post(t, "/bookings/x", "4A")
 		require.NoError(t, err)
@@ -527,7 +527,7 @@
 		var b *handlerFixture
 		b = newHandlerFixture(t, func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			b.cutOff(conntrack.ErrStopping)
+			b.cancelRequests(conntrack.ErrStopping)
 			<-r.Context().Done()
 		}, dispatch("one"))
 		resp, _, err := b.post(t, "/bookings/x", "4A", HeaderIdempotencyKey, "k")
@@ -544,7 +544,7 @@
 		b = newHandlerFixture(t, func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, "seat")
 			_ = http.NewResponseController(w).Flush()
-			b.cutOff(conntrack.ErrStopping)
+			b.cancelRequests(conntrack.ErrStopping)
 			<-r.Context().Done()
 		}, dispatch("one"))
 		resp, body, err := b.post(t, "/bookings/x", "")
@@ -562,16 +562,16 @@
 		resp, err := http.DefaultClient.Do(req)
 		require.NoError(t, err)
 		defer resp.Body.Close()
-		b.cutOff(conntrack.ErrStopping)
+		b.cancelRequests(conntrack.ErrStopping)
 		body, err := io.ReadAll(resp.Body)
 		require.Error(t, err)
 		require.Contains(t, string(body), `"code":5002`)
 	})
 }
 
-// TestPanicFreesTheSlot guards against a slot that stays occupied for good
+// TestPanicEndsTheDispatch guards against a slot that stays occupied for good
 // after the handler panics between a dispatch and the report of its end.
-func TestPanicFreesTheSlot(t *testing.T) {
+func TestPanicEndsTheDispatch(t *testing.T) {
 	b := newHandlerFixture(t, nil, dispatch("one"))
 	b.claims.panics = true
 	require.Error(t, b.postWith(context.Background(), t))
--- a/transport/caller/relay.go
+++ b/transport/caller/relay.go
@@ -271,15 +271,15 @@
 		a.events.usage = lastUsage(a.tail)
 	}
 	total := a.meter.totalCost(a.events, a.answer.Header, a.x.h.opts.Now())
-	if err != nil && a.x.ctx.Err() != nil && !a.x.isCutOff() {
+	if err != nil && a.x.ctx.Err() != nil && !a.x.isCancelledByStop() {
 		err = errCallerLeft
 	}
 	switch {
 	case err == nil:
 		return a.endWhole(total)
-	case a.x.isCutOff():
+	case a.x.isCancelledByStop():
 		a.x.endAttempt(a.meter, total, scheduler.OutcomeAbandoned)
-		return a.abortAnswer(a.x.stoppedResult())
+		return a.abortAnswer(a.x.stopResult())
 	case errors.Is(err, errCallerLeft):
 		a.x.endAttempt(a.meter, total, scheduler.OutcomeAbandoned)
 		return a.x.endAbandoned()
--- a/transport/daemon/admin.go
+++ b/transport/daemon/admin.go
@@ -60,7 +60,7 @@
 	d.metrics.SetGauge("control_bytes_out", float64(stats.Total.BytesOut))
 	d.metrics.SetGauge("control_messages_in", float64(stats.Total.MessagesIn))
 	d.metrics.SetGauge("control_messages_out", float64(stats.Total.MessagesOut))
-	for kind, traffic := range d.link.byKind() {
+	for kind, traffic := range d.link.trafficByKind() {
 		d.metrics.SetGauge("control_sent_bytes_"+kind, float64(traffic.Bytes))
 		d.metrics.SetGauge("control_sent_messages_"+kind, float64(traffic.Messages))
 	}
@@ -93,7 +93,7 @@
 		Status:   d.schedulerStatus(),
 		Versions: d.source.Versions(),
 		Control:  ControlTraffic(total),
-		Kinds:    d.link.byKind(),
+		Kinds:    d.link.trafficByKind(),
 	}
 }
 
--- a/transport/daemon/orders.go
+++ b/transport/daemon/orders.go
@@ -173,7 +173,7 @@
 func (e *engineOrders) updateController(models []state.Model, version uint64) {
 	switch {
 	case !slices.Equal(e.models, models):
-		e.controller.SetWish(&fencing.DesiredState{Models: models}, version)
+		e.controller.SetDesired(&fencing.DesiredState{Models: models}, version)
 	case e.settingsVersion != version:
 		e.controller.ConfirmSettings(version)
 	}
--- a/transport/daemon/polls_test.go
+++ b/transport/daemon/polls_test.go
@@ -10,11 +10,11 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// TestPollsFollowAnUpstreamThatMoves guards against polling an engine at its
+// TestPollsFollowAChangedAddress guards against polling an engine at its
 // old address after an operator has changed its URL. Its owner stays the same,
 // so only the settings show the move. Without reports from the new address the
 // engine would get no work.
-func TestPollsFollowAnUpstreamThatMoves(t *testing.T) {
+func TestPollsFollowAChangedAddress(t *testing.T) {
 	var polled []upstream.Target
 	p := pollTargets{setTargets: func(targets []upstream.Target) { polled = targets }}
 	at := func(url string) config.Settings {
--- a/transport/daemon/traffic.go
+++ b/transport/daemon/traffic.go
@@ -58,7 +58,7 @@
 // bodyField is the oneof field that contains an envelope's message.
 var bodyField = (&peerpb.Envelope{}).ProtoReflect().Descriptor().Oneofs().ByName("body")
 
-func (l *countingLink) byKind() map[string]KindTraffic {
+func (l *countingLink) trafficByKind() map[string]KindTraffic {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	kinds := make(map[string]KindTraffic, len(l.kinds))
--- a/transport/edge/dispatcher_test.go
+++ b/transport/edge/dispatcher_test.go
@@ -73,7 +73,7 @@
 
 // Guards against a router that eventually refuses all requests, or none,
 // because it miscounts running streams.
-func TestStreamsUnderWayAreCounted(t *testing.T) {
+func TestRunningStreamsAreCounted(t *testing.T) {
 	f := newFixture()
 	f.dispatcher.pressure = newPressure(0, 0.1, frozen)
 	f.dispatcher.setTable(routing.NewTable(routing.Config{Services: []routing.Service{{Name: "s", Engine: &routing.Engine{Slots: 64, CacheTokens: 1000}}}}))
@@ -162,7 +162,7 @@
 
 // Guards against closing or keeping connections by a limit that differs from
 // the configured one.
-func TestIdleLimitFollowsTheConfiguration(t *testing.T) {
+func TestIdleTimeoutFollowsTheConfiguration(t *testing.T) {
 	f := newFixture()
 	require.Equal(t, defaultIdleTimeout, f.dispatcher.idleTimeout())
 	f.dispatcher.setTable(routing.NewTable(routing.Config{}))
--- a/transport/edge/exchange_test.go
+++ b/transport/edge/exchange_test.go
@@ -194,11 +194,11 @@
 	})
 }
 
-// Select implements sender.
-func (o *node) Select(selected membership.SelectionChanged) { o.selected = selected }
+// SelectPeers implements sender.
+func (o *node) SelectPeers(selected membership.SelectionChanged) { o.selected = selected }
 
-// Drop implements sender.
-func (o *node) Drop(router state.Router) {
+// DropSession implements sender.
+func (o *node) DropSession(router state.Router) {
 	other := o.network.nodes[router]
 	o.network.pendingDeliveries = append(o.network.pendingDeliveries, func() {
 		if o.sessions[router] {
--- a/transport/edge/fleet.go
+++ b/transport/edge/fleet.go
@@ -54,10 +54,10 @@
 type sender interface {
 	Send(to state.Router, env *peerpb.Envelope) bool
 	SendEach(to []state.Router, env *peerpb.Envelope)
-	// Select sets the routers that sessions are wanted with. Drop closes the
+	// SelectPeers sets the routers that sessions are wanted with. Drop closes the
 	// session with a router.
-	Select(selected membership.SelectionChanged)
-	Drop(router state.Router)
+	SelectPeers(selected membership.SelectionChanged)
+	DropSession(router state.Router)
 }
 
 var _ sender = (*peer.Mesh)(nil)
--- a/transport/edge/fleet_test.go
+++ b/transport/edge/fleet_test.go
@@ -26,8 +26,8 @@
 
 func (discardSender) Send(state.Router, *peerpb.Envelope) bool  { return false }
 func (discardSender) SendEach([]state.Router, *peerpb.Envelope) {}
-func (discardSender) Select(membership.SelectionChanged)        {}
-func (discardSender) Drop(state.Router)                         {}
+func (discardSender) SelectPeers(membership.SelectionChanged)   {}
+func (discardSender) DropSession(state.Router)                  {}
 
 func peersNamed(n int) []scheduler.Peer {
 	var peers []scheduler.Peer
--- a/transport/edge/lapse_test.go
+++ b/transport/edge/lapse_test.go
@@ -11,7 +11,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-var errSilent = errors.New("silent")
+var errStoreSilent = errors.New("silent")
 
 // newConfiguredNetwork returns a network in which all routers hold a
 // configuration.
@@ -40,7 +40,7 @@
 func (n *network) disconnectStore(routers ...state.Router) {
 	for _, router := range routers {
 		n.nodes[router].fleet.onStoreFailure()
-		n.nodes[router].fixture.catalogue.markStoreUnavailable(errSilent)
+		n.nodes[router].fixture.catalogue.markStoreUnavailable(errStoreSilent)
 	}
 }
 
@@ -221,7 +221,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture()
 			f.catalogue.applyObject(KindUpstream, upstreamObject("u", 23, false), sourceStore)
-			f.catalogue.markStoreUnavailable(errSilent)
+			f.catalogue.markStoreUnavailable(errStoreSilent)
 			f.catalogue.markStoreAvailable()
 			require.Empty(t, f.catalogue.replaceUpstreams(nil, 56, sourceStore), "nothing to send to peers yet")
 			f.catalogue.applyObject(KindUpstream, c.report, "peer")
@@ -235,7 +235,7 @@
 func TestUpstreamThatRegisteredAgainIsUsed(t *testing.T) {
 	f := newFixture()
 	f.catalogue.applyObject(KindUpstream, upstreamObject("u", 23, false), sourceStore)
-	f.catalogue.markStoreUnavailable(errSilent)
+	f.catalogue.markStoreUnavailable(errStoreSilent)
 	f.catalogue.markStoreAvailable()
 	f.catalogue.replaceUpstreams(nil, 56, sourceStore)
 	f.catalogue.applyObject(KindUpstream, removal("u", 47), "peer")
--- a/transport/edge/links.go
+++ b/transport/edge/links.go
@@ -74,9 +74,9 @@
 		case overlay.Send:
 			f.mesh.Send(a.To, membersEnvelope(a.Message))
 		case overlay.SelectPeers:
-			f.mesh.Select(membership.SelectionChanged{Members: a.Members, DialSeeds: a.DialSeeds, LiveRouters: a.LiveRouters})
+			f.mesh.SelectPeers(membership.SelectionChanged{Members: a.Members, DialSeeds: a.DialSeeds, LiveRouters: a.LiveRouters})
 		case overlay.DropSession:
-			f.mesh.Drop(a.Router)
+			f.mesh.DropSession(a.Router)
 		case overlay.LinkEstablished:
 			f.openLink(a.Router)
 		case overlay.LinkEnded:
--- a/transport/ingress/handler_test.go
+++ b/transport/ingress/handler_test.go
@@ -17,10 +17,10 @@
 )
 
 var (
-	runOnce      = routing.Route{Kind: routing.NonIdempotent, MaxAttempts: 2}
-	repeatable   = routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}
-	resumable    = routing.Route{Kind: routing.Stream, Resumable: true, MaxAttempts: 2}
-	nonResumable = routing.Route{Kind: routing.Stream, MaxAttempts: 2}
+	nonIdempotentRoute = routing.Route{Kind: routing.NonIdempotent, MaxAttempts: 2}
+	idempotentRoute    = routing.Route{Kind: routing.Idempotent, MaxAttempts: 2}
+	resumableRoute     = routing.Route{Kind: routing.Stream, Resumable: true, MaxAttempts: 2}
+	nonResumableRoute  = routing.Route{Kind: routing.Stream, MaxAttempts: 2}
 )
 
 func bodyOf(t *testing.T, response *http.Response) (string, error) {
@@ -37,7 +37,7 @@
 
 func TestAnswerIsPassedOnUnchanged(t *testing.T) {
 	u := startUpstream(t, writeText(completeAnswer(203, "page")))
-	d := newHandlerFixture(t, runOnce, u)
+	d := newHandlerFixture(t, nonIdempotentRoute, u)
 	response := d.post(t)
 	body, err := bodyOf(t, response)
 	require.NoError(t, err)
@@ -55,10 +55,10 @@
 // A request that publishes something reaches a worker, and its connection
 // breaks. Sending it again would publish twice, so the caller must receive an
 // error which states that the outcome is unknown.
-func TestRequestThatMayHaveRunIsNotRepeated(t *testing.T) {
+func TestRequestThatMayHaveRunIsNotRetried(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
 	spare := startUpstream(t, writeText(completeAnswer(200, "second")))
-	d := newHandlerFixture(t, runOnce, u, spare)
+	d := newHandlerFixture(t, nonIdempotentRoute, u, spare)
 	response := d.post(t)
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Equal(t, "unknown", response.Header.Get("Figstile-Ran"))
@@ -82,7 +82,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u, spare := startUpstream(t, script), startUpstream(t, writeText(completeAnswer(200, "page")))
-			d := newHandlerFixture(t, repeatable, u, spare)
+			d := newHandlerFixture(t, idempotentRoute, u, spare)
 			response := d.post(t)
 			body, err := bodyOf(t, response)
 			require.NoError(t, err)
@@ -94,9 +94,9 @@
 
 // Retries must not multiply the load of an overloaded fleet: once the retry
 // budget is spent, a failed answer is final.
-func TestNoRepeatWithoutBudget(t *testing.T) {
+func TestNoRetryWithoutBudget(t *testing.T) {
 	u, spare := startUpstream(t, writeText(completeAnswer(500, "no"))), startUpstream(t, writeText(completeAnswer(200, "page")))
-	d := newHandlerFixture(t, repeatable, u, spare)
+	d := newHandlerFixture(t, idempotentRoute, u, spare)
 	d.dispatcher.noRetries = true
 	response := d.post(t)
 	body, err := bodyOf(t, response)
@@ -109,7 +109,7 @@
 
 func TestRejectedRequestIsRefusedAsNotRun(t *testing.T) {
 	u := startUpstream(t, writeText("HTTP/1.1 503 S\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
-	d := newHandlerFixture(t, runOnce, u)
+	d := newHandlerFixture(t, nonIdempotentRoute, u)
 	response := d.post(t)
 	require.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
 	require.Equal(t, "no", response.Header.Get("Figstile-Ran"))
@@ -122,7 +122,7 @@
 func TestRefusalAfterALossDoesNotSayNotRun(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { reset(conn) })
 	full := startUpstream(t, writeText("HTTP/1.1 503 S\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"))
-	d := newHandlerFixture(t, repeatable, u, full)
+	d := newHandlerFixture(t, idempotentRoute, u, full)
 	response := d.post(t)
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Equal(t, "unknown", response.Header.Get("Figstile-Ran"))
@@ -149,7 +149,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			u := startUpstream(t, writeText(completeAnswer(200, "page")))
-			d := newHandlerFixture(t, runOnce, u)
+			d := newHandlerFixture(t, nonIdempotentRoute, u)
 			request := d.request(t, context.Background(), "hello")
 			c.change(d, request)
 			response, err := http.DefaultClient.Do(request)
@@ -172,7 +172,7 @@
 		reset(conn)
 	})
 	spare := startUpstream(t, writeText("HTTP/1.1 200 OK\r\nSigned: second\r\nAttempt: x\r\nTransfer-Encoding: chunked\r\n\r\n"+chunk(event(3))+chunk(event(4))+"0\r\n\r\n"))
-	d := newHandlerFixture(t, resumable, u, spare)
+	d := newHandlerFixture(t, resumableRoute, u, spare)
 	response := d.post(t)
 	body, err := bodyOf(t, response)
 	require.NoError(t, err)
@@ -193,7 +193,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			u, spare := startUpstream(t, script), startUpstream(t, writeText(streamHead+"0\r\n\r\n"))
-			d := newHandlerFixture(t, nonResumable, u, spare)
+			d := newHandlerFixture(t, nonResumableRoute, u, spare)
 			response := d.post(t)
 			body, err := bodyOf(t, response)
 			require.Error(t, err)
@@ -205,7 +205,7 @@
 
 func TestStreamBrokenBeforeItsFirstEventIsAnsweredCleanly(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = conn.Write([]byte(streamHead)); reset(conn) })
-	d := newHandlerFixture(t, nonResumable, u)
+	d := newHandlerFixture(t, nonResumableRoute, u)
 	response := d.post(t)
 	require.Equal(t, http.StatusBadGateway, response.StatusCode)
 	require.Empty(t, response.Header.Get("Signed"), "an error of the router itself is not signed")
@@ -215,11 +215,11 @@
 // stays open without data. The dispatcher sees that later requests were
 // answered and cancels the attempt. The caller gets the answer of another
 // worker.
-func TestStalledAttemptIsRepeated(t *testing.T) {
+func TestStalledAttemptIsRetried(t *testing.T) {
 	reached := make(chan struct{})
 	u := startUpstream(t, func(net.Conn, *http.Request) { close(reached) })
 	spare := startUpstream(t, writeText(completeAnswer(200, "page")))
-	d := newHandlerFixture(t, repeatable, u, spare)
+	d := newHandlerFixture(t, idempotentRoute, u, spare)
 	go func() {
 		<-reached
 		d.dispatcher.cancelStalled(0)
@@ -239,7 +239,7 @@
 		_, _ = conn.Read(make([]byte, 1))
 	})
 	spare := startUpstream(t, writeText(streamHead+chunk(event(2))+"0\r\n\r\n"))
-	d := newHandlerFixture(t, resumable, u, spare)
+	d := newHandlerFixture(t, resumableRoute, u, spare)
 	d.dispatcher.noRetries = true
 	response := d.post(t)
 	d.dispatcher.cancelStalled(0)
@@ -258,7 +258,7 @@
 		close(closed)
 	})
 	spare := startUpstream(t, writeText(completeAnswer(200, "page")))
-	d := newHandlerFixture(t, repeatable, u, spare)
+	d := newHandlerFixture(t, idempotentRoute, u, spare)
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-reached
@@ -274,7 +274,7 @@
 // The caller's connection was closed, the log had no line for the request, and
 // the upstream counted as busy with it forever.
 func TestPanicWhileHandlingIsAnswered(t *testing.T) {
-	d := newHandlerFixture(t, repeatable, startUpstream(t, writeText(completeAnswer(200, "page"))))
+	d := newHandlerFixture(t, idempotentRoute, startUpstream(t, writeText(completeAnswer(200, "page"))))
 	d.dispatcher.panicOnServed = true
 	require.Equal(t, http.StatusInternalServerError, d.post(t).StatusCode)
 	d.dispatcher.awaitEnded(t, placement.Withdrawn)
@@ -285,7 +285,7 @@
 // sent to an upstream, and the connection must end without any answer.
 func TestRequestOfADisconnectedCallerIsNotSent(t *testing.T) {
 	u := startUpstream(t, writeText(completeAnswer(200, "page")))
-	d := newHandlerFixture(t, repeatable, u)
+	d := newHandlerFixture(t, idempotentRoute, u)
 	d.dispatcher.callerClosed = true
 	_, err := http.DefaultClient.Do(d.request(t, context.Background(), "hello")) //nolint:bodyclose // There is no answer.
 	require.Error(t, err)
@@ -297,7 +297,7 @@
 // an answer that does not state that the request did not run.
 func TestTimeoutWhileRunning(t *testing.T) {
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = conn.Read(make([]byte, 1)) })
-	route := runOnce
+	route := nonIdempotentRoute
 	route.Timeout = 20 * time.Millisecond
 	response := newHandlerFixture(t, route, u).post(t)
 	require.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
@@ -310,7 +310,7 @@
 	closed := startUpstream(t, writeText(""))
 	require.NoError(t, closed.listener.Close())
 	spare := startUpstream(t, writeText(completeAnswer(200, "page")))
-	d := newHandlerFixture(t, runOnce, closed, spare)
+	d := newHandlerFixture(t, nonIdempotentRoute, closed, spare)
 	body, err := bodyOf(t, d.post(t))
 	require.NoError(t, err)
 	require.Equal(t, "page", body)
@@ -322,7 +322,7 @@
 func TestAnswerWithoutLength(t *testing.T) {
 	const unframed = "HTTP/1.1 200 OK\r\nSigned: 1\r\nAttempt: x\r\n\r\npage"
 	u := startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = conn.Write([]byte(unframed)); _ = conn.Close() })
-	body, err := bodyOf(t, newHandlerFixture(t, runOnce, u).post(t))
+	body, err := bodyOf(t, newHandlerFixture(t, nonIdempotentRoute, u).post(t))
 	require.NoError(t, err)
 	require.Equal(t, "page", body)
 
@@ -332,7 +332,7 @@
 		<-gate
 		reset(conn)
 	})
-	d := newHandlerFixture(t, runOnce, broken)
+	d := newHandlerFixture(t, nonIdempotentRoute, broken)
 	close(gate)
 	require.Equal(t, http.StatusBadGateway, d.post(t).StatusCode)
 }
--- a/transport/logging/async_test.go
+++ b/transport/logging/async_test.go
@@ -94,8 +94,8 @@
 	require.LessOrEqual(t, len(a.throttle.kinds), maxKinds+1)
 }
 
-// BenchmarkAsync writes a line of the length of a request's line.
-func BenchmarkAsync(b *testing.B) {
+// BenchmarkAsyncWriter writes a line of the length of a request's line.
+func BenchmarkAsyncWriter(b *testing.B) {
 	a := newAsyncWriter(&bytes.Buffer{}, frozenTime)
 	line := []byte("time=x level=info event=request " + strings.Repeat("x", 350))
 	b.ReportAllocs()
--- a/transport/metrics/metrics_test.go
+++ b/transport/metrics/metrics_test.go
@@ -55,9 +55,9 @@
 	require.Contains(t, response.Body.String(), `figstile_view_age_seconds{data_centre="dc",router="r1",view="configuration"} 1.5`)
 }
 
-// TestUpstreamsThatComeAndGoShareOneCounter guards against running out of
+// TestReplacedUpstreamsShareOneCounter guards against running out of
 // memory when upstreams are replaced again and again, each with a new ID.
-func TestUpstreamsThatComeAndGoShareOneCounter(t *testing.T) {
+func TestReplacedUpstreamsShareOneCounter(t *testing.T) {
 	m := New("r1", "dc")
 	for i := range 3 * maxSubjects {
 		m.CountAttempt(state.Upstream(fmt.Sprint(i)), "answered")
--- a/transport/objectstore/objectstoretest/suite.go
+++ b/transport/objectstore/objectstoretest/suite.go
@@ -24,7 +24,7 @@
 		{"invalid calls", checkInvalidCalls},
 		{"largest value", checkLargestValue},
 		{"conditions", checkConditions},
-		{"one winner", checkOneWinner},
+		{"one winner", checkConcurrentWrites},
 		{"versions increase over all keys", checkVersions},
 		{"list", checkList},
 		{"watch returns existing objects", checkWatchExisting},
@@ -106,7 +106,7 @@
 	require.Equal(t, "two", string(object.Value))
 }
 
-func checkOneWinner(t *testing.T, store objectstore.Store) {
+func checkConcurrentWrites(t *testing.T, store objectstore.Store) {
 	const writers = 8
 	first := put(t, store, "a", "start", 0)
 	errs := make([]error, writers)
--- a/transport/orders/controller.go
+++ b/transport/orders/controller.go
@@ -126,11 +126,11 @@
 	}
 }
 
-// SetWish replaces the desired state of the engine; nil leaves the engine as it
+// SetDesired replaces the desired state of the engine; nil leaves the engine as it
 // is. settingsVersion is the version of the settings that contain the desired
 // state. SetWish waits until Run accepts it, and does nothing once Run has
 // ended.
-func (c *Controller) SetWish(desired *fencing.DesiredState, settingsVersion uint64) {
+func (c *Controller) SetDesired(desired *fencing.DesiredState, settingsVersion uint64) {
 	c.post(input{event: fencing.DesiredChanged{Desired: desired}, settingsVersion: settingsVersion})
 }
 
--- a/transport/orders/controller_test.go
+++ b/transport/orders/controller_test.go
@@ -178,7 +178,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- c.Run(ctx) }()
-	c.SetWish(&fencing.DesiredState{Models: []state.Model{"m"}}, 1)
+	c.SetDesired(&fencing.DesiredState{Models: []state.Model{"m"}}, 1)
 	require.Eventually(t, func() bool {
 		report, err := poll.FetchReport(ctx, http.DefaultClient, url, "engine")
 		require.NoError(t, err)
@@ -188,7 +188,7 @@
 	}, waitTimeout, time.Millisecond)
 	cancel()
 	require.ErrorIs(t, <-ended, context.Canceled)
-	c.SetWish(nil, 1)
+	c.SetDesired(nil, 1)
 }
 
 // TestHolderWithOldSettingsWaits has "old" replaced by "new" while router r1 is
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -254,16 +254,16 @@
 	m.step(membership.SeedsAdded{Addresses: validAddresses})
 }
 
-// Select replaces the routers that a mesh with SelectiveDialing dials; see
+// SelectPeers replaces the routers that a mesh with SelectiveDialing dials; see
 // membership.SelectionChanged.
-func (m *Mesh) Select(selection membership.SelectionChanged) {
+func (m *Mesh) SelectPeers(selection membership.SelectionChanged) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.step(selection)
 }
 
-// Drop closes the session with a peer.
-func (m *Mesh) Drop(router state.Router) {
+// DropSession closes the session with a peer.
+func (m *Mesh) DropSession(router state.Router) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.step(membership.SessionUnneeded{Router: router})
--- a/transport/settings/source_test.go
+++ b/transport/settings/source_test.go
@@ -175,10 +175,10 @@
 	require.True(t, source.Ready())
 }
 
-// TestPeerBringsTheVersionBeforeADamagedOne covers a router that starts when
+// TestValidVersionIsRequestedFromAPeer covers a router that starts when
 // the newest version of a team on the platform is damaged. The platform offers
 // no other, so the router must request the valid version before it from a peer.
-func TestPeerBringsTheVersionBeforeADamagedOne(t *testing.T) {
+func TestValidVersionIsRequestedFromAPeer(t *testing.T) {
 	f := newFleet(t)
 	_, err := f.write(t, "base", 0, 1)
 	require.NoError(t, err)
--- a/transport/settings/writer_test.go
+++ b/transport/settings/writer_test.go
@@ -13,9 +13,9 @@
 	"github.com/figstile/figstile/transport/settings"
 )
 
-// TestLostAnswerOfAWriteThatTookEffect loses the answer to a write that took
+// TestLostAnswerOfASuccessfulWrite loses the answer to a write that took
 // effect. The operator must get a success, and the object must be written once.
-func TestLostAnswerOfAWriteThatTookEffect(t *testing.T) {
+func TestLostAnswerOfASuccessfulWrite(t *testing.T) {
 	f := newFleet(t)
 	f.store.putFaults = []putFault{answerLost}
 	version, err := f.write(t, "mine", 0, 2)
@@ -25,9 +25,9 @@
 	require.Equal(t, uint64(2), f.source.Versions()[teamKey])
 }
 
-// TestLostAnswerOfAWriteThatDidNot loses the write itself. It must be sent
+// TestLostWriteIsSentAgain loses the write itself. It must be sent
 // again under the same condition and take effect once.
-func TestLostAnswerOfAWriteThatDidNot(t *testing.T) {
+func TestLostWriteIsSentAgain(t *testing.T) {
 	f := newFleet(t)
 	f.store.putFaults = []putFault{writeLost, writeLost, answerLost}
 	version, err := f.write(t, "mine", 0, 2)
@@ -60,10 +60,10 @@
 	require.Equal(t, uint64(2), version)
 }
 
-// TestLostAnswerUnderALaterChange loses the answer to a write that took effect,
+// TestLostAnswerBeforeALaterChange loses the answer to a write that took effect,
 // and another operator changes the object before it is read back. The first
 // operator must get a success although the newest change is another one.
-func TestLostAnswerUnderALaterChange(t *testing.T) {
+func TestLostAnswerBeforeALaterChange(t *testing.T) {
 	f := newFleet(t)
 	mine := config.Subtree{Team: "turismo"}.WithChange(config.Change{ID: "mine"})
 	f.store.putFaults = []putFault{writeLost}
@@ -129,10 +129,10 @@
 	require.True(t, errors.As(err, &unknown), "%v", err)
 }
 
-// TestStaleReadBackSettlesNothing loses an answer; the platform then returns a
+// TestStaleReadLeavesTheOutcomeUnknown loses an answer; the platform then returns a
 // stale copy from before the expected version. That proves nothing, so the
 // outcome must stay unknown and not be reported as a conflict.
-func TestStaleReadBackSettlesNothing(t *testing.T) {
+func TestStaleReadLeavesTheOutcomeUnknown(t *testing.T) {
 	f := newFleet(t)
 	_, err := f.write(t, "base", 0, 1)
 	require.NoError(t, err)
--- a/transport/upstream/client_test.go
+++ b/transport/upstream/client_test.go
@@ -112,19 +112,19 @@
 	})
 }
 
-// blockedConn accepts a write without delivering it. Read returns io.EOF after
+// undeliveredConn accepts a write without delivering it. Read returns io.EOF after
 // that write has begun.
-type blockedConn struct {
+type undeliveredConn struct {
 	net.Conn
 	reached chan struct{}
 }
 
-func (c *blockedConn) Write(p []byte) (int, error) {
+func (c *undeliveredConn) Write(p []byte) (int, error) {
 	close(c.reached)
 	return len(p), nil
 }
 
-func (c *blockedConn) Read([]byte) (int, error) {
+func (c *undeliveredConn) Read([]byte) (int, error) {
 	<-c.reached
 	return 0, io.EOF
 }
@@ -143,7 +143,7 @@
 	t.Run("a begun write counts as sent", func(t *testing.T) {
 		client := NewClient(ClientOptions{Dial: func(context.Context, string, string) (net.Conn, error) {
 			inner, _ := net.Pipe()
-			return &blockedConn{Conn: inner, reached: make(chan struct{})}, nil
+			return &undeliveredConn{Conn: inner, reached: make(chan struct{})}, nil
 		}})
 		_, err := client.Send(context.Background(), Attempt{BaseURL: "http://127.0.0.1:1", Target: "/", Method: http.MethodPost, Body: []byte("x")})
 		require.Equal(t, StageSent, StageOf(err))
--- a/transport/upstream/poller_test.go
+++ b/transport/upstream/poller_test.go
@@ -61,7 +61,7 @@
 
 // An engine sends invalid reports and gets no requests. Operators who search
 // for the reason must find one log line, not four thousand an hour.
-func TestRefusedReportsAreLoggedOnce(t *testing.T) {
+func TestRejectedReportsAreLoggedOnce(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"upstream":"u","boot":"1","running":-1}`))
 	}))
