--- a/coordination/scheduler/action.go
+++ b/coordination/scheduler/action.go
@@ -5,37 +5,38 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// Action is something the host must do. Actions are performed in order.
+// Action is an instruction to the host. The host performs actions in order.
 type Action interface{ action() }
 
-// Dispatch sends a queued request to an upstream. The host answers with
-// Progressed and one Ended.
+// Dispatch sends a queued request to an upstream. The host reports any number
+// of Progressed events and then one Ended.
 type Dispatch struct {
 	ID       state.RequestID
 	Upstream state.Upstream
-	// Attempt counts the dispatches of this request from 1.
+	// Attempt is the number of this dispatch of the request, counted from 1.
 	Attempt int
 }
 
-// Refuse gives a request its final answer at once.
+// Refuse gives a request its final answer, which is a result code and not an
+// answer of an upstream.
 type Refuse struct {
 	ID     state.RequestID
 	Result result.Result
 }
 
-// SendDemand tells an owner what waits here.
+// SendDemand reports to an owner the requests that wait at this router.
 type SendDemand struct {
 	To     state.Router
 	Demand Demand
 }
 
-// SendGrant offers a slot to a peer.
+// SendGrant offers a peer one slot of an upstream.
 type SendGrant struct {
 	To    state.Router
 	Grant Grant
 }
 
-// SendDecline returns a grant unused to its owner.
+// SendDecline returns an unused grant to its owner.
 type SendDecline struct {
 	To       state.Router
 	Sequence uint64
@@ -43,7 +44,8 @@
 	Demand   DemandEntry
 }
 
-// SendProgress reports cost to the owner of the upstream.
+// SendProgress reports the cost of a running request to the owner of the
+// upstream.
 type SendProgress struct {
 	To        state.Router
 	Sequence  uint64
@@ -54,7 +56,8 @@
 	Started   bool
 }
 
-// SendEnded frees a slot at the owner of the upstream.
+// SendEnded reports the end of a request to the owner of the upstream, which
+// frees the slot.
 type SendEnded struct {
 	To        state.Router
 	Sequence  uint64
@@ -65,7 +68,7 @@
 	Outcome   Outcome
 }
 
-// SendUsage spreads counters. An empty To means all peers.
+// SendUsage sends usage counters to a peer. An empty To means all peers.
 type SendUsage struct {
 	To          state.Router
 	Origin      state.Router
@@ -74,15 +77,15 @@
 	Full        bool
 }
 
-// SendCrash tells all peers of a crash. Without a boot it is a suspicion, for
-// the owner of the upstream to confirm.
+// SendCrash reports a crash of an upstream to all peers. With an empty Boot it
+// is only a suspicion, which the owner of the upstream confirms or drops.
 type SendCrash struct {
 	Fingerprint state.Fingerprint
 	Upstream    state.Upstream
 	Boot        string
 }
 
-// SendLeaving tells all peers of an upstream's departure.
+// SendLeaving announces the departure of an upstream to all peers.
 type SendLeaving struct {
 	Upstream state.Upstream
 	Boot     string
@@ -93,7 +96,7 @@
 	Upstreams []state.Upstream
 }
 
-// Drained says that a draining router has nothing left to finish.
+// Drained reports that a draining router has no waiting or running requests.
 type Drained struct{}
 
 func (Dispatch) action()     {}
--- a/coordination/scheduler/baseline_test.go
+++ b/coordination/scheduler/baseline_test.go
@@ -6,7 +6,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-// roundRobin sends each request at once to the next engine in turn.
+// roundRobin sends each request at once to the next engine in rotation.
 type roundRobin struct {
 	engines []state.Upstream
 	next    int
@@ -27,8 +27,9 @@
 	return nil
 }
 
-// isolatedScheduler queues fairly, but for the requests and engines of one router: each
-// owner is a Scheduler that hears of no peers' demand or counters.
+// isolatedScheduler schedules fairly, but only among the requests and engines
+// of one router. Each owner is a Scheduler that receives no demand or counters
+// of peers.
 type isolatedScheduler struct{ *Scheduler }
 
 func newIsolatedScheduler(self Peer, seed uint64) stepper {
--- a/coordination/scheduler/demand.go
+++ b/coordination/scheduler/demand.go
@@ -10,14 +10,14 @@
 	"github.com/figstile/figstile/state"
 )
 
-// setDemand replaces what a router has waiting of a line.
+// setDemand replaces the known demand of a router for a workspace and model.
 func (s *Scheduler) setDemand(svc *service, k demand.Key, e demand.Entry) {
 	backlogged := svc.demand.Set(k, e)
 	svc.ledger.SetBacklog(s.now, k.Workspace, k.Model, backlogged)
 	s.markForGranting(svc.name)
 }
 
-// syncOwnDemand brings the demand book up to the router's own queue.
+// syncOwnDemand updates the demand of this router from its own queue.
 func (s *Scheduler) syncOwnDemand(svc *service, k demand.Key) {
 	e := demand.Entry{Router: s.self.Router, Waiting: s.queues.Len(svc.queueKey(k))}
 	if head := s.queues.Head(svc.queueKey(k)); head != nil {
@@ -29,7 +29,8 @@
 	svc.urgentKeys[k] = struct{}{}
 }
 
-// ownDemandEntry describes a line of the router's own queue for others.
+// ownDemandEntry describes a queue of this router in the form that is sent to
+// owners.
 func (s *Scheduler) ownDemandEntry(svc *service, k demand.Key) DemandEntry {
 	d := DemandEntry{Workspace: k.Workspace, Model: k.Model}
 	head := s.queues.Head(svc.queueKey(k))
@@ -42,13 +43,15 @@
 	return d
 }
 
-// announceDemand tells owners at once of lines that they take to be empty.
-// Requests that were dispatched within the step are never announced.
+// announceDemand sends a message at once to owners for which the announced
+// length of a queue is zero and the actual one is not. Requests that were
+// dispatched within the same step are not announced.
 //
-// Made for light load, when every owner has a free slot and each that hears
-// of a request grants one: all but one of those grants come back unused, and
-// for a round trip their slots stand idle. So only firstAsked owners hear of
-// it at once, and the others at the next tick if it still waits.
+// Under light load every owner has a free slot, and each one that receives the
+// demand sends a grant. All but one of those grants come back unused, and their
+// slots are idle for a round trip. Therefore only urgentDemandOwners owners
+// receive the demand at once, and the others at the next tick if the request
+// still waits.
 func (s *Scheduler) announceDemand() {
 	for _, svc := range s.sortedServicesToGrant() {
 		if len(svc.urgentKeys) == 0 {
@@ -67,7 +70,7 @@
 	return announced == 0 && waiting > 0
 }
 
-// pickUrgentOwners picks owners in turn.
+// pickUrgentOwners selects owners in rotation.
 func (s *Scheduler) pickUrgentOwners(svc *service) []state.Router {
 	if len(svc.owners) <= urgentDemandOwners {
 		return svc.owners
@@ -80,7 +83,8 @@
 	return chosen
 }
 
-// announceToRemainingOwners tells the remaining owners of urgent demand that still waits.
+// announceToRemainingOwners announces urgent demand that still waits to the
+// owners that have not received it yet.
 func (s *Scheduler) announceToRemainingOwners() {
 	for _, svc := range s.sortedServices() {
 		if len(svc.partlyAnnouncedKeys) == 0 {
@@ -92,8 +96,8 @@
 	}
 }
 
-// sendDemandBatch tells owners of lines that changed by much since they last
-// heard.
+// sendDemandBatch sends owners the demand of queues whose length differs from
+// the announced one by more than the tolerance.
 func (s *Scheduler) sendDemandBatch() {
 	for _, svc := range s.sortedServices() {
 		if len(svc.changedKeys) == 0 {
@@ -131,7 +135,7 @@
 	}
 }
 
-// refreshDemand repeats the whole demand to owners who have heard of any.
+// refreshDemand sends the whole demand again to owners that know of any.
 func (s *Scheduler) refreshDemand() {
 	for _, svc := range s.sortedServices() {
 		for _, owner := range svc.owners {
@@ -153,7 +157,8 @@
 	s.emit(SendDemand{To: owner, Demand: d})
 }
 
-// refreshAnnouncedDemand follows a change of owners: new ones hear everything.
+// refreshAnnouncedDemand adapts announcedDemand to a change of owners. New
+// owners receive the whole demand.
 func (s *Scheduler) refreshAnnouncedDemand(svc *service) {
 	for r := range svc.announcedDemand {
 		if _, ok := slices.BinarySearch(svc.owners, r); !ok {
@@ -175,8 +180,8 @@
 	announced[k] = waiting
 }
 
-// receiveDemand takes in a peer's demand. Nothing is kept of routers that are
-// not live: no later event would take it away again.
+// receiveDemand stores the demand that a peer sent. Demand of routers that are
+// not live is dropped, because no later event would remove it.
 func (s *Scheduler) receiveDemand(from state.Router, d Demand) {
 	if _, live := s.peers[from]; !live {
 		return
--- a/coordination/scheduler/doc.go
+++ b/coordination/scheduler/doc.go
@@ -1,7 +1,9 @@
-// Package scheduler is the state machine of one router: it admits requests,
-// queues them per service and workspace, chooses whose turn it is on the
-// upstreams the router owns, and reacts to what peers and upstreams report.
+// Package scheduler is the state machine of one router. It admits requests,
+// queues them per service, workspace and model, chooses the workspace that gets
+// the next free slot on the upstreams that the router owns, and reacts to
+// reports of peers and upstreams.
 //
 // Step is deterministic: the same events in the same order give the same
-// actions. The host performs the actions and feeds back what came of them.
+// actions. The host performs the actions and reports their results as further
+// events.
 package scheduler
--- a/coordination/scheduler/engine_test.go
+++ b/coordination/scheduler/engine_test.go
@@ -7,7 +7,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-// engine runs requests in its slots and queues what comes beyond them.
+// engine runs requests in its slots and queues those for which no slot is free.
 type engine struct {
 	name             state.Upstream
 	partition, slots int
@@ -56,14 +56,14 @@
 	f.advance(e, j)
 }
 
-// advance reports a second of progress or the end.
+// advance reports one second of progress of a request, or its end.
 func (f *fleet) advance(e *engine, j *job) {
-	left := time.Duration(float64(j.cost)*e.slowdown) - f.now.Sub(j.started)
-	f.after(min(left, time.Second), func() {
+	remaining := time.Duration(float64(j.cost)*e.slowdown) - f.now.Sub(j.started)
+	f.after(min(remaining, time.Second), func() {
 		spent := f.now.Sub(j.reported)
 		j.reported = f.now
 		f.served[j.ws] += spent
-		if left > time.Second {
+		if remaining > time.Second {
 			f.deliver(j.entryRouter, Progressed{ID: j.id, Cost: state.Cost(spent.Milliseconds())})
 			f.advance(e, j)
 			return
--- a/coordination/scheduler/event.go
+++ b/coordination/scheduler/event.go
@@ -7,8 +7,8 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// Event is something that happened to a router. Events are plain data and
-// survive a round trip through JSON.
+// Event is an input of the scheduler. Events are plain data and survive a round
+// trip through JSON.
 type Event interface{ event() }
 
 // Configured replaces the settings in force.
@@ -16,12 +16,14 @@
 	Settings config.Settings
 }
 
-// Peer is a live router as membership sees it, the router itself included.
+// Peer is a live router according to membership. The list of peers includes the
+// router itself.
 type Peer struct {
 	Router      state.Router
 	DataCentre  state.DataCentre
 	Incarnation state.Incarnation
-	// Draining peers own no upstreams.
+	// Draining is set for a router that owns no upstreams because it shuts
+	// down.
 	Draining bool
 }
 
@@ -30,56 +32,59 @@
 	Peers []Peer
 }
 
-// Request is what the scheduler knows of a caller's request on arrival.
+// Request describes a caller's request on arrival.
 type Request struct {
 	ID        state.RequestID
 	Service   state.Service
 	Workspace state.Workspace
 	Model     state.Model
 	Class     string
-	// CostHint is a rough guess of the cost; zero if there is none.
+	// CostHint is a rough estimate of the cost in cost units; zero means that
+	// there is none.
 	CostHint state.Cost
-	// Bytes is the size of the body held in memory.
+	// Bytes is the size of the request body that is held in memory.
 	Bytes int64
-	// Deadline is when the caller stops caring; zero means the service's
-	// default applies.
+	// Deadline is the time after which the caller no longer waits for the
+	// answer. Zero selects the default of the service.
 	Deadline time.Time
-	// Repeatable says that running the request twice does no harm.
+	// Repeatable is set if running the request twice does no harm.
 	Repeatable  bool
 	Fingerprint state.Fingerprint
-	// Prefix is a digest of the prompt's beginning; zero if unknown.
+	// Prefix is a digest of the beginning of the prompt; zero means unknown.
 	Prefix uint64
 }
 
-// Arrived is a new request from a caller.
+// Arrived reports a new request from a caller.
 type Arrived struct {
 	Request Request
 }
 
-// Left says that the caller of a request went away. The host cancels a
-// dispatch under way by itself and then reports Ended.
+// Left reports that the caller of a request disconnected. The host itself
+// cancels a dispatch in progress and then reports Ended.
 type Left struct {
 	ID state.RequestID
 }
 
-// Reported is a fresh load report of an upstream.
+// Reported delivers a new load report of an upstream.
 type Reported struct {
 	Report state.LoadReport
 }
 
-// Unreachable says that an upstream's load report could not be fetched.
+// Unreachable reports that the load report of an upstream could not be fetched.
 type Unreachable struct {
 	Upstream state.Upstream
 }
 
-// UpstreamLeaving says that some source announced an upstream's departure.
+// UpstreamLeaving reports that the departure of an upstream was announced, by
+// the upstream itself or by another source.
 type UpstreamLeaving struct {
 	Upstream state.Upstream
-	// Boot is the announced run of the upstream; empty means any.
+	// Boot identifies the run of the upstream that leaves; empty means any run.
 	Boot string
 }
 
-// DemandEntry is what one router has waiting of one workspace and model.
+// DemandEntry describes the requests of one workspace and model that wait at
+// one router.
 type DemandEntry struct {
 	Workspace state.Workspace
 	Model     state.Model
@@ -88,50 +93,53 @@
 	HeadCost  state.Cost
 }
 
-// Demand is a router's waiting work of one service.
+// Demand lists the waiting requests of one router for one service.
 type Demand struct {
 	Service state.Service
 	Entries []DemandEntry
-	// Full says that workspaces not listed have nothing waiting.
+	// Full is set if workspaces that are not listed have no waiting requests.
 	Full bool
 }
 
-// DemandHeard is a peer's demand.
+// DemandHeard delivers the demand that a peer sent.
 type DemandHeard struct {
 	From   state.Router
 	Demand Demand
 }
 
-// Grant lets a router start one request of a workspace on an upstream.
+// Grant permits a router to start one request of a workspace on an upstream.
 type Grant struct {
-	// Owner and Sequence identify the grant.
+	// Owner and Sequence together identify the grant.
 	Owner     state.Router
 	Sequence  uint64
 	Service   state.Service
 	Workspace state.Workspace
 	Model     state.Model
 	Upstream  state.Upstream
-	// Lifetime is how long the grant may stay unused.
+	// Lifetime is the time within which the grant must be used.
 	Lifetime time.Duration
-	// Reserved is the cost the owner set aside.
+	// Reserved is the cost that the owner reserved for the request, in cost
+	// units.
 	Reserved state.Cost
 }
 
-// GrantHeard is a grant from a peer.
+// GrantHeard delivers a grant from a peer.
 type GrantHeard struct {
 	Grant Grant
 }
 
-// DeclineHeard returns one of this router's grants unused.
+// DeclineHeard reports that a peer returns one of this router's grants unused.
 type DeclineHeard struct {
 	From     state.Router
 	Sequence uint64
 	Service  state.Service
-	// Demand is what the peer has waiting of that workspace now.
+	// Demand describes the requests of the grant's workspace that now wait at
+	// the peer.
 	Demand DemandEntry
 }
 
-// ProgressHeard reports cost on one of this router's grants.
+// ProgressHeard reports the cost of a request that runs on one of this router's
+// grants.
 type ProgressHeard struct {
 	From      state.Router
 	Sequence  uint64
@@ -142,8 +150,9 @@
 	Started   bool
 }
 
-// EndedHeard ends one of this router's grants, or hands over the remaining
-// cost of work granted by an owner that is gone.
+// EndedHeard reports the end of a request that ran on one of this router's
+// grants. It also delivers the remaining cost of a request whose grant came
+// from an owner that is no longer live.
 type EndedHeard struct {
 	From      state.Router
 	Sequence  uint64
@@ -154,19 +163,21 @@
 	Outcome   Outcome
 }
 
-// UsageEntry is one counter of one incarnation.
+// UsageEntry is the usage counter of one workspace and service at one
+// incarnation of a router.
 type UsageEntry struct {
 	Service   state.Service
 	Workspace state.Workspace
 	Charged   state.Cost
 	Reserved  state.Cost
 	Lift      state.Cost
-	// Virtual is the sender's virtual time of the workspace, told to routers
-	// that newly appear; zero if it is not told.
+	// Virtual is the sender's virtual time of the workspace. It is sent only to
+	// routers that have just joined and is zero otherwise.
 	Virtual state.Cost
 }
 
-// UsageHeard carries counters of a peer, or relayed ones of a third router.
+// UsageHeard delivers usage counters of the peer that sent them, or counters of
+// a third router that the peer relays.
 type UsageHeard struct {
 	Origin      state.Router
 	Incarnation state.Incarnation
@@ -174,59 +185,64 @@
 	Full        bool
 }
 
-// CrashHeard says that an upstream fell while it ran a request, or without a
-// boot, that it may have.
+// CrashHeard reports that an upstream crashed while it ran a request. With an
+// empty Boot it reports only that the upstream may have crashed.
 type CrashHeard struct {
 	Fingerprint state.Fingerprint
 	Upstream    state.Upstream
 	Boot        string
 }
 
-// Outcome tells how a dispatch ended.
+// Outcome is the way in which a dispatch ended.
 type Outcome uint8
 
-// The outcomes of a dispatch.
+// Outcomes of a dispatch.
 const (
-	// OutcomeServed: the caller got the whole answer.
+	// OutcomeServed means that the caller received the whole answer.
 	OutcomeServed Outcome = iota + 1
-	// OutcomeAbandoned: the caller left; the upstream was told to cancel.
+	// OutcomeAbandoned means that the caller disconnected and the upstream was
+	// asked to cancel.
 	OutcomeAbandoned
-	// OutcomeNotSent: nothing was sent to the upstream.
+	// OutcomeNotSent means that nothing was sent to the upstream.
 	OutcomeNotSent
-	// OutcomeLost: sent, and the connection failed before the answer began.
+	// OutcomeLost means that the request was sent and the connection failed
+	// before the answer began.
 	OutcomeLost
-	// OutcomeTruncated: the connection failed within the answer.
+	// OutcomeTruncated means that the connection failed during the answer.
 	OutcomeTruncated
-	// OutcomeFailed: the upstream answered with an error.
+	// OutcomeFailed means that the upstream answered with an error.
 	OutcomeFailed
-	// OutcomeRefused: the host refused the request itself before anything
-	// was sent, and has already answered the caller.
+	// OutcomeRefused means that the host refused the request itself before
+	// anything was sent, and has already answered the caller.
 	OutcomeRefused
 )
 
-// Progressed reports cost of a local dispatch since the last report.
+// Progressed reports the cost of a request that this router dispatched, since
+// the last report.
 type Progressed struct {
 	ID   state.RequestID
 	Cost state.Cost
 }
 
-// Ended ends a local dispatch. After OutcomeNotSent and OutcomeLost the
-// caller has heard nothing yet, and the scheduler answers with another
-// Dispatch or a Refuse.
+// Ended reports the end of a request that this router dispatched. After
+// OutcomeNotSent and OutcomeLost the caller has received nothing yet, and the
+// scheduler returns another Dispatch or a Refuse.
 type Ended struct {
 	ID state.RequestID
-	// Cost since the last Progressed.
+	// Cost is the cost since the last Progressed, in cost units.
 	Cost    state.Cost
 	Outcome Outcome
 }
 
-// Drain stops admission and gives up ownership; admitted work is finished.
+// Drain stops admission and gives up the ownership of upstreams. Requests that
+// were already admitted are finished.
 type Drain struct{}
 
-// Tick lets time-outs pass. The host sends one every TickInterval.
+// Tick lets the scheduler process timeouts and periodic tasks. The host sends
+// one every TickInterval.
 type Tick struct{}
 
-// TickInterval is the host's period for Tick.
+// TickInterval is the interval at which the host sends Tick.
 const TickInterval = 50 * time.Millisecond
 
 func (Configured) event()      {}
--- a/coordination/scheduler/faults_test.go
+++ b/coordination/scheduler/faults_test.go
@@ -11,8 +11,9 @@
 	"github.com/figstile/figstile/state"
 )
 
-// newLoadedFleet returns a fleet of 4 routers and 32 slots with 8 equal workspaces,
-// each always with work at two routers: six of them at one half of the fleet.
+// newLoadedFleet returns a fleet of 4 routers and 32 slots with 8 workspaces of
+// equal share. Each workspace always has requests waiting at two routers; six
+// of the workspaces use the same two routers.
 func newLoadedFleet(seed uint64) (*fleet, map[state.Workspace]float64) {
 	f := newFleet(4, 8, 32, seed, newScheduler(time.Second))
 	shares := map[state.Workspace]float64{}
@@ -30,8 +31,8 @@
 	return f, shares
 }
 
-// resubmit submits a request of the same workspace, after a pause if the last one
-// was refused.
+// resubmit submits another request of the same workspace, after a delay if the
+// last one was refused.
 func (f *fleet) resubmit(j *job) {
 	f.after(time.Duration(j.refusals)*time.Second, func() { f.submit(j.entryRouter, j.ws) })
 }
@@ -52,16 +53,18 @@
 	f.sendPeers()
 }
 
-// gapGrowth returns the gap of weighted service that grows within d.
+// gapGrowth returns the growth of the gap of weighted service within d, in
+// slot-seconds of a workspace of mean share.
 func (f *fleet) gapGrowth(shares map[state.Workspace]float64, d time.Duration) float64 {
 	base := f.weightedService(shares)
 	f.run(d)
 	return gapSince(f.weightedService(shares), base)
 }
 
-// A workspace starves after a network partition: its half of the fleet had few
-// others and served it more than the other half served the rest. Healed,
-// everyone sees it far ahead. It must still get a floor.
+// TestHealedPartition checks that no workspace starves after a network
+// partition. Its half of the fleet had fewer workspaces and served it more than
+// the other half served the rest, so that after the partition all routers see
+// it far ahead. It must still get a minimum of service.
 func TestHealedPartition(t *testing.T) {
 	f, shares := newLoadedFleet(1)
 	f.run(2 * time.Minute)
@@ -69,14 +72,15 @@
 	gapDuringPartition := f.gapGrowth(shares, 10*time.Minute)
 	f.setPartition(false)
 	unserved := f.longestUnservedTime(shares, 5*time.Minute)
-	t.Logf("gap grown while apart %.0f slot-seconds; longest time without service afterwards %v", gapDuringPartition, unserved)
+	t.Logf("gap grew by %.0f slot-seconds during the partition; longest time without service afterwards %v", gapDuringPartition, unserved)
 	require.Greater(t, gapDuringPartition, 1000.0)
 	require.LessOrEqual(t, unserved, 90*time.Second)
 	f.run(10 * time.Minute)
 	require.Less(t, f.gapGrowth(shares, 5*time.Minute), 150.0)
 }
 
-// longestUnservedTime returns the longest time that any workspace got no service.
+// longestUnservedTime runs the fleet for d and returns the longest time in
+// which some workspace got no service.
 func (f *fleet) longestUnservedTime(shares map[state.Workspace]float64, d time.Duration) time.Duration {
 	last := make([]time.Time, len(shares))
 	for i := range last {
@@ -98,8 +102,9 @@
 	return longest
 }
 
-// Shares are off for minutes after a router is replaced: the new one knows no
-// counters and grants to whoever it thinks is behind.
+// TestReplacedRouterKeepsShares checks that shares stay correct after a router
+// is replaced. The new router knows no counters and could grant slots to
+// workspaces that only seem to be behind.
 func TestReplacedRouterKeepsShares(t *testing.T) {
 	f, shares := newLoadedFleet(2)
 	f.run(5 * time.Minute)
@@ -115,13 +120,14 @@
 		}
 	}
 	gap := f.gapGrowth(shares, 5*time.Minute)
-	t.Logf("gap grown after the restart %.0f slot-seconds", gap)
+	t.Logf("gap grew by %.0f slot-seconds after the restart", gap)
 	require.Less(t, gap, 150.0)
 }
 
-// A kiosk waits for minutes: its workspace asks rarely, while another floods
-// the fleet and every slot is taken. Coming back from idle, it is served as
-// soon as slots end, and what it left unused earns it no burst later.
+// TestRareWorkspaceUnderFlood checks that a workspace that sends few requests
+// does not wait for minutes while another one floods the fleet and every slot
+// is taken. Returning from idle, it gets one of the next free slots. The
+// service that it left unused earns it no burst later.
 func TestRareWorkspaceUnderFlood(t *testing.T) {
 	f, shares := newLoadedFleet(3)
 	f.run(2 * time.Minute)
@@ -147,8 +153,8 @@
 	t.Logf("rare workspace waits %v on average, %v at most", sum, longest)
 	require.Len(t, f.waits[workspaceName(7)], 100)
 	require.Less(t, sum, 2*time.Second)
-	// One request of a minute puts its workspace ahead by as much as the
-	// others of equal share need a quarter of a minute to make up.
+	// A single request of one minute puts its workspace ahead by an amount that
+	// the other workspaces of equal share make up in a quarter of a minute.
 	require.Less(t, longest, 20*time.Second)
 	for range 200 {
 		f.submit(f.routers[0], workspaceName(7))
@@ -156,18 +162,19 @@
 	before := f.weightedService(shares)
 	f.run(30 * time.Second)
 	burst := (f.weightedService(shares)[7] - before[7]) / (32.0 * 30 / 8)
-	t.Logf("back with a backlog it gets %.2f of its share", burst)
+	t.Logf("after returning with a backlog it gets %.2f of its share", burst)
 	require.Less(t, burst, 1.5)
 }
 
-// Whatever fails, a caller gets exactly one final answer, one grant starts at
-// most one request, counters never fall, no slot or reservation leaks, and a
-// replay of the same events gives the same actions.
+// TestInvariantsUnderFaults checks under random faults that each caller gets
+// exactly one final answer, a grant starts at most one request, counters never
+// decrease, no slot or reservation leaks, and a replay of the same events gives
+// the same actions.
 func TestInvariantsUnderFaults(t *testing.T) {
 	rapid.Check(t, checkInvariantsUnderFaults)
 }
 
-// FuzzFaults looks for faults in which the promises do not hold, guided by
+// FuzzFaults searches for faults that violate the invariants, guided by
 // coverage.
 func FuzzFaults(f *testing.F) {
 	f.Fuzz(rapid.MakeFuzz(checkInvariantsUnderFaults))
@@ -184,7 +191,7 @@
 	f.onStep = func(r *router, ev Event, actions []Action) {
 		c.checkStep(t, r, ev, actions)
 		if r == f.routers[0] && !reflect.DeepEqual(actions, replay.Step(f.now, ev)) {
-			t.Fatalf("a replay differs at %#v", ev)
+			t.Fatalf("the replay returns other actions for event %#v", ev)
 		}
 	}
 	f.start(f.settings(map[state.Workspace]float64{workspaceName(0): 0.5, workspaceName(1): 0.3, workspaceName(2): 0.2}))
@@ -217,12 +224,13 @@
 			reserved += w.Reserved
 		}
 		if st.Waiting+st.Running+st.Granted != 0 || reserved != 0 {
-			t.Fatalf("%s still holds %+v", r.name, st)
+			t.Fatalf("%s still has requests, grants or reservations: %+v", r.name, st)
 		}
 	}
 }
 
-// invariants remembers what must never fall or happen twice.
+// invariants records the counters that must not decrease and the number of
+// requests that each grant started.
 type invariants struct {
 	charged map[string]state.Cost
 	started map[uint64]int
@@ -231,7 +239,7 @@
 func (c *invariants) checkStep(t *rapid.T, r *router, ev Event, actions []Action) {
 	for _, d := range actionsOf[Dispatch](actions) {
 		if j := r.jobs[d.ID]; j.running || j.finalAnswers > 0 {
-			t.Fatalf("request %d dispatched while it runs or after its end", d.ID)
+			t.Fatalf("request %d was dispatched while it runs or after its final answer", d.ID)
 		}
 	}
 	if g, ok := ev.(GrantHeard); ok {
@@ -248,7 +256,7 @@
 		for _, e := range u.Entries {
 			k := string(u.Origin) + string(e.Workspace)
 			if u.Origin == r.name && e.Charged < c.charged[k] {
-				t.Fatalf("counter of %s fell", e.Workspace)
+				t.Fatalf("the charged cost of workspace %s decreased", e.Workspace)
 			}
 			c.charged[k] = max(c.charged[k], e.Charged)
 		}
--- a/coordination/scheduler/fleet_test.go
+++ b/coordination/scheduler/fleet_test.go
@@ -12,7 +12,7 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// stepper is a Scheduler or a baseline.
+// stepper is a Scheduler or a baseline to compare it with.
 type stepper interface {
 	Step(now time.Time, ev Event) []Action
 }
@@ -47,8 +47,8 @@
 	lastRequest state.RequestID
 }
 
-// fleet is an in-memory network of routers and engines with a clock of its
-// own. Costs are slot-seconds. Only the seed decides what happens.
+// fleet is an in-memory network of routers and engines with a simulated clock.
+// Costs are in slot-seconds. The run is determined by the seed alone.
 type fleet struct {
 	now          time.Time
 	seq          int
@@ -62,8 +62,9 @@
 	busySlotTime time.Duration
 	slotsInUse   int
 	messages     int
-	// cost draws a request's cost; onFinal follows each request's end; onStep
-	// sees every step; broken says how a dispatch fails, if it does.
+	// cost draws the cost of a request. onEnd is called at the end of each
+	// request and onStep after each step of a router. dispatchFailure returns
+	// the outcome with which a dispatch fails, or zero if it succeeds.
 	cost            func(ws state.Workspace) time.Duration
 	model           func(ws state.Workspace) state.Model
 	onEnd           func(j *job)
@@ -115,7 +116,7 @@
 
 func workspaceName(i int) state.Workspace { return state.Workspace(fmt.Sprintf("w%02d", i)) }
 
-// start starts every router and the periodic work.
+// start starts every router and the periodic tasks.
 func (f *fleet) start(settings config.Settings) {
 	f.sendPeers()
 	for _, r := range f.routers {
@@ -127,7 +128,7 @@
 	}
 }
 
-// sendPeers tells every router which others it can reach.
+// sendPeers sends every router the list of routers that it can reach.
 func (f *fleet) sendPeers() {
 	for _, r := range f.routers {
 		var peers []Peer
@@ -146,12 +147,12 @@
 }
 
 func (f *fleet) every(d time.Duration, run func()) {
-	var again func()
-	again = func() {
+	var repeat func()
+	repeat = func() {
 		run()
-		f.after(d, again)
+		f.after(d, repeat)
 	}
-	f.after(time.Duration(f.rng.Int64N(int64(d))), again)
+	f.after(time.Duration(f.rng.Int64N(int64(d))), repeat)
 }
 
 func (f *fleet) run(d time.Duration) {
--- a/coordination/scheduler/grant.go
+++ b/coordination/scheduler/grant.go
@@ -11,7 +11,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-// grantAll gives away the free slots of the services that this step touched.
+// grantAll grants the free slots of the services in servicesToGrant.
 func (s *Scheduler) grantAll() {
 	for _, svc := range s.sortedServicesToGrant() {
 		for svc.ledger.BackloggedCount() > 0 && s.grantOne(svc) {
@@ -19,13 +19,14 @@
 	}
 }
 
-// grantOne gives one slot away and reports whether it could.
+// grantOne grants one slot and reports whether it did.
 //
-// Made for saturation: the emptiest upstream comes first, so that a slow one
-// does not collect work while others idle, and a slot goes to the workspace
-// with the least virtual time over the whole fleet, whichever router holds its
-// work. Slots beyond an upstream's own only go to work that has waited for
-// lookAheadWait, which every other owner had the time to take.
+// Under saturation the upstream with the largest fraction of free slots comes
+// first, so that a slow one does not collect requests while others are idle.
+// The slot goes to the workspace with the lowest virtual time in the whole
+// fleet, whichever router its requests wait at. Places in the internal queue of
+// an upstream whose slots are all taken go only to requests that have waited
+// for minLookAheadAge, within which every other owner could have granted them.
 func (s *Scheduler) grantOne(svc *service) bool {
 	for _, u := range s.freeUpstreamsByLoad(svc) {
 		models := s.loadedModels(u)
@@ -44,7 +45,9 @@
 	return false
 }
 
-// freeUpstreamsByLoad lists the owned upstreams with a free slot, the emptiest first.
+// freeUpstreamsByLoad lists the owned upstreams with a free slot or a free
+// place in their internal queue, sorted by the fraction of free slots, largest
+// first.
 func (s *Scheduler) freeUpstreamsByLoad(svc *service) []*upstream {
 	var free []*upstream
 	for _, u := range svc.owned {
@@ -62,12 +65,13 @@
 	return float64(u.tracker.FreeSlots(s.now)) / float64(u.tracker.Slots())
 }
 
-// loadedModels lists what work an upstream may take; nil means all. A request
-// that names no model runs on any engine that holds one.
+// loadedModels lists the models of the requests that an upstream may take; nil
+// means all. A request that names no model runs on any engine that has loaded
+// one.
 //
-// Where the settings list a service's models, an engine that reports none holds
-// none: it has just started, and work sent there would come back as an error
-// that the caller takes for the final answer.
+// If the settings list models for the service, an engine that reports no models
+// takes no requests. It has just started, and a request sent to it would fail
+// with an error that the caller takes for the final answer.
 func (s *Scheduler) loadedModels(u *upstream) []state.Model {
 	r, _ := u.tracker.LastReport(s.now)
 	if len(r.Models) > 0 {
@@ -79,8 +83,8 @@
 	return nil
 }
 
-// oldestDemand finds the router and line with a workspace's oldest request, or one
-// of its own that is nearly as old.
+// oldestDemand finds the router and queue with the oldest request of a
+// workspace. It prefers a request of this router that is nearly as old.
 func (s *Scheduler) oldestDemand(svc *service, w state.Workspace, models []state.Model) (demand.Key, demand.Entry) {
 	var key demand.Key
 	var best demand.Entry
@@ -106,7 +110,8 @@
 	return models
 }
 
-// grantSlot reports whether it changed anything.
+// grantSlot grants a slot of an upstream to the given demand and reports
+// whether it changed any state.
 func (s *Scheduler) grantSlot(svc *service, u *upstream, k demand.Key, e demand.Entry) bool {
 	if e.Router == s.self.Router {
 		return s.grantToSelf(svc, u, k, e)
@@ -129,19 +134,20 @@
 
 func (s *Scheduler) grantToSelf(svc *service, u *upstream, k demand.Key, e demand.Entry) bool {
 	waiting := s.queues.Total()
-	it := s.takeRequest(svc, k, u.name)
-	if it == nil {
+	item := s.takeRequest(svc, k, u.name)
+	if item == nil {
 		return s.queues.Total() < waiting
 	}
 	g := s.reserve(svc, u, k, e)
 	s.issuedGrants.MarkStarted(s.now, g)
-	s.dispatch(it, g.Sequence, s.self, u.name)
+	s.dispatch(item, g.Sequence, s.self, u.name)
 	return true
 }
 
-// reserve enters a grant and counts its estimated cost at once. Counted only
-// when served, one burst of a workspace that was behind would win every slot
-// before the first of them showed.
+// reserve registers a grant and counts its estimated cost at once. If cost
+// counted only after it was served, a burst of the workspace with the lowest
+// virtual time would win every free slot before the first of its requests was
+// counted.
 func (s *Scheduler) reserve(svc *service, u *upstream, k demand.Key, e demand.Entry) *grants.Grant {
 	cost := e.OldestCost
 	if cost <= 0 {
@@ -155,7 +161,7 @@
 	return g
 }
 
-// receiveGrant uses a peer's grant at once or gives it back.
+// receiveGrant uses a peer's grant at once or declines it.
 func (s *Scheduler) receiveGrant(g Grant) {
 	if !s.seenGrants.Accept(g.Owner, g.Sequence) {
 		return
@@ -175,26 +181,28 @@
 		s.declineGrant(svc, g)
 		return
 	}
-	it := s.takeRequest(svc, k, g.Upstream)
-	if it == nil {
+	item := s.takeRequest(svc, k, g.Upstream)
+	if item == nil {
 		s.declineGrant(svc, g)
 		return
 	}
-	s.dispatch(it, g.Sequence, owner, g.Upstream)
-	s.running[it.ID].reserved = g.Reserved
-	s.unannouncedStarts = append(s.unannouncedStarts, startAnnouncement{id: it.ID, attempt: it.Dispatches, due: s.now.Add(announceStartAfter)})
+	s.dispatch(item, g.Sequence, owner, g.Upstream)
+	s.running[item.ID].reserved = g.Reserved
+	s.unannouncedStarts = append(s.unannouncedStarts, startAnnouncement{id: item.ID, attempt: item.Dispatches, due: s.now.Add(announceStartAfter)})
 }
 
-// declineGrant gives a grant back at once, so that the slot does not idle for the
-// grant's lifetime, with the demand that the owner should have known of.
+// declineGrant returns a grant at once, so that the slot is not idle for the
+// grant's lifetime. The message contains the current demand, because the
+// owner's view of it was out of date.
 func (s *Scheduler) declineGrant(svc *service, g Grant) {
 	d := DemandEntry{Workspace: g.Workspace, Model: g.Model}
 	if svc != nil {
 		k := demand.Key{Workspace: g.Workspace, Model: g.Model}
 		d = s.ownDemandEntry(svc, k)
 		if s.queues.Len(svc.queueKey(k)) > 0 && !s.resumedRecently() {
-			// Only a retry that avoids this upstream waits. With the true
-			// figure the same grant would come back at once, again and again.
+			// Only a retry that avoids this upstream waits. If the actual count
+			// were sent, the owner would repeat the same grant at once and in a
+			// loop.
 			d.Waiting = 0
 		}
 		if announced := svc.announcedDemand[g.Owner]; announced != nil {
@@ -204,21 +212,21 @@
 	s.emit(SendDecline{To: g.Owner, Sequence: g.Sequence, Service: g.Service, Demand: d})
 }
 
-// takeRequest removes the next request of a line that may run on an upstream.
+// takeRequest removes the next request of a queue that may run on an upstream.
 func (s *Scheduler) takeRequest(svc *service, k demand.Key, u state.Upstream) *queue.Item {
 	for {
-		it := s.queues.Take(s.now, svc.queueKey(k), u)
-		if it == nil {
+		item := s.queues.Take(s.now, svc.queueKey(k), u)
+		if item == nil {
 			return nil
 		}
 		s.syncOwnDemand(svc, k)
 		switch {
-		case s.quarantine.Blocked(s.now, it.Fingerprint):
-			s.refuse(it, quarantinedResult())
-		case s.isSuspected(it.Fingerprint):
-			s.refuse(it, suspectedResult())
+		case s.quarantine.Blocked(s.now, item.Fingerprint):
+			s.refuse(item, quarantinedResult())
+		case s.isSuspected(item.Fingerprint):
+			s.refuse(item, suspectedResult())
 		default:
-			return it
+			return item
 		}
 	}
 }
@@ -236,7 +244,8 @@
 	}
 }
 
-// withdrawGrant undoes a grant that was not used.
+// withdrawGrant releases the slot and the reservation of a grant that was not
+// used.
 func (s *Scheduler) withdrawGrant(g *grants.Grant) {
 	s.chargeWorkspace(g.Service, g.Workspace, 0, -g.Remaining())
 	if u := s.upstreams[g.Upstream]; u != nil {
@@ -255,7 +264,7 @@
 	s.chargeGrant(g, e.Cost)
 }
 
-// chargeGrant counts served cost against a grant's reservation.
+// chargeGrant counts served cost against the reservation of a grant.
 func (s *Scheduler) chargeGrant(g *grants.Grant, cost state.Cost) {
 	if cost <= 0 {
 		return
@@ -269,8 +278,9 @@
 	s.settleGrant(e)
 }
 
-// settleGrant settles one of this router's grants. Work of an owner that is gone
-// comes without a known grant: its cost is charged here and nothing else.
+// settleGrant settles one of this router's grants. A request that ran on a
+// grant of an owner that is no longer live comes without a known grant; only
+// its cost is charged here.
 func (s *Scheduler) settleGrant(e EndedHeard) {
 	s.recordOutcome(e.Upstream, e.Outcome)
 	g := s.issuedGrants.Find(e.From, e.Sequence)
--- a/coordination/scheduler/large_test.go
+++ b/coordination/scheduler/large_test.go
@@ -9,8 +9,8 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// largeRouters and largeUpstreams are the destination; its 25 data centres
-// make a router own about 14 upstreams.
+// largeRouters and largeUpstreams are the planned size of the fleet. With its
+// 25 data centres a router owns about 14 upstreams.
 const (
 	largeRouters   = 730
 	largeUpstreams = 10_000
@@ -35,7 +35,7 @@
 	return Configured{Settings: config.Settings{Services: []config.Service{svc}}}
 }
 
-// newLarge returns a router of a large fleet and what it owns.
+// newLarge returns a router of a large fleet and the upstreams that it owns.
 func newLarge(now time.Time, upstreams int) (*Scheduler, []state.Upstream) {
 	all := largePeers(largeRouters)
 	s := New(Options{Self: all[0]})
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkLargeRequest is a request that an own upstream serves at once.
+// BenchmarkLargeRequest measures a request that an own upstream serves at once.
 func BenchmarkLargeRequest(b *testing.B) {
 	bySize(b, func(b *testing.B, upstreams int) {
 		now := time.Unix(1000, 0)
@@ -67,7 +67,8 @@
 	})
 }
 
-// BenchmarkLargeTick is the mean of ticks with exchanges and housekeeping.
+// BenchmarkLargeTick measures the mean time of ticks, including those with
+// exchanges and other periodic tasks.
 func BenchmarkLargeTick(b *testing.B) {
 	bySize(b, func(b *testing.B, upstreams int) {
 		now := time.Unix(1000, 0)
@@ -79,8 +80,8 @@
 	})
 }
 
-// BenchmarkLargePeers is a change of peers: a router restarts, and one leaves
-// and joins again.
+// BenchmarkLargePeers measures a change of peers: the restart of a router, and
+// a router that leaves and joins again.
 func BenchmarkLargePeers(b *testing.B) {
 	now := time.Unix(1000, 0)
 	all := largePeers(largeRouters)
@@ -100,8 +101,9 @@
 	})
 }
 
-// BenchmarkLargeIntroduce tells a router that starts the counters of 6,300
-// workspaces; the longest message is counted in entries.
+// BenchmarkLargeIntroduce measures sending the counters of 6,300 workspaces to
+// a router that has just started. It reports the number of entries in the
+// longest message.
 func BenchmarkLargeIntroduce(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := New(Options{Self: Peer{Router: "a", Incarnation: 1}})
--- a/coordination/scheduler/measure_test.go
+++ b/coordination/scheduler/measure_test.go
@@ -12,8 +12,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// scenario is one measured situation of 8 routers, 24 engines, 160 slots and 16
-// workspaces that always have more work than they get.
+// scenario is a load on a fleet of, by default, 8 routers, 24 engines, 160
+// slots and 16 workspaces that always have more requests than they get served.
 type scenario struct {
 	name             string
 	shares           func(i int) float64
@@ -22,16 +22,18 @@
 	cost             func(f *fleet, i int) time.Duration
 	exchangeInterval time.Duration
 	slowdown         float64
-	// rareModelWorkspaces workspaces need a model that only the first data centre holds.
+	// rareModelWorkspaces is the number of workspaces whose requests need a
+	// model that only engines of the first data centre have loaded.
 	rareModelWorkspaces int
-	// bursts makes odd workspaces come and go; the gap is that of the others.
+	// bursts makes the workspaces with odd numbers send requests only from time
+	// to time. The gap is then computed over the other workspaces.
 	bursts bool
-	// size of the fleet, if not the usual one; build makes a baseline in
-	// place of a Scheduler.
+	// size is the size of the fleet. build creates a baseline instead of a
+	// Scheduler.
 	size  size
 	build func(Peer, uint64) stepper
-	// gapLimit holds the worst gap, with room for another seed; baselines have
-	// none.
+	// gapLimit is the upper bound of the largest gap, with headroom for other
+	// seeds. It is zero for baselines, which have no bound.
 	gapLimit float64
 }
 
@@ -50,20 +52,20 @@
 	}
 }
 
-// metrics are the worst and mean gap of weighted service between two
-// workspaces, in slot-seconds of a workspace of mean share, the part of the
-// slots that idled, and messages per second and router.
+// metrics holds the largest and the mean gap of weighted service between two
+// workspaces, in slot-seconds of a workspace of mean share, the fraction of the
+// slots that was idle, and the number of messages per second and router.
 type metrics struct{ maxGap, meanGap, idleFraction, messageRate float64 }
 
-// measureScenario runs a load for ten minutes. Only the second half counts: in the
-// first, costs are still being learned.
-func measureScenario(l scenario, seed uint64, build func(Peer, uint64) stepper) metrics {
-	f := newFleet(l.size.routers, l.size.engines, l.size.slots, seed, build)
+// measureScenario runs a scenario for ten minutes. Only the second half counts,
+// because the cost estimates are still inaccurate in the first.
+func measureScenario(sc scenario, seed uint64, build func(Peer, uint64) stepper) metrics {
+	f := newFleet(sc.size.routers, sc.size.engines, sc.size.slots, seed, build)
 	shares := map[state.Workspace]float64{}
-	for i := range l.size.workspaces {
-		shares[workspaceName(i)] = l.shares(i)
+	for i := range sc.size.workspaces {
+		shares[workspaceName(i)] = sc.shares(i)
 	}
-	l.startLoad(f, shares)
+	sc.startLoad(f, shares)
 	f.run(5 * time.Minute)
 	base := f.weightedService(shares)
 	busy, messages := f.busySlotTime, f.messages
@@ -71,47 +73,48 @@
 	const samples = 300
 	for range samples {
 		f.run(time.Second)
-		gap := gapSince(l.permanentWorkspaces(f.weightedService(shares)), l.permanentWorkspaces(base))
+		gap := gapSince(sc.permanentWorkspaces(f.weightedService(shares)), sc.permanentWorkspaces(base))
 		out.maxGap = max(out.maxGap, gap)
 		out.meanGap += gap / samples
 	}
-	out.idleFraction = 1 - (f.busySlotTime-busy).Seconds()/samples/float64(l.size.slots)
-	out.messageRate = float64(f.messages-messages) / samples / float64(l.size.routers)
+	out.idleFraction = 1 - (f.busySlotTime-busy).Seconds()/samples/float64(sc.size.slots)
+	out.messageRate = float64(f.messages-messages) / samples / float64(sc.size.routers)
 	return out
 }
 
-// startLoad boots the fleet and keeps every workspace's backlog up.
-func (l scenario) startLoad(f *fleet, shares map[state.Workspace]float64) {
+// startLoad starts the fleet and keeps the backlog of every workspace at its
+// size.
+func (sc scenario) startLoad(f *fleet, shares map[state.Workspace]float64) {
 	index := map[state.Workspace]int{}
-	entryRouters := make([][]int, l.size.workspaces)
+	entryRouters := make([][]int, sc.size.workspaces)
 	for i := range entryRouters {
 		index[workspaceName(i)] = i
-		entryRouters[i] = l.entryRouters(f, i)
+		entryRouters[i] = sc.entryRouters(f, i)
 	}
-	f.cost = func(ws state.Workspace) time.Duration { return l.cost(f, index[ws]) }
-	f.engines[0].slowdown = cmp.Or(l.slowdown, 1)
+	f.cost = func(ws state.Workspace) time.Duration { return sc.cost(f, index[ws]) }
+	f.engines[0].slowdown = cmp.Or(sc.slowdown, 1)
 	for i, e := range f.engines {
-		if l.rareModelWorkspaces > 0 {
+		if sc.rareModelWorkspaces > 0 {
 			e.models = [][]state.Model{{"common", "rare"}, {"common"}}[min(i%4, 1)]
 			f.model = func(ws state.Workspace) state.Model {
-				return []state.Model{"rare", "common"}[min(index[ws]/l.rareModelWorkspaces, 1)]
+				return []state.Model{"rare", "common"}[min(index[ws]/sc.rareModelWorkspaces, 1)]
 			}
 		}
 	}
 	f.start(f.settings(shares))
 	f.run(time.Second)
 	f.onEnd = func(j *job) {
-		if !l.bursts || index[j.ws]%2 == 0 {
+		if !sc.bursts || index[j.ws]%2 == 0 {
 			f.resubmit(j)
 		}
 	}
 	for i := range entryRouters {
 		fill := func() {
-			for n := range l.backlog(i) {
+			for n := range sc.backlog(i) {
 				f.submit(f.routers[entryRouters[i][n%len(entryRouters[i])]%len(f.routers)], workspaceName(i))
 			}
 		}
-		if l.bursts && i%2 == 1 {
+		if sc.bursts && i%2 == 1 {
 			f.every(time.Duration(20+10*i)*time.Second, fill)
 		} else {
 			f.after(0, fill)
@@ -128,9 +131,10 @@
 	return out
 }
 
-// permanentWorkspaces leaves out workspaces that come and go.
-func (l scenario) permanentWorkspaces(served []float64) []float64 {
-	if !l.bursts {
+// permanentWorkspaces removes the workspaces that send requests only from time
+// to time.
+func (sc scenario) permanentWorkspaces(served []float64) []float64 {
+	if !sc.bursts {
 		return served
 	}
 	var out []float64
@@ -149,40 +153,41 @@
 	return maxGrowth - minGrowth
 }
 
-// bound is the formula of package fairness in slot-seconds of a workspace of
-// mean share, for requests of at most a minute.
-func (l scenario) bound() float64 {
+// bound evaluates the formula of package fairness in slot-seconds of a
+// workspace of mean share, for requests of at most one minute.
+func (sc scenario) bound() float64 {
 	minShare := 1.0
 	for i := range 16 {
-		minShare = min(minShare, l.shares(i))
+		minShare = min(minShare, sc.shares(i))
 	}
 	const slots, largest, delay = 160, 60, 0.1
 	inProgress := slots * largest / 16.0
-	unexchanged := slots * (l.exchangeInterval.Seconds() + delay)
+	unexchanged := slots * (sc.exchangeInterval.Seconds() + delay)
 	return 2 * (inProgress + (largest+unexchanged)/(minShare*16))
 }
 
-// TestFairnessAndUtilisation measures the gap of weighted service and the busy
-// slots of always backlogged workspaces, and logs a table.
+// TestFairnessAndUtilisation measures the gap of weighted service and the
+// fraction of idle slots under workspaces that are always backlogged, and logs
+// a table.
 func TestFairnessAndUtilisation(t *testing.T) {
-	for _, l := range scenarios() {
-		t.Run(l.name, func(t *testing.T) {
+	for _, sc := range scenarios() {
+		t.Run(sc.name, func(t *testing.T) {
 			t.Parallel()
-			build := l.build
+			build := sc.build
 			if build == nil {
-				build = newScheduler(l.exchangeInterval)
+				build = newScheduler(sc.exchangeInterval)
 			}
 			var worst metrics
 			for seed := range uint64(2) {
-				m := measureScenario(l, seed, build)
+				m := measureScenario(sc, seed, build)
 				worst.maxGap = max(worst.maxGap, m.maxGap)
 				worst.meanGap = max(worst.meanGap, m.meanGap)
 				worst.idleFraction = max(worst.idleFraction, m.idleFraction)
 				worst.messageRate = max(worst.messageRate, m.messageRate)
 			}
-			t.Logf("%-24s gap worst %5.0f, mean %5.0f; idle %.4f; %2.0f messages/s per router", l.name, worst.maxGap, worst.meanGap, worst.idleFraction, worst.messageRate)
-			if l.gapLimit > 0 {
-				require.Less(t, worst.maxGap, min(l.gapLimit, l.bound()))
+			t.Logf("%-30s largest gap %5.0f, mean gap %5.0f; idle fraction %.4f; %2.0f messages/s per router", sc.name, worst.maxGap, worst.meanGap, worst.idleFraction, worst.messageRate)
+			if sc.gapLimit > 0 {
+				require.Less(t, worst.maxGap, min(sc.gapLimit, sc.bound()))
 				require.Less(t, worst.idleFraction, 0.001)
 			}
 		})
@@ -192,17 +197,17 @@
 func scenarios() []scenario {
 	base := scenario{size: defaultSize, shares: equalShares, entryRouters: twoRandomRouters, backlog: defaultBacklog, cost: defaultCost, exchangeInterval: DefaultExchangeInterval}
 	var all []scenario
-	add := func(name string, limit float64, change func(l *scenario)) {
-		l := base
-		l.name = name
-		l.gapLimit = limit
-		change(&l)
-		all = append(all, l)
+	add := func(name string, gapLimit float64, change func(sc *scenario)) {
+		sc := base
+		sc.name = name
+		sc.gapLimit = gapLimit
+		change(&sc)
+		all = append(all, sc)
 	}
-	withInterval := func(d time.Duration) func(*scenario) { return func(l *scenario) { l.exchangeInterval = d } }
-	weights := func(l *scenario) { l.shares = func(i int) float64 { return float64(i+1) / 136 } }
-	skew := func(l *scenario) { l.backlog = func(i int) int { return 60 + 900*max(0, 1-i) } }
-	add("one router", 150, func(l *scenario) { l.size.routers = 1 })
+	withInterval := func(d time.Duration) func(*scenario) { return func(sc *scenario) { sc.exchangeInterval = d } }
+	weights := func(sc *scenario) { sc.shares = func(i int) float64 { return float64(i+1) / 136 } }
+	skew := func(sc *scenario) { sc.backlog = func(i int) int { return 60 + 900*max(0, 1-i) } }
+	add("one router", 150, func(sc *scenario) { sc.size.routers = 1 })
 	add("even, 0.25 s", 150, withInterval(time.Second/4))
 	add("even, 1 s", 150, withInterval(time.Second))
 	add("even, 2 s", 150, withInterval(2*time.Second))
@@ -210,39 +215,40 @@
 	add("even, 10 s", 300, withInterval(10*time.Second))
 	add("weights 1 to 16", 600, weights)
 	add("skew 16:1", 150, skew)
-	add("one router each", 150, func(l *scenario) { l.entryRouters = func(f *fleet, _ int) []int { return []int{f.rng.IntN(8)} } })
-	add("all on one router", 150, func(l *scenario) { l.entryRouters = func(*fleet, int) []int { return []int{3} } })
-	add("flood from everywhere", 200, func(l *scenario) {
-		l.backlog = func(i int) int { return 60 + 4000*max(0, 1-i) }
-		l.entryRouters = func(f *fleet, i int) []int {
+	add("one router per workspace", 150, func(sc *scenario) { sc.entryRouters = func(f *fleet, _ int) []int { return []int{f.rng.IntN(8)} } })
+	add("all on one router", 150, func(sc *scenario) { sc.entryRouters = func(*fleet, int) []int { return []int{3} } })
+	add("flood at all routers", 200, func(sc *scenario) {
+		sc.backlog = func(i int) int { return 60 + 4000*max(0, 1-i) }
+		sc.entryRouters = func(f *fleet, i int) []int {
 			if i == 0 {
 				return []int{0, 1, 2, 3, 4, 5, 6, 7}
 			}
 			return []int{f.rng.IntN(8)}
 		}
 	})
-	add("long and short", 150, func(l *scenario) {
-		l.cost = func(f *fleet, i int) time.Duration {
+	add("long and short requests", 150, func(sc *scenario) {
+		sc.cost = func(f *fleet, i int) time.Duration {
 			return f.lognormal([]time.Duration{time.Second / 2, 10 * time.Second}[i%2], 0.5)
 		}
 	})
-	add("misleading", 400, func(l *scenario) {
-		l.cost = func(f *fleet, _ int) time.Duration {
+	add("costs hard to estimate", 400, func(sc *scenario) {
+		sc.cost = func(f *fleet, _ int) time.Duration {
 			return []time.Duration{time.Second, 40 * time.Second}[max(0, 1-f.rng.IntN(10))]
 		}
 	})
-	add("one slow engine", 250, func(l *scenario) { l.slowdown = 4 })
-	add("model at one centre", 200, func(l *scenario) { l.rareModelWorkspaces = 4 })
-	add("model at one centre, 5 s", 200, func(l *scenario) { l.rareModelWorkspaces = 4; l.exchangeInterval = 5 * time.Second })
-	add("half come and go", 150, func(l *scenario) { l.bursts = true })
-	add("round robin, even", 0, func(l *scenario) { l.build = newRoundRobin })
-	add("round robin, skew 16:1", 0, func(l *scenario) { l.build = newRoundRobin; skew(l) })
-	add("fair per router, even", 0, func(l *scenario) { l.build = newIsolatedScheduler })
+	add("one slow engine", 250, func(sc *scenario) { sc.slowdown = 4 })
+	add("model in one data centre", 200, func(sc *scenario) { sc.rareModelWorkspaces = 4 })
+	add("model in one data centre, 5 s", 200, func(sc *scenario) { sc.rareModelWorkspaces = 4; sc.exchangeInterval = 5 * time.Second })
+	add("half send in bursts", 150, func(sc *scenario) { sc.bursts = true })
+	add("round robin, even", 0, func(sc *scenario) { sc.build = newRoundRobin })
+	add("round robin, skew 16:1", 0, func(sc *scenario) { sc.build = newRoundRobin; skew(sc) })
+	add("fair per router, even", 0, func(sc *scenario) { sc.build = newIsolatedScheduler })
 	return all
 }
 
-// TestWorkDoesNotWaitBesideFreeSlots measures arrivals below and near what
-// the engines can do: drafts, and pages so short that messages weigh in.
+// TestWorkDoesNotWaitBesideFreeSlots measures the waiting time of requests at
+// loads below and near the capacity of the engines, for long requests and for
+// requests so short that the delay of messages matters.
 func TestWorkDoesNotWaitBesideFreeSlots(t *testing.T) {
 	for name, c := range map[string]struct {
 		engines, slots int
@@ -250,10 +256,10 @@
 		load           float64
 		p99            time.Duration
 	}{
-		"drafts at 0.7": {24, 160, 4, 6.3, 0.7, 20 * time.Millisecond},
-		"drafts at 0.9": {24, 160, 4, 6.3, 0.9, 100 * time.Millisecond},
-		"pages at 0.7":  {4, 32, 0.02, 0.033, 0.7, 30 * time.Millisecond},
-		"pages at 0.9":  {4, 32, 0.02, 0.033, 0.9, 600 * time.Millisecond},
+		"long requests at load 0.7":  {24, 160, 4, 6.3, 0.7, 20 * time.Millisecond},
+		"long requests at load 0.9":  {24, 160, 4, 6.3, 0.9, 100 * time.Millisecond},
+		"short requests at load 0.7": {4, 32, 0.02, 0.033, 0.7, 30 * time.Millisecond},
+		"short requests at load 0.9": {4, 32, 0.02, 0.033, 0.9, 600 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -272,8 +278,8 @@
 			arrive = func() {
 				requests++
 				f.submit(f.routers[f.rng.IntN(8)], workspaceName(f.rng.IntN(16)))
-				pause := f.rng.ExpFloat64() * c.mean / c.load / float64(c.slots)
-				f.after(time.Duration(pause*float64(time.Second)), arrive)
+				interval := f.rng.ExpFloat64() * c.mean / c.load / float64(c.slots)
+				f.after(time.Duration(interval*float64(time.Second)), arrive)
 			}
 			arrive()
 			f.run(time.Minute)
@@ -289,17 +295,18 @@
 	}
 }
 
-// BenchmarkLargeFleet measures 32 routers, 2,560 slots and 120 workspaces.
+// BenchmarkLargeFleet measures a fleet of 32 routers, 2,560 slots and 120
+// workspaces.
 func BenchmarkLargeFleet(b *testing.B) {
-	for _, stale := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second} {
-		b.Run(stale.String(), func(b *testing.B) {
-			l := scenario{
-				size: size{32, 384, 2560, 120}, shares: func(int) float64 { return 1.0 / 120 }, cost: defaultCost, exchangeInterval: stale,
+	for _, interval := range []time.Duration{time.Second, 5 * time.Second, 10 * time.Second} {
+		b.Run(interval.String(), func(b *testing.B) {
+			sc := scenario{
+				size: size{32, 384, 2560, 120}, shares: func(int) float64 { return 1.0 / 120 }, cost: defaultCost, exchangeInterval: interval,
 				entryRouters: func(f *fleet, _ int) []int { return []int{f.rng.IntN(32), f.rng.IntN(32)} },
 				backlog:      func(int) int { return 80 },
 			}
 			for range b.N {
-				m := measureScenario(l, 1, newScheduler(stale))
+				m := measureScenario(sc, 1, newScheduler(interval))
 				b.ReportMetric(m.maxGap, "slot-s/gap")
 				b.ReportMetric(m.idleFraction, "idle")
 				b.ReportMetric(m.messageRate, "msg/s/router")
--- a/coordination/scheduler/models_test.go
+++ b/coordination/scheduler/models_test.go
@@ -10,8 +10,9 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// An engine restarts with nothing in memory and reports no models. A guide sent
-// to it then would fail at once; it must wait until the model is loaded again.
+// TestEngineWithoutModelsGetsNoWork covers an engine that has restarted with
+// nothing in memory and reports no models. A request sent to it would fail at
+// once, so it must wait until the model is loaded again.
 func TestEngineWithoutModelsGetsNoWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	self := Peer{Router: "a", DataCentre: "x", Incarnation: 1}
--- a/coordination/scheduler/options.go
+++ b/coordination/scheduler/options.go
@@ -6,77 +6,92 @@
 	"github.com/figstile/figstile/coordination/queue"
 )
 
-// Defaults of Options.
+// Defaults of the fields of Options.
 const (
-	// DefaultExchangeInterval is the period of usage counters. Extrapolation
-	// keeps the fairness gap from growing with it up to two seconds, and the
-	// messages go to every router; see docs/design/fairness.md.
+	// DefaultExchangeInterval is the interval between exchanges of usage
+	// counters. Up to two seconds, extrapolation keeps the fairness gap from
+	// growing with the interval; a shorter interval costs more messages, since
+	// each goes to every router. See docs/design/fairness.md.
 	DefaultExchangeInterval = 2 * time.Second
-	// DefaultDemandInterval batches demand. Only the first request of an empty
-	// line is urgent; in a rush the counts change with every request, and
-	// four messages a second per owner are enough to keep owners supplied.
+	// DefaultDemandInterval is the interval at which changes of demand are sent
+	// in batches. Only the first request of an empty queue is announced at
+	// once. During a burst the counts change with every request, and four
+	// messages a second per owner are enough to keep the owners informed.
 	DefaultDemandInterval = 250 * time.Millisecond
-	// DefaultDeadline applies where neither caller nor service names one: the
-	// time of a long guide.
+	// DefaultDeadline is the time limit of a request for which neither the
+	// caller nor the service sets a deadline. A long generation takes about as
+	// long.
 	DefaultDeadline = 2 * time.Minute
-	// DefaultNoUpstreamGrace is how long a service may lack usable upstreams
-	// before arrivals are refused. A worker's restart or a lost report passes
-	// within it, and waiting is better than a refusal then.
+	// DefaultNoUpstreamGrace is the time for which a service may have no usable
+	// upstream before arriving requests are refused. The restart of a worker or
+	// the loss of a load report is over within it, and then waiting is better
+	// than a refusal.
 	DefaultNoUpstreamGrace = 5 * time.Second
-	// DefaultFreezeAfter is the gap between ticks that shows that the process
-	// was paused. It is a grant's lifetime: what happened before has expired
-	// elsewhere by then.
+	// DefaultFreezeAfter is the gap between ticks above which the process
+	// counts as paused. It equals the lifetime of a grant, so that every grant
+	// received before the pause has expired at its owner.
 	DefaultFreezeAfter = 2 * time.Second
 )
 
 const (
-	// resumeGrace is how long after a pause what arrives may still have been
-	// sent before it: socket buffers are read within it.
+	// resumeGrace is the time after a pause within which received messages may
+	// have been sent before the pause. The socket buffers are read within it.
 	resumeGrace = 200 * time.Millisecond
-	// demandRefresh and usageRefresh repeat everything, so that a message
-	// lost with a connection is made up for.
+	// demandRefresh and usageRefresh are the intervals at which all demand and
+	// all usage counters are sent again, which replaces messages that were lost
+	// with a connection.
 	demandRefresh = 5 * time.Second
 	usageRefresh  = 30 * time.Second
-	// maxUsageEntries bounds the counters of one message. The longest names of
-	// service and workspace and five numbers take 580 bytes, a control frame
-	// of the routers' protocol 256 KiB, and a longer one is not sent at all.
+	// maxUsageEntries bounds the number of counters in one message. An entry
+	// with the longest names of service and workspace and five numbers takes
+	// 580 bytes. A control frame of the protocol between routers holds at most
+	// 256 KiB, and a longer message is not sent at all.
 	maxUsageEntries = 400
-	// leavingRepeat keeps other routers' memory of a draining upstream alive.
+	// leavingRepeat is the interval at which the departure of a draining
+	// upstream is announced again, so that other routers do not forget it.
 	leavingRepeat = 10 * time.Second
-	// trimInterval is the period of housekeeping.
+	// trimInterval is the interval at which idle workspaces are removed from
+	// the queues.
 	trimInterval = 10 * time.Second
-	// adoptionPeriod is how long after the start virtual times are taken over
-	// from peers: each peer tells them once, when it first sees this router.
+	// adoptionPeriod is the time after the start in which this router takes
+	// over virtual times from its peers. Each peer sends them once, when it
+	// first learns of this router.
 	adoptionPeriod = 5 * time.Second
-	// minLookAheadAge is how old work must be to wait inside a full upstream:
-	// two round trips between data centres, in which an owner with a free
-	// slot would have granted it. With four times as much, workers of 20 ms
-	// requests idled twice as long while work waited.
+	// minLookAheadAge is the minimum time that a request must have waited
+	// before it is sent to the internal queue of a full upstream. It is two
+	// round trips between data centres, within which an owner with a free slot
+	// would have granted it. With four times as much, workers that run requests
+	// of 20 ms were idle twice as long while requests waited.
 	minLookAheadAge = 5 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound what callers are told: nobody
-	// should come back within a second, and an estimate of more than a
-	// minute is too rough to send a caller away for.
+	// minRetryAfter and maxRetryAfter bound the retry delay that is sent to
+	// callers. Callers should not return within a second, and an estimate of
+	// more than a minute is too rough to delay a caller for that long.
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
-	// maxServices bounds services that only peers speak of, such as before
-	// the first settings arrive.
+	// maxServices bounds the number of services that this router keeps state
+	// for, because peers may name services that are not in the settings, for
+	// example before the first settings arrive.
 	maxServices = 256
-	// urgentDemandOwners is how many owners hear of urgent demand at once: two, so
-	// that one full or slow owner delays nothing.
+	// urgentDemandOwners is the number of owners that urgent demand is
+	// announced to at once. With two, a single full or slow owner causes no
+	// delay.
 	urgentDemandOwners = 2
-	// demandTolerance is the part by which a long queue may differ from what its
-	// owners believe without a new message: an eighth delays nothing, since
-	// owners run short of known demand long after the next batch.
+	// demandTolerance is the divisor of the allowed difference: no message is
+	// sent while the announced and the actual length of a queue differ by at
+	// most an eighth of the smaller one. Such a difference causes no delay,
+	// since owners use up the known demand only long after the next batch.
 	demandTolerance = 8
 )
 
-// Options configure a scheduler. Zero fields take their defaults.
+// Options configures a scheduler. Fields that are zero take their defaults.
 type Options struct {
-	// Self is this router.
+	// Self describes this router.
 	Self Peer
-	// Seed settles ties and numbers grants.
+	// Seed determines the order of equal virtual times and the first sequence
+	// number of grants.
 	Seed uint64
-	// Queues bounds all waiting requests of the router together.
+	// Queues bounds the waiting requests of the whole router, in number and
+	// bytes.
 	Queues           queue.Limits
 	ExchangeInterval time.Duration
 	DemandInterval   time.Duration
--- a/coordination/scheduler/peers.go
+++ b/coordination/scheduler/peers.go
@@ -42,9 +42,10 @@
 	return list
 }
 
-// removePeer forgets a router that is gone. Its demand would draw grants that
-// nobody uses, and the slots of its unstarted grants are free at once. Work
-// it had started may go on in the upstream: only the load report tells.
+// removePeer forgets a router that is no longer live. Its demand would attract
+// grants that would never be used, and the slots of its grants that were not
+// started are free at once. Requests that it started may still run in the
+// upstream, which only the load report shows.
 func (s *Scheduler) removePeer(r state.Router) {
 	s.seenGrants.ForgetOwner(r)
 	for _, g := range s.issuedGrants.RemoveRouter(r) {
@@ -69,12 +70,13 @@
 	}
 }
 
-// refreshOwners follows a change of routers or of upstreams.
+// refreshOwners recomputes owners and everything that depends on them after a
+// change of routers or of upstreams.
 func (s *Scheduler) refreshOwners() {
-	moved := s.reassignUpstreams()
+	ownersChanged := s.reassignUpstreams()
 	s.sendOwned()
 	for _, svc := range s.sortedServices() {
-		if moved {
+		if ownersChanged {
 			s.partitionUpstreams(svc)
 		}
 		svc.sharesStale = true
@@ -85,11 +87,12 @@
 	}
 }
 
-// reassignUpstreams works out who owns what and reports whether that may have changed.
+// reassignUpstreams computes the owner of every upstream and reports whether
+// any may have changed.
 //
-// Made for large fleets, where hundreds of routers restart or end every day: a
-// restart that is seen as one change moves no upstream, and any other change
-// few of them.
+// Large fleets restart or replace hundreds of routers within 24 hours. A
+// restart that arrives as a single change moves no upstream, and any other
+// change moves only a few.
 func (s *Scheduler) reassignUpstreams() bool {
 	before := s.ownerTable
 	candidates := s.ownerCandidates()
@@ -119,7 +122,8 @@
 	}
 }
 
-// reassignChanged moves the upstreams whose owner left or lost to one that joined.
+// reassignChanged moves the upstreams whose owner departed, or whose owner now
+// ranks below a router that joined.
 func (s *Scheduler) reassignChanged(change *ownership.Change) bool {
 	if change.IsEmpty() {
 		return false
@@ -138,7 +142,8 @@
 	u.tracker.DistrustReport()
 }
 
-// sendOwned tells the host whose load reports to fetch.
+// sendOwned informs the host of the upstreams whose load reports it should
+// fetch.
 func (s *Scheduler) sendOwned() {
 	var owned []state.Upstream
 	for _, u := range s.orderedUpstreams {
@@ -154,7 +159,8 @@
 	s.emit(Owned{Upstreams: owned})
 }
 
-// refreshShares tells the ledger which part of the slots each router has.
+// refreshShares passes the fraction of the slots that each router owns to the
+// ledger.
 func (s *Scheduler) refreshShares(svc *service) {
 	if !svc.sharesStale {
 		return
@@ -188,8 +194,9 @@
 	svc.ledger.SetPeers(byOwner[s.self.Router], peers)
 }
 
-// meanSlots is the mean of the known figures: of upstreams that others own,
-// this router sees no report.
+// meanSlots returns the mean of the known slot counts. It stands in for the
+// slots of upstreams of other owners, whose reports this router does not
+// receive.
 func meanSlots(upstreams []*upstream) float64 {
 	sum, known := 0, 0
 	for _, u := range upstreams {
@@ -216,9 +223,10 @@
 	return list
 }
 
-// sendCountersTo tells a router that newly appeared what it cannot know: first the
-// counters of incarnations that are gone, then this router's own, with the
-// virtual times that result from all of them.
+// sendCountersTo sends a router that has just joined the counters that it
+// cannot get elsewhere: first those of incarnations that are no longer live,
+// then this router's own, together with the virtual times that result from all
+// of them.
 func (s *Scheduler) sendCountersTo(r state.Router) {
 	removedEntries := make(map[fairness.Origin][]UsageEntry)
 	var removedOrigins []fairness.Origin
--- a/coordination/scheduler/request.go
+++ b/coordination/scheduler/request.go
@@ -11,25 +11,27 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// dispatchedRequest is a dispatched request.
+// dispatchedRequest is a request that this router has sent to an upstream.
 type dispatchedRequest struct {
 	item *queue.Item
-	// sequence is the grant's number at its owner.
+	// sequence is the sequence number of the grant at its owner.
 	sequence uint64
 	owner    Peer
 	upstream state.Upstream
 	cost     state.Cost
-	// unreported is the part of cost that the owner has not heard of.
+	// unreported is the part of cost that was not reported to the owner yet.
 	unreported state.Cost
-	// reserved is what the owner has set aside; it doubles there as here.
+	// reserved is the cost that the owner has reserved. It doubles at the owner
+	// under the same condition as here.
 	reserved state.Cost
-	// startAnnounced says that the owner knows that the grant is in use.
+	// startAnnounced is set once the owner was informed that the grant is in
+	// use.
 	startAnnounced bool
 }
 
-// handleArrival admits a request or refuses it at once.
+// handleArrival queues a request or refuses it at once.
 func (s *Scheduler) handleArrival(r Request) {
-	it := queue.Item{
+	item := queue.Item{
 		Key:         queue.Key{Service: r.Service, Workspace: r.Workspace, Model: r.Model},
 		ID:          r.ID,
 		Bytes:       r.Bytes,
@@ -40,22 +42,23 @@
 		Fingerprint: r.Fingerprint,
 	}
 	if reason, ok := s.refusalReason(r); ok {
-		s.refuse(&it, reason)
+		s.refuse(&item, reason)
 		return
 	}
 	svc := s.services[r.Service]
-	if it.Deadline.IsZero() {
-		it.Deadline = s.now.Add(s.defaultDeadline(svc))
+	if item.Deadline.IsZero() {
+		item.Deadline = s.now.Add(s.defaultDeadline(svc))
 	}
 	limits := queue.Limits{Requests: svc.settings.Limits.QueueRequests, Bytes: svc.settings.Limits.QueueBytes}
-	if code := s.queues.Admit(s.now, it, limits); code != result.OK {
-		s.refuse(&it, result.New(code, ""))
+	if code := s.queues.Admit(s.now, item, limits); code != result.OK {
+		s.refuse(&item, result.New(code, ""))
 		return
 	}
-	s.syncOwnDemand(svc, demandKey(it.Key))
+	s.syncOwnDemand(svc, demandKey(item.Key))
 }
 
-// refusalReason names the reason why a request cannot be queued at all.
+// refusalReason returns the result to refuse a request with if it cannot be
+// queued at all.
 func (s *Scheduler) refusalReason(r Request) (result.Result, bool) {
 	svc := s.services[r.Service]
 	switch {
@@ -78,8 +81,8 @@
 }
 
 // lacksUpstreams reports whether a service has had no usable upstream for
-// longer than the grace. Then queueing would only turn a refusal now into one
-// at the deadline.
+// longer than NoUpstreamGrace. A request queued then would probably be refused
+// at its deadline anyway.
 func (s *Scheduler) lacksUpstreams(svc *service) bool {
 	return !svc.unusableSince.IsZero() && s.now.Sub(svc.unusableSince) > s.opts.NoUpstreamGrace
 }
@@ -99,52 +102,53 @@
 	return result.New(result.Suspected, "")
 }
 
-// isSuspected reports whether a request may have taken down as many upstreams as
-// quarantine allows, some of it still unconfirmed.
+// isSuspected reports whether a request may have crashed as many upstreams as
+// the quarantine allows, counting crashes that are not confirmed yet.
 func (s *Scheduler) isSuspected(f state.Fingerprint) bool {
 	unsettled := s.losses.Count(s.now, f)
 	return unsettled > 0 && unsettled+s.quarantine.CrashCount(f) >= quarantine.BlockThreshold
 }
 
-// refuse gives a request its final answer, with the time to come back where
-// the table of results has one.
-func (s *Scheduler) refuse(it *queue.Item, r result.Result) {
+// refuse gives a request its final answer. It adds a retry delay if the table
+// of results provides for one.
+func (s *Scheduler) refuse(item *queue.Item, r result.Result) {
 	entry := result.Lookup(r.Code)
 	if r.Detail == "" {
 		r.Detail = entry.Meaning
 	}
-	if it.MaybeSent && r.Ran == result.RanNo {
+	if item.MaybeSent && r.Ran == result.RanNo {
 		r = r.WithRan(result.RanUnknown)
 	}
 	if entry.Retry {
-		wait := s.queues.EstimatedWait(s.now, it.Service, it.Workspace)
+		wait := s.queues.EstimatedWait(s.now, item.Service, item.Workspace)
 		r = r.WithRetryAfter(min(max(wait, minRetryAfter), maxRetryAfter))
 	}
-	s.emit(Refuse{ID: it.ID, Result: r})
+	s.emit(Refuse{ID: item.ID, Result: r})
 }
 
-// handleCallerLeft forgets a waiting request whose caller went away.
+// handleCallerLeft removes a waiting request whose caller disconnected.
 func (s *Scheduler) handleCallerLeft(id state.RequestID) {
-	if it := s.queues.Remove(id); it != nil {
-		s.syncAfterRemoval(it)
+	if item := s.queues.Remove(id); item != nil {
+		s.syncAfterRemoval(item)
 	}
 }
 
-func (s *Scheduler) syncAfterRemoval(it *queue.Item) {
-	if svc := s.services[it.Service]; svc != nil {
-		s.syncOwnDemand(svc, demandKey(it.Key))
+func (s *Scheduler) syncAfterRemoval(item *queue.Item) {
+	if svc := s.services[item.Service]; svc != nil {
+		s.syncOwnDemand(svc, demandKey(item.Key))
 	}
 }
 
-// expire answers requests whose deadline has come and frees unused grants.
+// expire refuses requests whose deadline has passed and withdraws expired
+// grants, except those whose request may still run.
 func (s *Scheduler) expire() {
-	for _, it := range s.queues.TakeExpired(s.now) {
-		s.syncAfterRemoval(it)
+	for _, item := range s.queues.TakeExpired(s.now) {
+		s.syncAfterRemoval(item)
 		code := result.DeadlinePassed
-		if it.MaybeSent {
+		if item.MaybeSent {
 			code = result.UpstreamLost
 		}
-		s.refuse(it, result.New(code, ""))
+		s.refuse(item, result.New(code, ""))
 	}
 	for _, g := range s.issuedGrants.TakeExpired(s.now) {
 		if g.Started && s.mayStillRun(g) {
@@ -156,8 +160,9 @@
 }
 
 // mayStillRun reports whether the load of an upstream accounts for all its
-// outstanding grants. Long requests are silent until they outgrow their
-// reservation, so silence alone proves nothing.
+// outstanding grants. Long requests send no reports until they exceed their
+// reservation, so the lack of reports alone does not show that a request has
+// ended.
 func (s *Scheduler) mayStillRun(g *grants.Grant) bool {
 	u := s.upstreams[g.Upstream]
 	if u == nil {
@@ -167,18 +172,19 @@
 	return !fresh || r.Running+r.Waiting >= u.tracker.Outstanding()
 }
 
-func (s *Scheduler) dispatch(it *queue.Item, sequence uint64, owner Peer, u state.Upstream) {
-	it.Dispatches++
-	it.LastUpstream = u
-	s.running[it.ID] = &dispatchedRequest{item: it, sequence: sequence, owner: owner, upstream: u}
-	s.emit(Dispatch{ID: it.ID, Upstream: u, Attempt: it.Dispatches})
+func (s *Scheduler) dispatch(item *queue.Item, sequence uint64, owner Peer, u state.Upstream) {
+	item.Dispatches++
+	item.LastUpstream = u
+	s.running[item.ID] = &dispatchedRequest{item: item, sequence: sequence, owner: owner, upstream: u}
+	s.emit(Dispatch{ID: item.ID, Upstream: u, Attempt: item.Dispatches})
 }
 
-// handleProgressed notes cost of a running request. An owner elsewhere hears of it
-// once the request has outgrown its reservation: until then the reservation
-// counts in full whatever was served of it, so that a message would change
-// nobody's turn. Reported every second, progress was the largest part of the
-// control traffic. What a router that dies had not reported is lost, at most
+// handleProgressed records the cost of a running request. If another router
+// owns the upstream, it receives a report only once the request has exceeded
+// its reservation: until then the whole reservation counts, whatever part of it
+// was served, so that a message would not change the order of workspaces. When
+// reports were sent every second, they were the largest part of the control
+// traffic. If a router crashes, its unreported cost is lost, which is at most
 // the reservation of each of its requests.
 func (s *Scheduler) handleProgressed(id state.RequestID, cost state.Cost) {
 	r := s.running[id]
@@ -218,19 +224,22 @@
 	})
 }
 
-// startAnnouncement is a grant in use that its owner may not know of yet.
+// startAnnouncement is the pending announcement of a grant that is in use and
+// whose start the owner may not know of yet.
 type startAnnouncement struct {
 	id      state.RequestID
 	attempt int
 	due     time.Time
 }
 
-// announceStartAfter is when an owner hears that its grant is in use: early enough
-// that the grant does not expire, late enough that short requests have ended
-// and need no message but that.
+// announceStartAfter is the time after which the owner is informed that its
+// grant is in use. It is short enough that the grant does not expire, and long
+// enough that short requests have ended by then and need only the message about
+// their end.
 const announceStartAfter = grants.Lifetime / 2
 
-// announceStarts tells owners of requests that run for longer than a moment.
+// announceStarts informs owners of requests that have run for longer than
+// announceStartAfter.
 func (s *Scheduler) announceStarts() {
 	for len(s.unannouncedStarts) > 0 && !s.now.Before(s.unannouncedStarts[0].due) {
 		next := s.unannouncedStarts[0]
@@ -245,10 +254,11 @@
 	}
 }
 
-// reportTarget names the router to charge a run to: the granting one, or if that
-// incarnation is gone, the present owner of the upstream, which knows no such
-// grant. With neither, this router charges the cost itself, or it would count
-// for nobody.
+// reportTarget returns the router to report the cost of a request to, and the
+// sequence number of its grant there. That is the router that granted it or, if
+// that incarnation is no longer live, the current owner of the upstream, which
+// does not know the grant. Without either, this router charges the cost itself,
+// because it would not be counted anywhere else.
 func (s *Scheduler) reportTarget(r *dispatchedRequest) (state.Router, uint64) {
 	if r.owner.Router == s.self.Router {
 		return s.self.Router, r.sequence
@@ -262,29 +272,29 @@
 	return s.self.Router, 0
 }
 
-// handleEnded settles a dispatch with the owner and, if the caller has no answer yet,
-// tries again or refuses.
+// handleEnded reports the end of a dispatch to the owner and, if the caller has
+// no answer yet, retries the request or refuses it.
 func (s *Scheduler) handleEnded(e Ended) {
 	r := s.running[e.ID]
 	if r == nil {
 		return
 	}
 	delete(s.running, e.ID)
-	it := r.item
-	s.estimates.Learn(estimate.Key{Service: it.Service, Workspace: it.Workspace}, r.cost+e.Cost)
+	item := r.item
+	s.estimates.Learn(estimate.Key{Service: item.Service, Workspace: item.Workspace}, r.cost+e.Cost)
 	s.reportEnd(r, e)
 	s.reportSuspicion(r, e.Outcome)
 	switch e.Outcome {
 	case OutcomeServed:
-		s.quarantine.ForgetUnblocked(it.Fingerprint)
-		s.losses.Forget(it.Fingerprint)
+		s.quarantine.ForgetUnblocked(item.Fingerprint)
+		s.losses.Forget(item.Fingerprint)
 	case OutcomeNotSent:
-		s.retry(it, result.UpstreamUnreachable)
+		s.retry(item, result.UpstreamUnreachable)
 	case OutcomeLost:
-		it.MaybeSent = true
-		s.retry(it, result.UpstreamLost)
+		item.MaybeSent = true
+		s.retry(item, result.UpstreamLost)
 	}
-	s.markForGranting(it.Service)
+	s.markForGranting(item.Service)
 }
 
 func (s *Scheduler) reportEnd(r *dispatchedRequest, e Ended) {
@@ -303,21 +313,22 @@
 	})
 }
 
-// retry queues a request once more, at the head, if it may run twice and the
-// workspace's budget allows. Otherwise its caller hears at once what is known.
-func (s *Scheduler) retry(it *queue.Item, code result.Code) {
-	svc := s.services[it.Service]
+// retry puts a request back at the head of its queue if it may run twice and
+// the retry budget of its workspace allows it. Otherwise it refuses the request
+// at once.
+func (s *Scheduler) retry(item *queue.Item, code result.Code) {
+	svc := s.services[item.Service]
 	switch {
-	case s.quarantine.Blocked(s.now, it.Fingerprint):
-		s.refuse(it, quarantinedResult())
-	case s.isSuspected(it.Fingerprint):
-		s.refuse(it, result.New(code, ""))
-	case svc != nil && it.Deadline.After(s.now) && s.retries.Allow(s.now, it.Workspace, it.Repeatable, it.Dispatches):
-		s.queues.Requeue(s.now, it)
-		s.syncOwnDemand(svc, demandKey(it.Key))
-	case it.MaybeSent:
-		s.refuse(it, result.New(result.UpstreamLost, ""))
+	case s.quarantine.Blocked(s.now, item.Fingerprint):
+		s.refuse(item, quarantinedResult())
+	case s.isSuspected(item.Fingerprint):
+		s.refuse(item, result.New(code, ""))
+	case svc != nil && item.Deadline.After(s.now) && s.retries.Allow(s.now, item.Workspace, item.Repeatable, item.Dispatches):
+		s.queues.Requeue(s.now, item)
+		s.syncOwnDemand(svc, demandKey(item.Key))
+	case item.MaybeSent:
+		s.refuse(item, result.New(result.UpstreamLost, ""))
 	default:
-		s.refuse(it, result.New(code, ""))
+		s.refuse(item, result.New(code, ""))
 	}
 }
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -27,18 +27,19 @@
 
 	now     time.Time
 	actions []Action
-	// servicesToGrant are the services that this step may have made ready to grant.
+	// servicesToGrant holds the services for which this step may have made a
+	// grant possible.
 	servicesToGrant map[state.Service]struct{}
 
 	configured bool
 	settings   config.Settings
 	services   map[state.Service]*service
 	upstreams  map[state.Upstream]*upstream
-	// orderedUpstreams are the upstreams in order of name.
+	// orderedUpstreams lists the upstreams in order of name.
 	orderedUpstreams []*upstream
 	peers            map[state.Router]Peer
-	// candidates and table are what the present owners follow from; table is
-	// nil if upstreams changed since.
+	// candidates and ownerTable determine the current owners. ownerTable is nil
+	// if the upstreams changed since it was built.
 	candidates []ownership.Candidate
 	ownerTable *ownership.Table
 	owned      []state.Upstream
@@ -46,7 +47,8 @@
 
 	queues  *queue.Set
 	running map[state.RequestID]*dispatchedRequest
-	// unannouncedStarts are peers' grants in use, the oldest first.
+	// unannouncedStarts lists grants of other owners that are in use and whose
+	// start was not reported to the owner yet, oldest first.
 	unannouncedStarts []startAnnouncement
 	estimates         *estimate.Estimator
 	retries           *retry.Budget
@@ -57,14 +59,15 @@
 	seenGrants        *grants.SeenSequences
 
 	timers timers
-	// discardUntil ends the time in which what arrives may be from before a
-	// pause of the process.
+	// discardUntil is the end of the period after a pause of the process in
+	// which received grants and load reports may have been sent before the
+	// pause.
 	discardUntil time.Time
 	draining     bool
 	drained      bool
 }
 
-// timers are the times of the last or next periodic work.
+// timers holds the times of the last or next run of each periodic task.
 type timers struct {
 	started           time.Time
 	lastTick          time.Time
@@ -76,7 +79,7 @@
 	nextLeavingRepeat time.Time
 }
 
-// New returns the scheduler of a router that knows nothing yet.
+// New returns the scheduler of a router without settings, peers or requests.
 func New(opts Options) *Scheduler {
 	opts = opts.withDefaults()
 	identity := string(opts.Self.Router) + "." + strconv.FormatUint(uint64(opts.Self.Incarnation), 10)
@@ -100,14 +103,14 @@
 	}
 }
 
-// Step takes in one event and returns what is to be done. Time must not run
-// backwards between steps.
+// Step processes one event and returns the actions for the host. The time must
+// not decrease between steps.
 func (s *Scheduler) Step(now time.Time, ev Event) []Action {
 	s.now = now
 	s.actions = nil
 	s.detectPause()
-	// Time-outs come first, so that no grant of this step starts a request
-	// whose deadline has passed.
+	// Timeouts are processed first, so that no grant of this step starts a
+	// request whose deadline has passed.
 	s.expire()
 	s.handle(ev)
 	s.grantAll()
@@ -166,11 +169,13 @@
 	s.servicesToGrant[name] = struct{}{}
 }
 
-// detectPause guards against a process that was stopped and resumed. It shows
-// as a gap between ticks. Grants and load reports read from the sockets now
-// may be older than the pause: the grants have expired at their owners and
-// were given away again, and the reports would earn grants for upstreams that
-// are gone. Both are refused until the buffers must have been read.
+// detectPause detects that the process was stopped and resumed, from a gap
+// between ticks that is longer than FreezeAfter. Grants and load reports that
+// are read from the sockets after a pause may have been sent before it. Such
+// grants have expired at their owners, which gave the slots to others, and such
+// reports would cause grants for upstreams that no longer exist. For
+// resumeGrace, within which the socket buffers are read, grants are therefore
+// declined and reports ignored.
 func (s *Scheduler) detectPause() {
 	if s.timers.started.IsZero() {
 		s.timers.started = s.now
--- a/coordination/scheduler/script_test.go
+++ b/coordination/scheduler/script_test.go
@@ -16,9 +16,10 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// script steps one scheduler, router a of data centre x, through a file of
-// testdata. Its peers live in data centre y, so that a owns the upstreams of
-// x. The golden file beside it shows every line with the actions that follow.
+// script runs one scheduler, router a of data centre x, through the events in a
+// file of testdata. Its peers are in data centre y, so that a owns the
+// upstreams of x. The golden file with the same name contains every line
+// followed by the resulting actions.
 type script struct {
 	s              *Scheduler
 	now            time.Time
@@ -37,19 +38,19 @@
 			require.NoError(t, err)
 			s := script{now: time.Unix(1000, 0)}
 			for line := range strings.Lines(string(text)) {
-				s.runLine(t, strings.TrimSpace(line))
+				s.line(t, strings.TrimSpace(line))
 			}
 			goldie.New(t).Assert(t, name, []byte(s.out.String()))
 		})
 	}
 }
 
-func (s *script) runLine(t *testing.T, runLine string) {
-	fmt.Fprintln(&s.out, runLine)
-	if runLine == "" || strings.HasPrefix(runLine, "#") {
+func (s *script) line(t *testing.T, line string) {
+	fmt.Fprintln(&s.out, line)
+	if line == "" || strings.HasPrefix(line, "#") {
 		return
 	}
-	words := strings.Fields(runLine)
+	words := strings.Fields(line)
 	switch words[0] {
 	case "new":
 		s.s = New(Options{ExchangeInterval: time.Second, Self: Peer{Router: "a", DataCentre: "x", Incarnation: 7}})
@@ -70,8 +71,8 @@
 	}
 }
 
-// step prints the actions. Ticks leave out the usage that each exchange
-// repeats, unless it is asked for.
+// step processes an event and prints the actions. For ticks it omits the usage
+// that each exchange repeats, unless show is given.
 func (s *script) step(ev Event, show ...string) {
 	for _, action := range s.s.Step(s.now, ev) {
 		switch a := action.(type) {
@@ -107,7 +108,8 @@
 	return list
 }
 
-// number reads a number, or #n for the n-th grant sent to a peer.
+// number parses a number, or #n for the sequence number of the n-th grant sent
+// to a peer.
 func (s *script) number(t *testing.T, word string) uint64 {
 	nth, isGrant := strings.CutPrefix(word, "#")
 	n, err := strconv.ParseUint(nth, 10, 64)
@@ -120,11 +122,11 @@
 
 var outcomes = map[string]Outcome{"served": OutcomeServed, "notsent": OutcomeNotSent, "lost": OutcomeLost, "truncated": OutcomeTruncated}
 
-// event reads a line. Missing words are empty.
+// event parses a line. Missing words are empty.
 func (s *script) event(t *testing.T, words []string) Event {
 	arg := func(i int) string { return append(words, make([]string, 8)...)[i] }
 	num := func(i int) uint64 { return s.number(t, "0"+arg(i)) }
-	who := state.Router(arg(1))
+	peer := state.Router(arg(1))
 	seq := func() uint64 { return s.number(t, arg(2)) }
 	workspace := state.Workspace(arg(3))
 	switch words[0] {
@@ -152,15 +154,15 @@
 		return Ended{ID: state.RequestID(num(1)), Outcome: outcomes[arg(2)], Cost: state.Cost(num(3))}
 	case "demand":
 		entry := DemandEntry{Workspace: state.Workspace(arg(2)), Waiting: int(num(3)), HeadCost: 100}
-		return DemandHeard{From: who, Demand: Demand{Service: "draft", Entries: []DemandEntry{entry}}}
+		return DemandHeard{From: peer, Demand: Demand{Service: "draft", Entries: []DemandEntry{entry}}}
 	case "grant":
-		return GrantHeard{Grant: Grant{Owner: who, Sequence: seq(), Service: "draft", Workspace: workspace, Upstream: state.Upstream(arg(4)), Lifetime: time.Second}}
+		return GrantHeard{Grant: Grant{Owner: peer, Sequence: seq(), Service: "draft", Workspace: workspace, Upstream: state.Upstream(arg(4)), Lifetime: time.Second}}
 	case "declined":
-		return DeclineHeard{From: who, Sequence: seq(), Service: "draft", Demand: DemandEntry{Workspace: workspace, Waiting: int(num(4))}}
+		return DeclineHeard{From: peer, Sequence: seq(), Service: "draft", Demand: DemandEntry{Workspace: workspace, Waiting: int(num(4))}}
 	case "started":
-		return ProgressHeard{From: who, Sequence: seq(), Upstream: "u1", Service: "draft", Workspace: workspace, Started: true}
+		return ProgressHeard{From: peer, Sequence: seq(), Upstream: "u1", Service: "draft", Workspace: workspace, Started: true}
 	case "ended":
-		return EndedHeard{From: who, Sequence: seq(), Upstream: "u1", Service: "draft", Workspace: workspace, Cost: state.Cost(num(4)), Outcome: OutcomeServed}
+		return EndedHeard{From: peer, Sequence: seq(), Upstream: "u1", Service: "draft", Workspace: workspace, Cost: state.Cost(num(4)), Outcome: OutcomeServed}
 	case "crash":
 		return CrashHeard{Fingerprint: state.Fingerprint(num(1)), Upstream: state.Upstream(arg(2)), Boot: arg(3)}
 	case "drain":
@@ -170,7 +172,7 @@
 	return nil
 }
 
-// settings reads upstreams as name=centre.
+// settings parses upstreams in the form name=centre.
 func settings(words []string) Configured {
 	svc := config.Service{Name: "draft", Limits: config.Limits{QueueRequests: 3, QueueBytes: 100, DeadlineMillis: 10_000}}
 	for _, word := range words {
--- a/coordination/scheduler/settings.go
+++ b/coordination/scheduler/settings.go
@@ -14,45 +14,51 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// service is what a router knows of one service.
+// service is the state of one service at this router.
 type service struct {
 	name     state.Service
 	settings config.Service
-	// configured is false while only peers speak of the service.
+	// configured is false while the service is known only from messages of
+	// peers and not from the settings.
 	configured bool
 	upstreams  []*upstream
-	// owned are the upstreams of this router, in the order of upstreams.
+	// owned lists the upstreams that this router owns, in the order of
+	// upstreams.
 	owned []*upstream
-	// remoteUpstreams counts the upstreams of other owners that are to get work, and
-	// departed holds those of them that announced a departure. One whose
-	// announcement has grown old stays in it until usableElsewhere looks.
+	// remoteUpstreams is the number of upstreams that other routers own and
+	// that may receive requests. departedRemote holds those of them that
+	// announced a departure; an entry whose announcement has expired stays
+	// until hasUsableRemote removes it.
 	remoteUpstreams int
 	departedRemote  map[*upstream]struct{}
 	ledger          *fairness.Ledger
 	demand          *demand.Table
-	// shares are the routers' parts of the service's slots.
+	// shares holds the fraction of the service's slots that each router owns.
 	shares map[state.Router]float64
-	// sharesStale says that owners, peers or slots changed since shares were
-	// worked out.
+	// sharesStale is set if owners, peers or slots changed since shares was
+	// computed.
 	sharesStale bool
-	// announcedDemand is what other owners take to be waiting here.
+	// announcedDemand holds, for each other owner, the number of waiting
+	// requests of this router that the owner knows of.
 	announcedDemand map[state.Router]map[demand.Key]int
-	// owners are the other owners in order of name.
+	// owners lists the other owners in order of name.
 	owners []state.Router
-	// changedKeys are lines to compare with believed at the next batch, urgent
-	// those of this step.
+	// changedKeys holds the workspaces and models whose queues are compared
+	// with announcedDemand at the next batch. urgentKeys holds those that
+	// changed in this step.
 	changedKeys map[demand.Key]struct{}
 	urgentKeys  map[demand.Key]struct{}
-	// partlyAnnouncedKeys are urgent lines that not all owners have heard of, and turn
-	// chooses who hears first.
+	// partlyAnnouncedKeys holds the urgent keys that were not announced to all
+	// owners yet. ownerRotation selects the owners that receive the next urgent
+	// announcement first.
 	partlyAnnouncedKeys map[demand.Key]struct{}
 	ownerRotation       int
-	// unusableSince is when the last usable upstream went; zero if there is
-	// one.
+	// unusableSince is the time at which the last usable upstream became
+	// unusable; it is zero while there is a usable one.
 	unusableSince time.Time
 }
 
-// upstream is what a router knows of one upstream.
+// upstream is the state of one upstream at this router.
 type upstream struct {
 	name     state.Upstream
 	service  *service
@@ -60,13 +66,14 @@
 	owner    state.Router
 	tracker  slots.Tracker
 	outlier  outlier.Detector
-	// lastFailure is when the upstream was last seen gone or restarted, and which
-	// run of it that ended.
+	// lastFailure is the time at which the upstream was last seen unreachable
+	// or restarted, and failedBoot is the run that ended with it.
 	lastFailure time.Time
 	failedBoot  string
 }
 
-// service returns a service's state, or nil beyond the bound.
+// service returns the state of a service and creates it if necessary. It
+// returns nil if maxServices is reached.
 func (s *Scheduler) service(name state.Service) *service {
 	if svc := s.services[name]; svc != nil {
 		return svc
@@ -138,16 +145,17 @@
 	s.markForGranting(cs.Name)
 }
 
-// removeService gives requests of a service that is gone their answer.
+// removeService refuses the waiting requests of a service that was removed from
+// the settings.
 func (s *Scheduler) removeService(svc *service) {
 	for _, k := range svc.demand.Keys(s.self.Router) {
 		for {
-			it := s.queues.Head(svc.queueKey(k))
-			if it == nil {
+			item := s.queues.Head(svc.queueKey(k))
+			if item == nil {
 				break
 			}
-			s.queues.Remove(it.ID)
-			s.refuse(it, result.New(result.UnknownService, "The service was removed."))
+			s.queues.Remove(item.ID)
+			s.refuse(item, result.New(result.UnknownService, "The service was removed."))
 		}
 	}
 	delete(s.services, svc.name)
@@ -165,10 +173,12 @@
 	return m == "" || len(svc.settings.Models) == 0 || slices.Contains(svc.settings.Models, m)
 }
 
-// partitionUpstreams tells own upstreams from those of others.
+// partitionUpstreams separates the upstreams that this router owns from those
+// of other owners.
 //
-// Made for large fleets: a router owns some fourteen of thousands of
-// upstreams, and a choice on each request and tick must not walk all of them.
+// In large fleets a router owns about 14 of thousands of upstreams, and the
+// choice of an upstream on each request and tick must not iterate over all of
+// them.
 func (s *Scheduler) partitionUpstreams(svc *service) {
 	owners := make(map[state.Router]struct{})
 	svc.owned = nil
@@ -192,7 +202,7 @@
 	return u.owner != "" && u.owner != s.self.Router && !u.settings.Draining
 }
 
-// updateDeparture follows what is announced of an upstream.
+// updateDeparture updates departedRemote with the announcements of an upstream.
 func (s *Scheduler) updateDeparture(svc *service, u *upstream) {
 	if s.isRemote(u) && u.tracker.DepartedRecently(s.now) {
 		svc.departedRemote[u] = struct{}{}
@@ -201,9 +211,10 @@
 	delete(svc.departedRemote, u)
 }
 
-// hasUsableRemote reports whether some other owner may have a usable upstream.
-// Of those, this router only knows announced departures. It walks them only
-// when every single one is announced.
+// hasUsableRemote reports whether another owner may have a usable upstream. Of
+// the upstreams of other owners, this router knows only the announced
+// departures. It checks them one by one only if all of those upstreams
+// announced one.
 func (s *Scheduler) hasUsableRemote(svc *service) bool {
 	if svc.remoteUpstreams > len(svc.departedRemote) {
 		return true
--- a/coordination/scheduler/split_test.go
+++ b/coordination/scheduler/split_test.go
@@ -10,10 +10,10 @@
 	"github.com/figstile/figstile/state"
 )
 
-// A fleet with thousands of workspaces replaces a router. All that its peer
-// knows is longer than one frame, so the message was never sent and the new
-// router gave slots to whoever it thought was behind. It must hear of every
-// counter, and no part may pass for the whole.
+// TestManyCountersReachNewRouter covers the start of a router in a fleet with
+// thousands of workspaces. All counters in one message exceeded a frame, the
+// message was not sent, and the router granted slots to the wrong workspaces.
+// Every counter must arrive, and no part may be marked as full.
 func TestManyCountersReachNewRouter(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const workspaces = 2*maxUsageEntries + 1
--- a/coordination/scheduler/status.go
+++ b/coordination/scheduler/status.go
@@ -6,7 +6,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Status is a snapshot for operators.
+// Status is a snapshot of the scheduler for operators.
 type Status struct {
 	Router   state.Router     `json:"router"`
 	Draining bool             `json:"draining"`
@@ -18,40 +18,42 @@
 	Peers    []PeerStatus     `json:"peers"`
 }
 
-// ServiceStatus is one service as this router sees it.
+// ServiceStatus is the state of one service at this router.
 type ServiceStatus struct {
 	Name state.Service `json:"name"`
-	// Share is this router's part of the service's slots.
+	// Share is the fraction of the service's slots that this router owns.
 	Share      float64           `json:"share"`
 	Workspaces []WorkspaceStatus `json:"workspaces"`
 }
 
-// WorkspaceStatus is one workspace's use of a service.
+// WorkspaceStatus is the usage of a service by one workspace.
 type WorkspaceStatus struct {
 	Name state.Workspace `json:"name"`
-	// Waiting counts requests at this router.
+	// Waiting is the number of requests that wait at this router.
 	Waiting int `json:"waiting"`
-	// Charged and Reserved are this router's counters, Fleet those of all.
+	// Charged and Reserved are this router's counters; Fleet is the total of
+	// all routers. All are in cost units.
 	Charged  state.Cost `json:"charged"`
 	Reserved state.Cost `json:"reserved"`
 	Fleet    state.Cost `json:"fleet"`
 	Virtual  float64    `json:"virtual_time"`
 }
 
-// UpstreamStatus is one owned upstream.
+// UpstreamStatus is the state of one owned upstream.
 type UpstreamStatus struct {
 	Name        state.Upstream `json:"name"`
 	Service     state.Service  `json:"service"`
 	Slots       int            `json:"slots"`
 	Outstanding int            `json:"outstanding"`
-	// Reported is the load of the last report; Fresh says that it counts.
+	// Reported is the number of running and waiting requests in the last load
+	// report. Fresh is set if that report is recent enough to be used.
 	Reported int  `json:"reported"`
 	Fresh    bool `json:"fresh"`
 	Leaving  bool `json:"leaving"`
 	Cooling  bool `json:"cooling"`
 }
 
-// PeerStatus is one live peer.
+// PeerStatus describes one live peer.
 type PeerStatus struct {
 	Router      state.Router      `json:"router"`
 	DataCentre  state.DataCentre  `json:"data_centre"`
@@ -59,7 +61,7 @@
 	Draining    bool              `json:"draining"`
 }
 
-// Status returns a snapshot. It changes nothing.
+// Status returns a snapshot at the given time. It changes no state.
 func (s *Scheduler) Status(now time.Time) Status {
 	st := Status{
 		Router:   s.self.Router,
--- a/coordination/scheduler/upstream.go
+++ b/coordination/scheduler/upstream.go
@@ -50,8 +50,8 @@
 	s.updateUnusableSince(u.service)
 }
 
-// repeatLeaving keeps others from taking a draining upstream for usable once
-// their memory of the announcement ends.
+// repeatLeaving announces draining upstreams again, so that other routers do
+// not treat them as usable when the earlier announcement expires.
 func (s *Scheduler) repeatLeaving() {
 	for _, name := range s.owned {
 		u := s.upstreams[name]
@@ -61,12 +61,12 @@
 	}
 }
 
-// acceptsWork reports whether an owned upstream may get new work.
+// acceptsWork reports whether an owned upstream may receive new requests.
 func (s *Scheduler) acceptsWork(u *upstream) bool {
 	return !u.settings.Draining && u.tracker.Usable(s.now) && !u.outlier.InCoolDown(s.now)
 }
 
-// updateUnusableSince keeps track of since when a service has no usable upstream.
+// updateUnusableSince records since when a service has had no usable upstream.
 func (s *Scheduler) updateUnusableSince(svc *service) {
 	if s.hasUsableRemote(svc) || slices.ContainsFunc(svc.owned, s.acceptsWork) {
 		svc.unusableSince = time.Time{}
@@ -77,12 +77,14 @@
 	}
 }
 
-// recordOutcome judges an owned upstream by how dispatches end.
+// recordOutcome updates the outlier detector of an owned upstream with the
+// outcome of a dispatch.
 //
-// Made for an upstream that fails at once: it always looks idle and would
-// draw all the work of its owner. The last upstream that an owner has left is
-// never taken out, unless other routers own more of the service: trying a bad
-// upstream is better than having none.
+// An upstream that fails every request at once always looks idle and would
+// attract all requests of its owner, so it is excluded for a cool-down. An
+// owner's last usable upstream is not excluded, because trying it is better
+// than having none, unless it is the only one that the owner has and other
+// routers own further upstreams of the service.
 func (s *Scheduler) recordOutcome(name state.Upstream, outcome Outcome) {
 	u := s.upstreams[name]
 	if u == nil || u.owner != s.self.Router {
@@ -107,10 +109,11 @@
 	return len(u.service.owned) == 1 && len(u.service.upstreams) > 1
 }
 
-// reportSuspicion tells all peers that the connection of a request was lost: they
-// hold the request back, and the owner of the upstream judges. Only the owner
-// sees load reports and can tell a crash from a broken connection. A crash
-// without a boot is a suspicion.
+// reportSuspicion reports to all peers that the connection of a request was
+// lost. They hold the request back, and the owner of the upstream decides
+// whether it was a crash: only the owner receives load reports and can
+// distinguish a crash from a broken connection. A crash message with an empty
+// Boot is a suspicion.
 func (s *Scheduler) reportSuspicion(r *dispatchedRequest, outcome Outcome) {
 	if outcome != OutcomeLost && outcome != OutcomeTruncated || r.item.Fingerprint == 0 {
 		return
@@ -138,14 +141,16 @@
 	}
 }
 
-// crashAttributionWindow is how long after a fall was seen a lost connection still counts
-// as its consequence: the time in which a router notices a closed connection
-// and says so. A longer one charged the next run's crash to the run before,
-// which was counted already, so that the second crash did not count at all.
+// crashAttributionWindow is the time after a crash or restart of an upstream
+// was seen within which the loss of a connection is attributed to it. A router
+// detects a closed connection and reports it within this time. With a longer
+// window, the crash of the next run was attributed to the run before, which was
+// counted already, so that the second crash was not counted at all.
 const crashAttributionWindow = 500 * time.Millisecond
 
-// confirmOrSuspect confirms a suspicion if the upstream was just seen to fall, or keeps
-// it until that is known.
+// confirmOrSuspect confirms a suspicion if a failure of the upstream was seen
+// within crashAttributionWindow. Otherwise it stores the suspicion until a
+// failure is seen.
 func (s *Scheduler) confirmOrSuspect(f state.Fingerprint, u *upstream) {
 	if !u.lastFailure.IsZero() && s.now.Sub(u.lastFailure) <= crashAttributionWindow {
 		s.confirmCrash(f, u)
@@ -154,7 +159,7 @@
 	s.suspicions.Add(s.now, f, u.name)
 }
 
-// recordFailure notes that a run of an upstream is over.
+// recordFailure records that a run of an upstream has ended.
 func (s *Scheduler) recordFailure(u *upstream, boot string) {
 	u.lastFailure = s.now
 	u.failedBoot = boot
--- a/coordination/scheduler/usable_test.go
+++ b/coordination/scheduler/usable_test.go
@@ -10,9 +10,10 @@
 	"github.com/figstile/figstile/state"
 )
 
-// A whole service is restarted by its operator: every upstream of other owners
-// announces its departure, some of them twice. Callers must be refused only
-// while all of them are gone, although no report tells of their return here.
+// TestRemoteDeparturesAreForgotten covers the restart of a whole service: every
+// upstream of other owners announces its departure, some twice. Requests must
+// be refused only while all of them are unavailable, although this router
+// receives no report of their return.
 func TestRemoteDeparturesAreForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := New(Options{Self: Peer{Router: "a", DataCentre: "x", Incarnation: 7}})
@@ -30,14 +31,14 @@
 	}
 	announceDeparture("u1")
 	advance(2 * DefaultNoUpstreamGrace)
-	require.False(t, refused(), "u2 is left")
+	require.False(t, refused(), "u2 has announced no departure")
 	announceDeparture("u2")
 	announceDeparture("u1")
 	advance(2 * DefaultNoUpstreamGrace)
-	require.True(t, refused(), "both are gone")
+	require.True(t, refused(), "both upstreams have announced their departure")
 	advance(slots.DepartureExpiry)
-	require.False(t, refused(), "the announcements are too old to go by")
+	require.False(t, refused(), "both announcements have expired")
 	announceDeparture("u1")
 	advance(2 * DefaultNoUpstreamGrace)
-	require.False(t, refused(), "u2 was forgotten to have left")
+	require.False(t, refused(), "the announcement of u2 has expired")
 }
--- a/coordination/scheduler/usage.go
+++ b/coordination/scheduler/usage.go
@@ -7,7 +7,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// exchange spreads the counters that changed since the last time.
+// exchange sends the counters that changed since the last exchange to all
+// peers.
 func (s *Scheduler) exchange() {
 	period := max(s.now.Sub(s.timers.lastExchange), TickInterval)
 	s.timers.lastExchange = s.now
@@ -16,7 +17,7 @@
 		s.timers.lastUsageRefresh = s.now
 	}
 	var entries []UsageEntry
-	serving := false
+	hasDemand := false
 	for _, svc := range s.sortedServices() {
 		s.refreshShares(svc)
 		changed := svc.ledger.EndPeriod(period)
@@ -24,22 +25,22 @@
 			changed = withoutVirtual(svc.ledger.OwnEntries())
 		}
 		entries = append(entries, usageEntries(svc.name, changed)...)
-		serving = serving || svc.ledger.BackloggedCount() > 0 && svc.shares[s.self.Router] > 0
+		hasDemand = hasDemand || svc.ledger.BackloggedCount() > 0 && svc.shares[s.self.Router] > 0
 	}
-	if len(s.peers) == 0 || len(entries) == 0 && !serving {
+	if len(s.peers) == 0 || len(entries) == 0 && !hasDemand {
 		return
 	}
-	// Without changes the message still says that nothing was granted, or
-	// the others would take this owner to grant as they do.
+	// A message without changes still reports that nothing was granted. Without
+	// it the peers would extrapolate grants of this owner from their own.
 	s.sendUsage(SendUsage{Origin: s.self.Router, Incarnation: s.self.Incarnation, Entries: entries, Full: full})
 }
 
 // sendUsage sends counters in messages of at most maxUsageEntries.
 //
-// Made for thousands of workspaces: the message of all of them was longer than
-// a frame and never left, so that a lost counter was never made up for and a
-// cold router heard of none. No part claims to be full, or a receiver could
-// take the counters of the other parts for zero.
+// With thousands of workspaces, a single message with all counters was longer
+// than a frame and was never sent, so that a lost counter was never replaced
+// and a router that had just started received none. No part is marked as full,
+// because a receiver could then take the counters in the other parts for zero.
 func (s *Scheduler) sendUsage(usage SendUsage) {
 	if len(usage.Entries) <= maxUsageEntries {
 		s.emit(usage)
@@ -104,7 +105,8 @@
 	return ok && p.Incarnation == o.Incarnation
 }
 
-// chargeWorkspace counts served cost and a change of what is set aside.
+// chargeWorkspace adds served cost to the counter of a workspace and changes
+// its reserved cost, both in cost units.
 func (s *Scheduler) chargeWorkspace(name state.Service, w state.Workspace, served, reserved state.Cost) {
 	if svc := s.service(name); svc != nil {
 		svc.ledger.Charge(w, served, reserved)
