--- a/coordination/fairness/choice.go
+++ b/coordination/fairness/choice.go
@@ -10,7 +10,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-// node is a backlogged account in an index.
+// node is an entry of an index and refers to a backlogged account.
 type node struct {
 	key        float64
 	tieBreaker uint64
@@ -31,7 +31,8 @@
 	return node{key: a.key, tieBreaker: a.tieBreaker, account: a}
 }
 
-// updateKey moves a backlogged account to its present virtual time.
+// updateKey moves a backlogged account to its current virtual time in the
+// indexes.
 func (l *Ledger) updateKey(a *account) {
 	if len(a.models) == 0 {
 		return
@@ -68,9 +69,10 @@
 	return index
 }
 
-// SetBacklog says whether any router has work of a workspace and model
-// waiting. A workspace that comes back from idle is lifted to the least
-// virtual time of those waiting, so that idleness saves up no claim.
+// SetBacklog records whether requests of a workspace for a model wait at any
+// router. A workspace that returns from idle is lifted to the lowest virtual
+// time of the backlogged workspaces, so that it gains no advantage from the
+// time it was idle.
 func (l *Ledger) SetBacklog(now time.Time, w state.Workspace, m state.Model, waiting bool) {
 	a := l.account(w)
 	if _, indexed := a.models[m]; indexed == waiting {
@@ -96,24 +98,27 @@
 	l.modelIndex(m).ReplaceOrInsert(a.node())
 }
 
-// DemandLost says that demand of a workspace went out of sight with a router, and
-// not because its work was done. If none is left, the workspace does not count
-// as idle: behind a partition it may have work waiting all the time, and lifted
-// on return it would never make up for what it missed.
+// DemandLost records that demand of a workspace was dropped because its router
+// is no longer live, not because its requests were served. If no demand
+// remains, the workspace does not count as idle: behind a partition it may have
+// had requests waiting all the time, and if it were lifted on return, it would
+// never be compensated for the service it missed.
 func (l *Ledger) DemandLost(w state.Workspace) {
 	a := l.account(w)
 	a.demandLost = len(a.models) == 0
 }
 
-// liftIdle lifts an account that was idle for longer than idleGrace, up to one
-// usual request below the least virtual time of the others. Without that one,
-// a workspace that asks rarely would wait after each request for the others
-// to catch up with it. It cannot add up: the floor counts all past service.
+// liftIdle lifts an account that was idle for longer than idleGrace, to the
+// lowest virtual time of the others less the cost of one typical request.
+// Without that allowance, a workspace that sends few requests would wait after
+// each one until the others have caught up with it. The allowance does not
+// accumulate, because the comparison includes all past service.
 //
-// Both sides of the comparison leave out what is extrapolated. At the start of
-// a rush that is far above or below the truth and differs from owner to owner,
-// and as the greatest lift heard of holds for good, the workspace with the
-// worst guess waited until all others had caught up with it.
+// Both sides of the comparison leave out extrapolated cost. At the start of a
+// burst the extrapolation is far above or below the actual cost and differs
+// between owners. Since the highest lift received from any owner stays in
+// force, the workspace with the worst extrapolation had to wait until all
+// others had caught up with it.
 func (l *Ledger) liftIdle(now time.Time, a *account) {
 	a.key = l.virtualTime(a)
 	demandLost := a.demandLost
@@ -134,8 +139,8 @@
 	a.key = l.virtualTime(a)
 }
 
-// Next returns the backlogged workspace with the least virtual time among
-// those that wait for one of the models; nil means any model.
+// Next returns the backlogged workspace with the lowest virtual time among
+// those with requests for one of the models; nil means any model.
 func (l *Ledger) Next(models []state.Model) (state.Workspace, bool) {
 	if models == nil {
 		minNode, ok := l.byVirtualTime.Min()
@@ -161,12 +166,12 @@
 	return best.account.workspace, true
 }
 
-// WaitingModels lists for what models work of a workspace waits.
+// WaitingModels returns the models for which requests of a workspace wait.
 func (l *Ledger) WaitingModels(w state.Workspace) map[state.Model]struct{} {
 	return l.account(w).models
 }
 
-// BackloggedCount counts the workspaces with work waiting.
+// BackloggedCount returns the number of workspaces with waiting requests.
 func (l *Ledger) BackloggedCount() int {
 	return l.byVirtualTime.Len()
 }
--- a/coordination/fairness/exchange.go
+++ b/coordination/fairness/exchange.go
@@ -8,8 +8,9 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Reindex re-orders the backlogged accounts if counters of others came in. The
-// host calls it once per tick, so that hundreds of peers cost no more.
+// Reindex re-sorts the backlogged accounts if counters of other routers were
+// received. The host calls it once per tick, so that the cost does not grow
+// with the number of peers, even with hundreds of them.
 func (l *Ledger) Reindex() {
 	if !l.othersChanged {
 		return
@@ -20,8 +21,9 @@
 	}
 }
 
-// EndPeriod ends a period between two exchanges of counters: it returns the
-// entries that changed, clamps and measures the rate of service.
+// EndPeriod ends a period between two exchanges of counters. It updates the
+// service rate, applies the clamp, and returns the entries that changed in the
+// period.
 func (l *Ledger) EndPeriod(period time.Duration) []Entry {
 	l.updateServiceRate(period)
 	l.clamp()
@@ -57,14 +59,15 @@
 	return entries
 }
 
-// RemovedOrigin is the last word of an incarnation that is gone.
+// RemovedOrigin holds the last counters of an incarnation that is no longer
+// live.
 type RemovedOrigin struct {
 	Origin  Origin
 	Entries []Entry
 }
 
-// RemovedOrigins returns the counters of incarnations that are gone. A router that
-// starts cold hears of them from nobody else.
+// RemovedOrigins returns the counters of incarnations that are no longer live.
+// A router that has just started can receive them only from its peers.
 func (l *Ledger) RemovedOrigins() []RemovedOrigin {
 	var relays []RemovedOrigin
 	for _, name := range l.sortedOrigins() {
@@ -92,14 +95,16 @@
 	l.serviceRate += rateSmoothing * (perSecond - l.serviceRate)
 }
 
-// clamp forgives a backlogged workspace what puts it further ahead of the
-// least served one than clampWindow of the fleet's service.
+// clamp limits the lead of a backlogged workspace over the workspace with the
+// lowest virtual time to the fleet's service within clampWindow, and forgives
+// the rest.
 //
-// Made for the end of a partition and for cold starts: counters that were
-// apart for an hour differ by an hour's service, and the workspace that
-// happened to be served more would starve for as long. Work in progress is
-// not counted against it, because one long request of a small workspace is
-// far ahead without any harm done.
+// Without the clamp, counters that were separated by a partition for an hour
+// would differ by an hour's service, and the workspace that was served more
+// would starve for as long; the same happens when routers start without
+// counters. The cost reserved for requests in progress does not count towards
+// the lead, because one long request of a workspace with a small share puts it
+// far ahead without doing harm.
 func (l *Ledger) clamp() {
 	minNode, ok := l.byVirtualTime.Min()
 	if !ok || l.serviceRate == 0 {
--- a/coordination/fairness/fairness_test.go
+++ b/coordination/fairness/fairness_test.go
@@ -44,12 +44,13 @@
 		got[w]++
 		l.Reserve(w, 100)
 	}
-	require.InDelta(t, 75, got["a"], 1, "a changed share counts from now on")
+	require.InDelta(t, 75, got["a"], 1, "a changed share applies to later grants only")
 }
 
-// A workspace is served twice over: every owner gives its next slots to the
-// one that was behind at the last exchange. Extrapolated, an owner's own
-// grants stand for those of its peers until they are heard.
+// TestOwnGrantsAreExtrapolatedToPeers guards against serving a workspace twice
+// over because every owner gives its next slots to the workspace that was
+// behind at the last exchange. An owner's own grants must stand in for those of
+// its peers until counters of the peers arrive.
 func TestOwnGrantsAreExtrapolatedToPeers(t *testing.T) {
 	l := newTwoWorkspaceLedger(1)
 	peer := Origin{Router: "p", Incarnation: 1}
@@ -57,10 +58,10 @@
 	l.ReceiveCounters(peer, []Entry{{Workspace: "b", Counter: Counter{Charged: 350}}})
 	l.Reindex()
 	l.Reserve(nextWorkspace(t, l), 100)
-	require.Equal(t, state.Workspace("b"), nextWorkspace(t, l), "100 here stand for 400")
+	require.Equal(t, state.Workspace("b"), nextWorkspace(t, l), "a grant of 100 with a quarter of the slots is extrapolated to 400")
 	l.ReceiveCounters(peer, nil)
 	l.Reindex()
-	require.Equal(t, state.Workspace("a"), nextWorkspace(t, l), "the peer granted nothing")
+	require.Equal(t, state.Workspace("a"), nextWorkspace(t, l), "the counters show that the peer granted nothing")
 }
 
 func TestNextHonoursModels(t *testing.T) {
@@ -107,11 +108,12 @@
 		l.Charge("b", 100, 0)
 		served += 100
 	}
-	require.LessOrEqual(t, served, state.Cost(1000*clampWindow.Seconds()/2+100), "half a minute's service is a minute of its share")
+	require.LessOrEqual(t, served, state.Cost(1000*clampWindow.Seconds()/2+100), "workspace b is served ahead of a for at most clampWindow, at its share of one half")
 }
 
-// A router that starts cold sums up all counters, but knows neither under
-// which shares they grew nor what was forgiven.
+// TestNewLedgerAdoptsVirtualTimes covers a router that has just started. It can
+// add up all counters, but does not know under which shares they grew or which
+// cost was forgiven.
 func TestNewLedgerAdoptsVirtualTimes(t *testing.T) {
 	old, restarted := newTwoWorkspaceLedger(1), newTwoWorkspaceLedger(1)
 	old.Charge("a", 1000, 0)
@@ -133,7 +135,8 @@
 }
 
 // TestLedgersAgree checks that counters only grow, that old messages do no
-// harm, and that two ledgers that heard the same agree on the fleet's total.
+// harm, and that two ledgers that received the same counters agree on the total
+// of the fleet.
 func TestLedgersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x, y := newTwoWorkspaceLedger(1), newTwoWorkspaceLedger(2)
@@ -190,9 +193,10 @@
 	}
 }
 
-// A rush begins, and a workspace that asks little comes back from idleness.
-// Lifted to virtual times that hold guesses of what other owners granted, it
-// waited for seconds until all others had caught up with the worst guess.
+// TestLiftIgnoresExtrapolation covers a workspace that returns from idle at the
+// start of a burst. When it was lifted to virtual times that include
+// extrapolated grants of other owners, it waited for seconds until all others
+// had caught up with the worst extrapolation.
 func TestLiftIgnoresExtrapolation(t *testing.T) {
 	l := newTwoWorkspaceLedger(1)
 	l.SetPeers(0.25, []Peer{{Origin: Origin{Router: "p", Incarnation: 1}, Share: 0.75}})
@@ -201,9 +205,9 @@
 	l.SetBacklog(startTime.Add(time.Minute), "b", "", true)
 	for _, e := range l.OwnEntries() {
 		if e.Workspace == "b" {
-			require.Equal(t, state.Cost(100/0.5), e.Lift, "what a was granted here, at half of the whole")
+			require.Equal(t, state.Cost(100/0.5), e.Lift, "the cost granted to a by this owner, divided by its share of one half")
 			return
 		}
 	}
-	t.Fatal("b was not lifted")
+	t.Fatal("workspace b was not lifted")
 }
--- a/coordination/fairness/ledger.go
+++ b/coordination/fairness/ledger.go
@@ -10,14 +10,15 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Origin is one incarnation of a router, the unit that counters belong to.
+// Origin is one incarnation of a router. Counters belong to an origin.
 type Origin struct {
 	Router      state.Router
 	Incarnation state.Incarnation
 }
 
-// Counter is what one origin has granted to a workspace: served cost, which
-// only grows, and what is set aside for requests in progress.
+// Counter holds the cost that one origin has granted to a workspace, in cost
+// units: the served cost, which only grows, and the cost reserved for requests
+// in progress.
 type Counter struct {
 	Charged  state.Cost
 	Reserved state.Cost
@@ -27,66 +28,78 @@
 	return c.Charged + c.Reserved
 }
 
-// Entry is one counter of an origin, with the workspace's lift.
+// Entry is the counter of an origin for one workspace, together with the lift
+// of the workspace.
 type Entry struct {
 	Workspace state.Workspace
 	Counter
 	Lift state.Cost
-	// Virtual is the sender's virtual time, if it tells; see Adopt.
+	// Virtual is the virtual time of the workspace at the sender, or zero if
+	// the sender did not include it; see AdoptVirtualTimes.
 	Virtual state.Cost
 }
 
-// account is one workspace of the service.
+// account is the state of one workspace of the service.
 type account struct {
 	workspace state.Workspace
-	// tieBreaker settles equal virtual times differently at each router, so that a
-	// fleet that starts idle does not send its first slots all one way.
+	// tieBreaker orders equal virtual times differently at each router, so that
+	// the first slots of a fleet that starts idle do not all go to the same
+	// workspace.
 	tieBreaker uint64
 	share      float64
 	own        Counter
-	// othersTotal is the total of all other origins, as last heard.
+	// othersTotal is the total of the counters of all other origins, as last
+	// received.
 	othersTotal state.Cost
-	// grantedEstimate grows by the estimate of each own grant. It drives the
-	// extrapolation.
+	// grantedEstimate is the sum of the estimated costs of this owner's grants.
+	// The extrapolation is based on it.
 	grantedEstimate float64
-	// peerGrantedEstimate is the sum over live peers of peer share times granted when the
-	// peer was last heard.
+	// peerGrantedEstimate is the sum over live peers of the peer's share times
+	// the value of grantedEstimate when counters of the peer were last
+	// received.
 	peerGrantedEstimate float64
 	lift                state.Cost
 	forgiven            float64
-	// models counts as backlog index; idleSince is set while it is empty.
+	// models holds the models for which requests wait. idleSince is set while
+	// it is empty.
 	models    map[state.Model]struct{}
 	idleSince time.Time
-	// demandLost is set while all demand known of was that of lost routers.
+	// demandLost is set if the last known demand was dropped because its router
+	// is no longer live.
 	demandLost bool
-	// lastEstimate is the estimate of the last own grant.
+	// lastEstimate is the estimated cost of this owner's last grant.
 	lastEstimate state.Cost
-	// key is the virtual time under which the index holds the account.
+	// key is the virtual time under which the account is stored in the indexes.
 	key float64
 }
 
-// Ledger keeps the counters of one service and chooses whose turn it is.
+// Ledger keeps the usage counters of one service and selects the workspace that
+// gets the next slot. It must not be used concurrently.
 type Ledger struct {
 	seed        uint64
 	ownShare    float64
 	accounts    map[state.Workspace]*account
 	origins     map[Origin]*origin
 	originsSeen uint64
-	// extrapolated holds accounts whose extrapolation is not zero.
+	// extrapolated holds the accounts whose extrapolated cost may differ from
+	// zero.
 	extrapolated map[*account]struct{}
 	// byVirtualTime and byModel index the backlogged accounts by virtual time.
 	byVirtualTime *btree.BTreeG[node]
 	byModel       map[state.Model]*btree.BTreeG[node]
-	// changedAccounts lists the accounts to be sent at the next exchange.
+	// changedAccounts holds the accounts to be sent at the next exchange.
 	changedAccounts map[*account]struct{}
-	// othersChanged says that counters of others came in since the last Refold.
+	// othersChanged is set if counters of other routers were received since the
+	// last Reindex.
 	othersChanged bool
-	// servedInPeriod and rate measure how fast this owner serves, for the clamp.
+	// servedInPeriod and serviceRate measure the service of this owner, for the
+	// clamp.
 	servedInPeriod state.Cost
 	serviceRate    float64
 }
 
-// New returns an empty ledger. The seed only settles ties.
+// New returns an empty ledger. The seed determines only the order of equal
+// virtual times.
 func New(seed uint64) *Ledger {
 	return &Ledger{
 		seed:            seed,
@@ -109,24 +122,26 @@
 	return a
 }
 
-// virtualTime is the weighted service of an account as this owner sees it; see
-// the package comment.
+// virtualTime returns the weighted service of an account as known to this
+// owner; see the package comment.
 func (l *Ledger) virtualTime(a *account) float64 {
 	return l.countedTime(a) + l.extrapolatedCost(a)/a.share
 }
 
-// countedTime is the part of the virtual time that rests on counters alone.
+// countedTime returns the part of the virtual time that is based on counters
+// alone.
 func (l *Ledger) countedTime(a *account) float64 {
 	return float64(a.own.total()+a.othersTotal)/a.share + float64(a.lift) - a.forgiven
 }
 
-// extrapolatedCost is what the other owners are taken to have granted since they
-// were last heard: as much per slot as this one.
+// extrapolatedCost returns the cost that the other owners are assumed to have
+// granted since their counters were last received: as much per slot as this
+// owner.
 func (l *Ledger) extrapolatedCost(a *account) float64 {
 	return (a.grantedEstimate*(1-l.ownShare) - a.peerGrantedEstimate) / l.ownShare
 }
 
-// Reserve sets cost aside for a grant of this owner.
+// Reserve reserves cost for a grant of this owner.
 func (l *Ledger) Reserve(w state.Workspace, estimate state.Cost) {
 	a := l.account(w)
 	a.grantedEstimate += float64(estimate)
@@ -135,7 +150,7 @@
 	l.adjust(a, 0, estimate)
 }
 
-// Charge counts served cost and changes what remains set aside.
+// Charge adds served cost and changes the reserved cost of a workspace.
 func (l *Ledger) Charge(w state.Workspace, served, reserved state.Cost) {
 	l.adjust(l.account(w), served, reserved)
 }
@@ -151,9 +166,10 @@
 	l.updateKey(a)
 }
 
-// SetShare sets a workspace's part of the service. Its virtual time stays
-// where it is. Otherwise months of counted service would be weighed anew, and
-// one change of a weight would hand a workspace the whole fleet for hours.
+// SetShare sets the share of a workspace in the service. Its virtual time does
+// not change. Otherwise all service ever counted would be weighted anew, and a
+// single change of a weight would give the whole fleet to one workspace for
+// hours.
 func (l *Ledger) SetShare(w state.Workspace, share float64) {
 	a := l.account(w)
 	share = max(share, minWorkspaceShare)
@@ -169,9 +185,9 @@
 	l.updateKey(a)
 }
 
-// AdoptVirtualTimes takes over the virtual times of a peer. It is for a router that has
-// just started: it can sum up what was served, but not what was forgiven or
-// under which shares it was served.
+// AdoptVirtualTimes takes over the virtual times of a peer. A router that has
+// just started needs them: it can add up the served cost, but does not know
+// which cost was forgiven or under which shares it was served.
 func (l *Ledger) AdoptVirtualTimes(entries []Entry) {
 	for _, e := range entries {
 		if e.Virtual == 0 {
@@ -191,7 +207,7 @@
 	l.changedAccounts[a] = struct{}{}
 }
 
-// AccountStatus are one workspace's state for operators.
+// AccountStatus is the state of one workspace for operators.
 type AccountStatus struct {
 	Workspace state.Workspace
 	Share     float64
--- a/coordination/fairness/limits.go
+++ b/coordination/fairness/limits.go
@@ -3,24 +3,29 @@
 import "time"
 
 const (
-	// minWorkspaceShare keeps a workspace without a share in the settings at the
-	// end of the line instead of dividing by zero.
+	// minWorkspaceShare is the share of a workspace that has none in the
+	// settings. It avoids a division by zero and puts the workspace behind all
+	// others.
 	minWorkspaceShare = 1e-6
-	// minOwnShare bounds the extrapolation of an owner of next to nothing.
+	// minOwnShare bounds the extrapolation of an owner that owns almost no
+	// slots.
 	minOwnShare = 1e-4
-	// idleGrace is how long a workspace may seem to have nothing waiting
-	// without losing its place. An owner that has granted all the demand it
-	// knew of sees a workspace as idle until the next report of demand; the
-	// grace is twice the period of those.
+	// idleGrace is the time for which a workspace may seem to have no waiting
+	// requests without being lifted when it returns. An owner that has granted
+	// all the demand it knew of sees a workspace as idle until it receives the
+	// next demand message. The grace is twice the interval of those messages.
 	idleGrace = 500 * time.Millisecond
-	// clampWindow is how long the workspace furthest ahead waits at most
-	// while others catch up. It is many times the longest usual request, so
-	// that it never touches the differences of normal service, and within
-	// the patience of a caller who drafts a guide.
+	// clampWindow is the maximum time for which the workspace that is furthest
+	// ahead waits while others catch up. It is many times the duration of the
+	// longest usual request, so that it does not affect the differences of
+	// normal service, and short enough for callers that wait for a generated
+	// text.
 	clampWindow = time.Minute
-	// rateSmoothing averages the rate of service over some ten exchanges.
+	// rateSmoothing is the weight of the newest period in the service rate,
+	// which averages over about ten exchanges.
 	rateSmoothing = 0.1
-	// maxRemovedOrigins bounds the remembered incarnations that are gone: a fleet of a
-	// few hundred routers may be replaced once over.
+	// maxRemovedOrigins bounds the number of stored incarnations that are no
+	// longer live. A fleet of a few hundred routers may be replaced once within
+	// it.
 	maxRemovedOrigins = 512
 )
--- a/coordination/fairness/origin.go
+++ b/coordination/fairness/origin.go
@@ -7,20 +7,24 @@
 	"github.com/figstile/figstile/state"
 )
 
-// origin is what is known of one other incarnation.
+// origin is the state of one other incarnation.
 type origin struct {
 	counters map[state.Workspace]Counter
-	// grantedAtReceipt are the accounts' granted when this origin was last heard.
+	// grantedAtReceipt holds the grantedEstimate of each account when counters
+	// of this origin were last received.
 	grantedAtReceipt map[state.Workspace]float64
-	// share of the service's slots; zero for incarnations that are gone.
+	// share is the fraction of the service's slots that the origin owns; it is
+	// zero for incarnations that are no longer live.
 	share float64
 	live  bool
-	// order tells which dead incarnation was heard of first.
+	// order determines which incarnation that is no longer live is removed
+	// first: the one whose counters were received first.
 	order uint64
 }
 
-// ReceiveCounters takes in counters of another origin. Charged figures below the known
-// ones are old and ignored; so is a reservation that comes with them.
+// ReceiveCounters stores counters of another origin. A charged cost below the
+// known one is out of date and ignored, and so is the reservation that comes
+// with it.
 func (l *Ledger) ReceiveCounters(o Origin, entries []Entry) {
 	sender := l.origin(o)
 	l.endExtrapolation(sender)
@@ -51,7 +55,8 @@
 	return known
 }
 
-// endExtrapolation ends the extrapolation of one peer: what it did until now is known.
+// endExtrapolation ends the extrapolation for one peer, since its counters now
+// include all that it has granted.
 func (l *Ledger) endExtrapolation(o *origin) {
 	if o.share == 0 {
 		return
@@ -65,8 +70,9 @@
 	}
 }
 
-// forgetOldestOrigin bounds the memory under restarts without end. What a forgotten
-// incarnation had charged no longer counts here, which the clamp bounds.
+// forgetOldestOrigin bounds the memory used when routers restart again and
+// again. The charged cost of a removed incarnation no longer counts at this
+// router; the clamp bounds the effect.
 func (l *Ledger) forgetOldestOrigin() {
 	removed := 0
 	var oldest Origin
@@ -90,15 +96,15 @@
 	delete(l.origins, oldest)
 }
 
-// Peer is a live router and its part of the service's slots.
+// Peer is a live router and the fraction of the service's slots that it owns.
 type Peer struct {
 	Origin
 	Share float64
 }
 
-// SetPeers replaces the live routers: own is this router's part of the slots.
-// Reservations of routers that are gone are dropped, because their work shows
-// in load reports or has ended.
+// SetPeers replaces the live routers; own is the fraction of the slots that
+// this router owns. Reservations of routers that are no longer live are
+// dropped, because their requests show in load reports or have ended.
 func (l *Ledger) SetPeers(own float64, peers []Peer) {
 	l.ownShare = min(max(own, minOwnShare), 1)
 	live := make(map[Origin]struct{}, len(peers))
@@ -122,7 +128,7 @@
 	l.othersChanged = true
 }
 
-// HasPeers reports whether exactly these routers are live to the ledger.
+// HasPeers reports whether exactly the given routers are live in the ledger.
 func (l *Ledger) HasPeers(live []Origin) bool {
 	known := 0
 	for _, o := range l.origins {
@@ -158,8 +164,8 @@
 	return estimates
 }
 
-// rebuildExtrapolation rebuilds the sums over peers after their shares changed. Parts that
-// belong to no live peer extrapolate nothing.
+// rebuildExtrapolation recomputes the sums over peers after their shares
+// changed. Slots that belong to no live peer are not extrapolated.
 func (l *Ledger) rebuildExtrapolation() {
 	liveOrigins := make([]*origin, 0, len(l.origins))
 	coveredShare := 0.0
