--- a/coordination/queue/pace.go
+++ b/coordination/queue/pace.go
@@ -3,16 +3,18 @@
 import "time"
 
 const (
-	// paceSmoothing weighs the newest interval between two departures. One
-	// in five follows a change of load within about ten departures.
+	// paceSmoothing is the weight of the newest interval between two
+	// departures. With 0.2, the pace adapts to a change of load within about
+	// ten departures.
 	paceSmoothing = 0.2
-	// paceMemory is how long the pace of a workspace without waiting
+	// paceMemory is the time for which the pace of a workspace without waiting
 	// requests is kept.
 	paceMemory = time.Minute
 )
 
-// departurePace is how fast a workspace's queue moves at this router. It learns only
-// while requests wait, since an idle queue says nothing of the service.
+// departurePace is the mean interval between departures from a workspace's
+// queue at this router. It is updated only while requests wait, since an idle
+// queue says nothing about the speed of service.
 type departurePace struct {
 	interval      time.Duration
 	lastDeparture time.Time
@@ -28,8 +30,9 @@
 	p.interval += time.Duration(paceSmoothing * float64(interval-p.interval))
 }
 
-// estimatedWait is the queue's length at its pace, plus how far the next departure is
-// overdue: a queue that stopped moving is seen at once.
+// estimatedWait returns the length of the queue times the mean interval between
+// departures, plus the time by which the next departure is overdue, so that a
+// queue that has stalled is detected at once.
 func (q *workspaceQueue) estimatedWait(now time.Time) time.Duration {
 	if q.requests == 0 || q.pace.interval == 0 {
 		return 0
--- a/coordination/queue/queue.go
+++ b/coordination/queue/queue.go
@@ -1,7 +1,7 @@
-// Package queue holds the requests that wait at one router, first come first
-// served per service, workspace and model. It is bounded per workspace and
-// over the whole router, in requests and in bytes, so that a flood ends in
-// refusals and not in lost memory.
+// Package queue holds the requests that wait at one router, in
+// first-come-first-served order per service, workspace and model. The number of
+// requests and their bytes are bounded per workspace and for the whole router,
+// so that a flood leads to refusals and does not exhaust the memory.
 package queue
 
 import (
@@ -14,28 +14,29 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// Limits bound what may wait. Zero fields take their defaults.
+// Limits bounds the waiting requests. Fields that are zero take their defaults.
 type Limits struct {
 	Requests int
 	Bytes    int64
 }
 
 const (
-	// defaultRequests and defaultBytes bound one workspace of one service:
-	// minutes of work at the sizes of today, far beyond the patience of
-	// callers, and small beside the router's total, so that one workspace
-	// cannot fill the router alone.
+	// defaultRequests and defaultBytes bound the requests of one workspace for
+	// one service. They allow for minutes of work at current request sizes,
+	// which is far longer than callers wait, and are small compared with the
+	// router's total, so that one workspace cannot fill the router alone.
 	defaultRequests = 256
 	defaultBytes    = 32 << 20
-	// DefaultTotalRequests and DefaultTotalBytes bound a router. Entry VMs
-	// are small: a quarter of a gigabyte of bodies leaves room for answers.
+	// DefaultTotalRequests and DefaultTotalBytes bound the waiting requests of
+	// a router. The VMs of routers are small: 256 MiB of request bodies leave
+	// enough memory for answers.
 	DefaultTotalRequests = 8192
 	DefaultTotalBytes    = 256 << 20
 )
 
-// avoidanceTime is how long a retry waits for another upstream than the one that
-// failed it: several grants' round trips, and no longer, because the others
-// may be gone.
+// avoidanceTime is the time for which a retry waits for an upstream other than
+// the one that failed it. It is long enough for several round trips of grants,
+// and not longer, because the other upstreams may be unavailable.
 const avoidanceTime = time.Second
 
 func (l Limits) withDefaults(requests int, bytes int64) Limits {
@@ -48,7 +49,7 @@
 	return l
 }
 
-// Key names one first-come-first-served line.
+// Key identifies one first-come-first-served queue.
 type Key struct {
 	Service   state.Service
 	Workspace state.Workspace
@@ -65,13 +66,14 @@
 	Deadline    time.Time
 	Repeatable  bool
 	Fingerprint state.Fingerprint
-	// Dispatches counts earlier tries, Last is the upstream of the latest,
-	// and Sent says that some try may have reached its upstream.
+	// Dispatches is the number of earlier attempts and LastUpstream the
+	// upstream of the latest one. MaybeSent is set if some attempt may have
+	// reached its upstream.
 	Dispatches   int
 	LastUpstream state.Upstream
 	MaybeSent    bool
 
-	// avoidUntil is how long a retry keeps away from Last.
+	// avoidUntil is the time until which a retry avoids LastUpstream.
 	avoidUntil time.Time
 	element    *list.Element
 }
@@ -81,7 +83,7 @@
 	workspace state.Workspace
 }
 
-// workspaceQueue is what waits of one workspace for one service.
+// workspaceQueue holds the waiting requests of one workspace for one service.
 type workspaceQueue struct {
 	requests int
 	bytes    int64
@@ -89,7 +91,7 @@
 	pace     departurePace
 }
 
-// Set holds all queues of a router.
+// Set holds all queues of a router. It must not be used concurrently.
 type Set struct {
 	totalLimits Limits
 	requests    int
@@ -99,7 +101,7 @@
 	deadlines   *btree.BTreeG[*Item]
 }
 
-// New returns empty queues bounded by total.
+// New returns empty queues with the given bound for the whole router.
 func New(total Limits) *Set {
 	return &Set{
 		totalLimits: total.withDefaults(DefaultTotalRequests, DefaultTotalBytes),
@@ -118,91 +120,91 @@
 
 // Admit queues a new request or returns the code to refuse it with.
 //
-// Made for floods and saturation: a request that cannot be served in time is
-// told so on arrival, when its caller can still go elsewhere, instead of
-// holding memory until its deadline. Only a workspace that already has
-// requests waiting is refused for its estimated wait, so a wrong estimate is
-// always put right by the next request.
-func (s *Set) Admit(now time.Time, it Item, limits Limits) result.Code {
-	if !it.Deadline.After(now) {
+// Under floods and saturation, a request that cannot be served in time is
+// refused on arrival, when its caller can still go elsewhere, instead of using
+// memory until its deadline. Only a workspace that already has waiting requests
+// is refused for its estimated wait, so a wrong estimate is always corrected by
+// the next request.
+func (s *Set) Admit(now time.Time, item Item, limits Limits) result.Code {
+	if !item.Deadline.After(now) {
 		return result.DeadlineTooShort
 	}
 	limits = limits.withDefaults(defaultRequests, defaultBytes)
-	q := s.workspaces[workspaceKey{it.Service, it.Workspace}]
+	q := s.workspaces[workspaceKey{item.Service, item.Workspace}]
 	if q != nil {
 		switch {
 		case q.requests >= limits.Requests:
 			return result.QueueFull
-		case q.bytes+it.Bytes > limits.Bytes:
+		case q.bytes+item.Bytes > limits.Bytes:
 			return result.QueueBytesFull
-		case now.Add(q.estimatedWait(now)).After(it.Deadline):
+		case now.Add(q.estimatedWait(now)).After(item.Deadline):
 			return result.DeadlineTooShort
 		}
 	}
-	if it.Bytes > limits.Bytes {
+	if item.Bytes > limits.Bytes {
 		return result.QueueBytesFull
 	}
-	if s.requests >= s.totalLimits.Requests || s.bytes+it.Bytes > s.totalLimits.Bytes {
+	if s.requests >= s.totalLimits.Requests || s.bytes+item.Bytes > s.totalLimits.Bytes {
 		return result.TooManyRequests
 	}
-	s.insert(now, &it, false)
+	s.insert(now, &item, false)
 	return result.OK
 }
 
-// Requeue puts a request that was already admitted back at the head. The
-// bounds do not apply: it was counted before, and there are no more of these
-// than there were slots.
-func (s *Set) Requeue(now time.Time, it *Item) {
-	it.avoidUntil = now.Add(avoidanceTime)
-	s.insert(now, it, true)
+// Requeue puts a request that was already admitted back at the head of its
+// queue. The bounds do not apply: the request was counted before, and there are
+// no more such requests than there were slots.
+func (s *Set) Requeue(now time.Time, item *Item) {
+	item.avoidUntil = now.Add(avoidanceTime)
+	s.insert(now, item, true)
 }
 
-func (s *Set) insert(now time.Time, it *Item, front bool) {
-	key := workspaceKey{it.Service, it.Workspace}
+func (s *Set) insert(now time.Time, item *Item, front bool) {
+	key := workspaceKey{item.Service, item.Workspace}
 	q := s.workspaces[key]
 	if q == nil {
 		q = &workspaceQueue{byModel: make(map[state.Model]*list.List), pace: departurePace{lastDeparture: now}}
 		s.workspaces[key] = q
 	}
-	l := q.byModel[it.Model]
+	l := q.byModel[item.Model]
 	if l == nil {
 		l = list.New()
-		q.byModel[it.Model] = l
+		q.byModel[item.Model] = l
 	}
 	if front {
-		it.element = l.PushFront(it)
+		item.element = l.PushFront(item)
 	} else {
-		it.element = l.PushBack(it)
+		item.element = l.PushBack(item)
 	}
 	if q.requests == 0 {
 		q.pace.lastDeparture = now
 	}
 	q.requests++
-	q.bytes += it.Bytes
+	q.bytes += item.Bytes
 	s.requests++
-	s.bytes += it.Bytes
-	s.items[it.ID] = it
-	s.deadlines.ReplaceOrInsert(it)
+	s.bytes += item.Bytes
+	s.items[item.ID] = item
+	s.deadlines.ReplaceOrInsert(item)
 }
 
-func (s *Set) remove(it *Item) {
-	key := workspaceKey{it.Service, it.Workspace}
+func (s *Set) remove(item *Item) {
+	key := workspaceKey{item.Service, item.Workspace}
 	q := s.workspaces[key]
-	l := q.byModel[it.Model]
-	l.Remove(it.element)
-	it.element = nil
+	l := q.byModel[item.Model]
+	l.Remove(item.element)
+	item.element = nil
 	if l.Len() == 0 {
-		delete(q.byModel, it.Model)
+		delete(q.byModel, item.Model)
 	}
 	q.requests--
-	q.bytes -= it.Bytes
+	q.bytes -= item.Bytes
 	s.requests--
-	s.bytes -= it.Bytes
-	delete(s.items, it.ID)
-	s.deadlines.Delete(it)
+	s.bytes -= item.Bytes
+	delete(s.items, item.ID)
+	s.deadlines.Delete(item)
 }
 
-// Head returns the oldest request of a line, or nil.
+// Head returns the oldest request of a queue, or nil.
 func (s *Set) Head(k Key) *Item {
 	q := s.workspaces[workspaceKey{k.Service, k.Workspace}]
 	if q == nil || q.byModel[k.Model] == nil {
@@ -211,7 +213,7 @@
 	return q.byModel[k.Model].Front().Value.(*Item)
 }
 
-// Len counts the requests of a line.
+// Len returns the number of requests in a queue.
 func (s *Set) Len(k Key) int {
 	q := s.workspaces[workspaceKey{k.Service, k.Workspace}]
 	if q == nil || q.byModel[k.Model] == nil {
@@ -220,58 +222,59 @@
 	return q.byModel[k.Model].Len()
 }
 
-// Take removes the request to run next on an upstream, or returns nil. A
-// request that just failed on this upstream lets the next one pass.
+// Take removes and returns the request to run next on an upstream, or nil if
+// there is none. A request that has just failed on this upstream is skipped.
 func (s *Set) Take(now time.Time, k Key, upstream state.Upstream) *Item {
-	it := s.Head(k)
-	for it != nil && it.avoids(now, upstream) {
-		next := it.element.Next()
+	item := s.Head(k)
+	for item != nil && item.avoids(now, upstream) {
+		next := item.element.Next()
 		if next == nil {
 			return nil
 		}
-		it = next.Value.(*Item)
+		item = next.Value.(*Item)
 	}
-	if it == nil {
+	if item == nil {
 		return nil
 	}
-	s.remove(it)
+	s.remove(item)
 	q := s.workspaces[workspaceKey{k.Service, k.Workspace}]
 	q.pace.recordDeparture(now)
 	if q.requests == 0 {
-		// The rush is over. Its pace would refuse the next burst for waits
-		// that nobody has any more.
+		// The burst is over. With its pace, requests of the next burst would be
+		// refused for a wait that no longer exists.
 		q.pace.interval = 0
 	}
-	return it
+	return item
 }
 
-func (it *Item) avoids(now time.Time, upstream state.Upstream) bool {
-	return it.LastUpstream == upstream && now.Before(it.avoidUntil)
+func (item *Item) avoids(now time.Time, upstream state.Upstream) bool {
+	return item.LastUpstream == upstream && now.Before(item.avoidUntil)
 }
 
-// Remove takes a request out, or returns nil if it does not wait.
+// Remove removes and returns a request, or returns nil if it does not wait.
 func (s *Set) Remove(id state.RequestID) *Item {
-	it := s.items[id]
-	if it != nil {
-		s.remove(it)
+	item := s.items[id]
+	if item != nil {
+		s.remove(item)
 	}
-	return it
+	return item
 }
 
-// TakeExpired removes and returns the requests whose deadline has come.
+// TakeExpired removes and returns the requests whose deadline has passed.
 func (s *Set) TakeExpired(now time.Time) []*Item {
 	var expired []*Item
 	for {
-		it, ok := s.deadlines.Min()
-		if !ok || it.Deadline.After(now) {
+		item, ok := s.deadlines.Min()
+		if !ok || item.Deadline.After(now) {
 			return expired
 		}
-		s.remove(it)
-		expired = append(expired, it)
+		s.remove(item)
+		expired = append(expired, item)
 	}
 }
 
-// EstimatedWait estimates how long a request of a workspace arriving now would wait.
+// EstimatedWait returns the estimated wait of a request of a workspace that
+// arrives now.
 func (s *Set) EstimatedWait(now time.Time, service state.Service, workspace state.Workspace) time.Duration {
 	q := s.workspaces[workspaceKey{service, workspace}]
 	if q == nil {
@@ -280,7 +283,7 @@
 	return q.estimatedWait(now)
 }
 
-// Waiting counts the requests of a workspace for a service.
+// Waiting returns the number of waiting requests of a workspace for a service.
 func (s *Set) Waiting(service state.Service, workspace state.Workspace) int {
 	q := s.workspaces[workspaceKey{service, workspace}]
 	if q == nil {
@@ -289,13 +292,13 @@
 	return q.requests
 }
 
-// Total counts all waiting requests.
+// Total returns the number of all waiting requests.
 func (s *Set) Total() int {
 	return s.requests
 }
 
-// ForgetIdle forgets workspaces that have had nothing waiting for a while, so that
-// memory follows the active ones.
+// ForgetIdle removes workspaces that have had no waiting requests for
+// paceMemory, so that only active workspaces use memory.
 func (s *Set) ForgetIdle(now time.Time) {
 	for k, q := range s.workspaces {
 		if q.requests == 0 && now.Sub(q.pace.lastDeparture) > paceMemory {
--- a/coordination/queue/queue_test.go
+++ b/coordination/queue/queue_test.go
@@ -33,8 +33,9 @@
 	require.Equal(t, result.TooManyRequests, s.Admit(now, other, limits))
 }
 
-// A caller waits in vain: its deadline is shorter than the queue is long. It
-// is refused on arrival; with nothing waiting before it, never.
+// TestDeadlineShorterThanEstimatedWait checks that a request whose deadline is
+// earlier than the estimated end of its wait is refused on arrival, and that a
+// request with no others waiting before it never is.
 func TestDeadlineShorterThanEstimatedWait(t *testing.T) {
 	now := now
 	s := New(Limits{})
@@ -49,12 +50,12 @@
 	require.Equal(t, result.DeadlineTooShort, s.Admit(now, item(30, 1, 19*time.Second), Limits{}))
 	require.Equal(t, result.OK, s.Admit(now, item(30, 1, 21*time.Second), Limits{}))
 	require.Len(t, s.TakeExpired(now.Add(11*time.Second)), 1)
-	require.Greater(t, s.EstimatedWait(now.Add(time.Minute), "s", "w"), time.Minute, "a queue that stopped")
+	require.Greater(t, s.EstimatedWait(now.Add(time.Minute), "s", "w"), time.Minute, "the queue has stalled")
 	for s.Take(now, Key{Service: "s", Workspace: "w"}, "u") != nil {
 		require.LessOrEqual(t, s.Total(), 9)
 	}
 	require.Equal(t, result.OK, s.Admit(now, item(40, 1, 20*time.Second), Limits{}))
-	require.Equal(t, result.OK, s.Admit(now, item(41, 1, 20*time.Second), Limits{}), "the rush is over")
+	require.Equal(t, result.OK, s.Admit(now, item(41, 1, 20*time.Second), Limits{}), "the burst is over and its pace is forgotten")
 }
 
 func TestRetryAvoidsFailedUpstream(t *testing.T) {
@@ -70,7 +71,8 @@
 	require.Equal(t, state.RequestID(1), s.Take(now.Add(avoidanceTime), k, "u").ID)
 }
 
-// TestCountsMatchContent checks that counts and bytes never drift.
+// TestCountsMatchContent checks that the counts of requests and bytes always
+// match the content of the queues.
 func TestCountsMatchContent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Limits{Requests: 10, Bytes: 100})
@@ -79,20 +81,20 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"admit": func(t *rapid.T) {
 				next++
-				it := item(next, rapid.Int64Range(0, 30).Draw(t, "bytes"), time.Hour)
-				it.Model = rapid.SampledFrom([]state.Model{"", "m"}).Draw(t, "model")
-				if s.Admit(now, it, Limits{}) == result.OK {
-					content[next] = it.Bytes
+				waiting := item(next, rapid.Int64Range(0, 30).Draw(t, "bytes"), time.Hour)
+				waiting.Model = rapid.SampledFrom([]state.Model{"", "m"}).Draw(t, "model")
+				if s.Admit(now, waiting, Limits{}) == result.OK {
+					content[next] = waiting.Bytes
 				}
 			},
 			"take": func(*rapid.T) {
-				if it := s.Take(now, Key{Service: "s", Workspace: "w"}, "u"); it != nil {
-					delete(content, it.ID)
+				if waiting := s.Take(now, Key{Service: "s", Workspace: "w"}, "u"); waiting != nil {
+					delete(content, waiting.ID)
 				}
 			},
 			"remove": func(t *rapid.T) {
 				id := state.RequestID(rapid.Uint64Range(0, uint64(next)).Draw(t, "id"))
-				if it := s.Remove(id); it != nil {
+				if waiting := s.Remove(id); waiting != nil {
 					delete(content, id)
 				}
 			},
