--- a/coordination/grants/grants.go
+++ b/coordination/grants/grants.go
@@ -1,5 +1,5 @@
-// Package grants keeps the books of grants: those a router has given for its
-// upstreams, and which of its peers' it has seen.
+// Package grants keeps the grants that a router has issued for its upstreams,
+// and the sequence numbers of the grants that it has received from peers.
 package grants
 
 import (
@@ -11,15 +11,16 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Lifetime is how long a grant may stay unused. It is far above a round trip
-// between data centres, so that only a dead or cut-off receiver lets a grant
-// lapse, and bounds for how long such a receiver keeps a slot idle.
+// Lifetime is the time within which a grant must be used. It is far longer than
+// a round trip between data centres, so that a grant expires only if its
+// receiver crashed or is cut off. It also bounds the time for which such a
+// receiver keeps a slot idle.
 const Lifetime = 2 * time.Second
 
-// ReportTimeout is after how long without a report a used grant is checked against
-// the upstream's load. The report of the end can be lost with a connection
-// that is restored before anybody misses the peer; then the slot would count
-// as taken for ever.
+// ReportTimeout is the time without a report after which a used grant is
+// checked against the load of its upstream. The report of the end can be lost
+// with a connection that is restored before the peer counts as lost; without
+// the check the slot would then stay occupied for ever.
 const ReportTimeout = 5 * time.Minute
 
 // Grant is one outstanding grant of this router.
@@ -29,7 +30,8 @@
 	Upstream  state.Upstream
 	Service   state.Service
 	Workspace state.Workspace
-	// Reserved is the cost set aside in total, Charged what was served of it.
+	// Reserved is the total cost reserved, and Charged the part of it that was
+	// served, both in cost units.
 	Reserved  state.Cost
 	Charged   state.Cost
 	Started   bool
@@ -37,14 +39,15 @@
 	ExpiresAt time.Time
 }
 
-// Remaining is the cost still set aside.
+// Remaining returns the cost that is still reserved.
 func (g *Grant) Remaining() state.Cost {
 	return max(0, g.Reserved-g.Charged)
 }
 
-// Charge counts served cost. A request that outgrows its reservation gets
-// twice as much set aside: one that already ran past its estimate is likely
-// to go on for as long again, and would otherwise count nothing ahead.
+// Charge adds served cost. If a request exceeds its reservation, the
+// reservation is doubled: a request that has already exceeded its estimate is
+// likely to run for as long again, and without a reservation that remaining
+// cost would not be counted in advance.
 func (g *Grant) Charge(cost state.Cost) {
 	g.Charged += cost
 	for g.Reserved < g.Charged {
@@ -52,7 +55,7 @@
 	}
 }
 
-// Table holds the outstanding grants that a router has given.
+// Table holds the outstanding grants that a router has issued.
 type Table struct {
 	lastSequence uint64
 	bySequence   map[uint64]*Grant
@@ -60,9 +63,9 @@
 	byRouter     map[state.Router]map[uint64]*Grant
 }
 
-// NewTable returns an empty book whose sequence numbers follow first. Callers
-// pick first at random per incarnation, so that reports about grants of an
-// earlier incarnation never hit a grant of this one.
+// NewTable returns an empty table that numbers its grants upwards from first+1.
+// Callers choose first at random per incarnation, so that reports about grants
+// of an earlier incarnation never match a grant of this one.
 func NewTable(first uint64) *Table {
 	return &Table{
 		lastSequence: first,
@@ -79,107 +82,111 @@
 	return a.Sequence < b.Sequence
 }
 
-// Issue enters a grant and numbers it.
-func (b *Table) Issue(now time.Time, g Grant) *Grant {
-	b.lastSequence++
-	g.Sequence = b.lastSequence
+// Issue adds a grant and assigns its sequence number.
+func (t *Table) Issue(now time.Time, g Grant) *Grant {
+	t.lastSequence++
+	g.Sequence = t.lastSequence
 	g.IssuedAt = now
 	g.ExpiresAt = now.Add(Lifetime)
-	b.insert(&g)
+	t.insert(&g)
 	return &g
 }
 
-// Reinsert enters a used grant again that had expired.
-func (b *Table) Reinsert(now time.Time, g *Grant) {
+// Reinsert adds a started grant that had expired to the table again.
+func (t *Table) Reinsert(now time.Time, g *Grant) {
 	g.ExpiresAt = now.Add(ReportTimeout)
-	b.insert(g)
+	t.insert(g)
 }
 
-func (b *Table) insert(g *Grant) {
-	b.bySequence[g.Sequence] = g
-	if b.byRouter[g.To] == nil {
-		b.byRouter[g.To] = make(map[uint64]*Grant)
+func (t *Table) insert(g *Grant) {
+	t.bySequence[g.Sequence] = g
+	if t.byRouter[g.To] == nil {
+		t.byRouter[g.To] = make(map[uint64]*Grant)
 	}
-	b.byRouter[g.To][g.Sequence] = g
-	b.byExpiry.ReplaceOrInsert(g)
+	t.byRouter[g.To][g.Sequence] = g
+	t.byExpiry.ReplaceOrInsert(g)
 }
 
-// Find returns an outstanding grant given to a router, or nil.
-func (b *Table) Find(to state.Router, sequence uint64) *Grant {
-	g, ok := b.bySequence[sequence]
+// Find returns an outstanding grant that was issued to a router, or nil.
+func (t *Table) Find(to state.Router, sequence uint64) *Grant {
+	g, ok := t.bySequence[sequence]
 	if !ok || g.To != to {
 		return nil
 	}
 	return g
 }
 
-// MarkStarted marks a grant as used. It does not expire before Silence has passed.
-func (b *Table) MarkStarted(now time.Time, g *Grant) {
-	b.byExpiry.Delete(g)
+// MarkStarted marks a grant as used. It then does not expire before
+// ReportTimeout has passed.
+func (t *Table) MarkStarted(now time.Time, g *Grant) {
+	t.byExpiry.Delete(g)
 	g.Started = true
 	g.ExpiresAt = now.Add(ReportTimeout)
-	b.byExpiry.ReplaceOrInsert(g)
+	t.byExpiry.ReplaceOrInsert(g)
 }
 
 // Remove removes a grant.
-func (b *Table) Remove(g *Grant) {
-	b.byExpiry.Delete(g)
-	delete(b.bySequence, g.Sequence)
-	delete(b.byRouter[g.To], g.Sequence)
-	if len(b.byRouter[g.To]) == 0 {
-		delete(b.byRouter, g.To)
+func (t *Table) Remove(g *Grant) {
+	t.byExpiry.Delete(g)
+	delete(t.bySequence, g.Sequence)
+	delete(t.byRouter[g.To], g.Sequence)
+	if len(t.byRouter[g.To]) == 0 {
+		delete(t.byRouter, g.To)
 	}
 }
 
-// TakeExpired removes and returns the grants that were not used in time or of
-// which nothing was heard for too long.
-func (b *Table) TakeExpired(now time.Time) []*Grant {
+// TakeExpired removes and returns the grants that were not used within their
+// lifetime, and the started ones without a report for ReportTimeout.
+func (t *Table) TakeExpired(now time.Time) []*Grant {
 	var expired []*Grant
 	for {
-		g, ok := b.byExpiry.Min()
+		g, ok := t.byExpiry.Min()
 		if !ok || now.Before(g.ExpiresAt) {
 			return expired
 		}
-		b.Remove(g)
+		t.Remove(g)
 		expired = append(expired, g)
 	}
 }
 
-// RemoveRouter removes and returns all grants of a router that is gone.
-func (b *Table) RemoveRouter(to state.Router) []*Grant {
+// RemoveRouter removes and returns all grants that were issued to a router that
+// is no longer live.
+func (t *Table) RemoveRouter(to state.Router) []*Grant {
 	var removed []*Grant
-	for _, g := range b.byRouter[to] {
+	for _, g := range t.byRouter[to] {
 		removed = append(removed, g)
 	}
 	slices.SortFunc(removed, func(a, b *Grant) int { return int(int64(a.Sequence - b.Sequence)) })
 	for _, g := range removed {
-		b.Remove(g)
+		t.Remove(g)
 	}
 	return removed
 }
 
-// Len counts the outstanding grants.
-func (b *Table) Len() int {
-	return len(b.bySequence)
+// Len returns the number of outstanding grants.
+func (t *Table) Len() int {
+	return len(t.bySequence)
 }
 
-// maxSequenceDistance is the distance within which two sequence numbers belong to
-// the same incarnation of an owner; numbers of another one start at random.
+// maxSequenceDistance is the maximum distance between two sequence numbers of
+// the same incarnation of an owner. The numbers of another incarnation start at
+// random.
 const maxSequenceDistance = 1 << 32
 
-// SeenSequences recognises grants that come twice, so that one grant never starts two
-// requests.
+// SeenSequences detects grants that are received twice, so that a grant never
+// starts two requests.
 type SeenSequences struct {
 	last map[state.Router]uint64
 }
 
-// NewSeenSequences returns an empty memory.
+// NewSeenSequences returns an empty SeenSequences.
 func NewSeenSequences() *SeenSequences {
 	return &SeenSequences{last: make(map[state.Router]uint64)}
 }
 
-// Accept reports whether a grant is news. Owners number their grants upwards
-// over an ordered connection, so the last number per owner is memory enough.
+// Accept reports whether a grant was not received before, and records it.
+// Owners number their grants upwards and send them over an ordered connection,
+// so it is enough to store the last number per owner.
 func (s *SeenSequences) Accept(owner state.Router, sequence uint64) bool {
 	last, ok := s.last[owner]
 	behind := int64(last - sequence)
@@ -190,7 +197,7 @@
 	return true
 }
 
-// ForgetOwner drops an owner that is gone.
+// ForgetOwner removes an owner that is no longer live.
 func (s *SeenSequences) ForgetOwner(owner state.Router) {
 	delete(s.last, owner)
 }
--- a/coordination/grants/grants_test.go
+++ b/coordination/grants/grants_test.go
@@ -11,20 +11,20 @@
 
 func TestTable(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := NewTable(41)
-	first := b.Issue(now, Grant{To: "r", Reserved: 100})
-	second := b.Issue(now.Add(time.Second), Grant{To: "r", Reserved: 100})
+	table := NewTable(41)
+	first := table.Issue(now, Grant{To: "r", Reserved: 100})
+	second := table.Issue(now.Add(time.Second), Grant{To: "r", Reserved: 100})
 	require.Equal(t, uint64(42), first.Sequence)
-	require.Nil(t, b.Find("other", 42), "a grant belongs to one router")
-	b.MarkStarted(now, b.Find("r", 42))
-	require.Equal(t, []*Grant{second}, b.TakeExpired(now.Add(time.Second+Lifetime)))
-	b.MarkStarted(now.Add(time.Minute), first)
-	require.Empty(t, b.TakeExpired(now.Add(ReportTimeout)), "started grants outlive their lifetime")
-	require.Equal(t, []*Grant{first}, b.RemoveRouter("r"))
-	require.Zero(t, b.Len())
-	silent := b.Issue(now, Grant{To: "r"})
-	b.MarkStarted(now, silent)
-	require.Equal(t, []*Grant{silent}, b.TakeExpired(now.Add(ReportTimeout)), "its end was lost")
+	require.Nil(t, table.Find("other", 42), "a grant is found only under the router that it was issued to")
+	table.MarkStarted(now, table.Find("r", 42))
+	require.Equal(t, []*Grant{second}, table.TakeExpired(now.Add(time.Second+Lifetime)))
+	table.MarkStarted(now.Add(time.Minute), first)
+	require.Empty(t, table.TakeExpired(now.Add(ReportTimeout)), "started grants do not expire after Lifetime")
+	require.Equal(t, []*Grant{first}, table.RemoveRouter("r"))
+	require.Zero(t, table.Len())
+	unreported := table.Issue(now, Grant{To: "r"})
+	table.MarkStarted(now, unreported)
+	require.Equal(t, []*Grant{unreported}, table.TakeExpired(now.Add(ReportTimeout)), "the report of the end was lost")
 }
 
 func TestReservationDoublesWhenOutgrown(t *testing.T) {
@@ -40,7 +40,7 @@
 	require.True(t, s.Accept("r", 1<<60))
 	require.False(t, s.Accept("r", 1<<60))
 	require.True(t, s.Accept("r", 1<<60+1))
-	require.False(t, s.Accept("r", 1<<60-5), "late")
+	require.False(t, s.Accept("r", 1<<60-5), "an earlier sequence number of the same incarnation")
 	require.True(t, s.Accept("r", 7), "another incarnation")
 	require.True(t, s.Accept("q", 7))
 }
