--- a/coordination/ownership/change.go
+++ b/coordination/ownership/change.go
@@ -6,18 +6,21 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Change follows owners from one table to the next. With rendezvous hashing an
-// owner changes only if it left or if a router that joined wins over it, so
-// that a single router costs no look-up over all of them.
+// Change computes owners after a change of the live routers from the owners
+// before it. With rendezvous hashing, an upstream gets another owner only if
+// its owner departed or if a router that joined ranks above the owner for this
+// upstream. Therefore the join or departure of a single router does not require
+// a look-up over all routers for each upstream.
 type Change struct {
 	before, after *Table
 	setChanges    map[routerSetPair]*routerSetChange
 }
 
-// routerSetPair is the rings of one data centre before and after.
+// routerSetPair holds the router sets of one data centre before and after the
+// change.
 type routerSetPair struct{ before, after *routerSet }
 
-// NewChange compares two tables.
+// NewChange returns the change from one table to another.
 func NewChange(before, after *Table) *Change {
 	return &Change{before: before, after: after, setChanges: make(map[routerSetPair]*routerSetChange)}
 }
@@ -36,7 +39,8 @@
 	return true
 }
 
-// Owner returns the owner by the later table, given the one by the earlier.
+// Owner returns the owner of an upstream in the later table, given its owner in
+// the earlier one.
 func (c *Change) Owner(upstream state.Upstream, dc state.DataCentre, currentOwner state.Router) state.Router {
 	return c.forDataCentre(dc).owner(upstream, currentOwner)
 }
@@ -51,12 +55,12 @@
 	return change
 }
 
-// routerSetChange is the change of one ring.
+// routerSetChange is the change of one router set.
 type routerSetChange struct {
 	after  *routerSet
 	joined []string
-	// challengerSets holds, for each present owner, the ring of it and of those
-	// that joined.
+	// challengerSets holds, for each current owner, the set of that owner and
+	// the routers that joined.
 	challengerSets map[state.Router]*routerSet
 }
 
--- a/coordination/ownership/change_test.go
+++ b/coordination/ownership/change_test.go
@@ -9,9 +9,10 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Two routers would both grant the slots of an upstream, if one of them had
-// followed changes of the fleet step by step to another owner than the table
-// of the whole fleet gives.
+// TestChangeAgreesWithTable guards against two routers granting the slots of
+// the same upstream. That would happen if a router that followed several
+// changes of the fleet arrived at another owner than the table of the whole
+// fleet.
 func TestChangeAgreesWithTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fleet := rapid.SliceOfNDistinct(rapid.Custom(drawCandidate), 0, 40, func(c Candidate) state.Router { return c.Router })
@@ -20,17 +21,17 @@
 			list := fleet.Draw(t, "after")
 			after := New(list)
 			change := NewChange(before, after)
-			none := change.IsEmpty()
+			unchanged := change.IsEmpty()
 			for i := range 60 {
 				u := state.Upstream(fmt.Sprint("u", i))
 				dc := state.DataCentre(fmt.Sprint(i % 5))
-				present := before.Owner(u, dc)
+				currentOwner := before.Owner(u, dc)
 				owner := after.Owner(u, dc)
-				if got := change.Owner(u, dc, present); got != owner {
-					t.Fatalf("%s moves from %q to %q and not to %q", u, present, got, owner)
+				if got := change.Owner(u, dc, currentOwner); got != owner {
+					t.Fatalf("%s moves from %q to %q, but its owner in the table is %q", u, currentOwner, got, owner)
 				}
-				if none && present != owner {
-					t.Fatalf("%s moves although nothing changes", u)
+				if unchanged && currentOwner != owner {
+					t.Fatalf("%s moves although the change is empty", u)
 				}
 			}
 			before = after
--- a/coordination/ownership/ownership.go
+++ b/coordination/ownership/ownership.go
@@ -1,6 +1,6 @@
 // Package ownership decides which router grants the slots of an upstream. It
-// needs no lock and no store: every router computes the same owner from the
-// same set of live routers.
+// needs no lock and no store, because every router computes the same owner from
+// the same set of live routers.
 package ownership
 
 import (
@@ -12,10 +12,11 @@
 	"github.com/figstile/figstile/state"
 )
 
-// maxJoined is how many routers may join a ring at once before owners are
-// looked up anew instead of compared with those that joined: half of a data
-// centre's 29 routers at the destination, beyond which a comparison is hardly
-// shorter than the look-up. A rack of ten is below it.
+// maxJoined is the maximum number of routers that may join a router set at once
+// without all owners being looked up anew. Up to it, each owner is compared
+// only with the routers that joined. It is about half of the 29 routers that a
+// data centre has in the planned fleet; with more, the comparison is hardly
+// shorter than the look-up. A rack of ten routers is below it.
 const maxJoined = 16
 
 // Candidate is a live router that may own upstreams.
@@ -31,9 +32,10 @@
 	allRouters   *routerSet
 }
 
-// New builds the table. Draining routers own nothing, unless no other router
-// is left: then they go on owning, or the last router of a fleet could not
-// finish its own queue.
+// New builds the table for the given routers. Draining routers own nothing,
+// unless all routers are draining: then they keep owning upstreams, because
+// otherwise the last router of a fleet could not finish the requests in its own
+// queue.
 func New(candidates []Candidate) *Table {
 	eligible := slices.DeleteFunc(slices.Clone(candidates), func(c Candidate) bool { return c.Draining })
 	if len(eligible) == 0 {
@@ -52,9 +54,9 @@
 	return t
 }
 
-// Owner returns the owner of an upstream, or "" if no router lives. Routers
-// of the upstream's data centre come first, because a partition that cuts
-// data centres apart then leaves upstream and owner on the same side.
+// Owner returns the owner of an upstream, or "" if no router is live. Routers
+// of the upstream's data centre are preferred, because then a partition between
+// data centres leaves the upstream and its owner on the same side.
 func (t *Table) Owner(upstream state.Upstream, dc state.DataCentre) state.Router {
 	return t.routersFor(dc).owner(upstream)
 }
@@ -66,13 +68,14 @@
 	return t.allRouters
 }
 
-// routerSet is the rendezvous hash over one set of routers.
+// routerSet is a set of routers with its rendezvous hash.
 type routerSet struct {
 	names []string
 	hash  *rendezvous.Rendezvous
 }
 
-// newRouterSet sorts the names, so that equal hashes are settled alike everywhere.
+// newRouterSet sorts the names, so that all routers resolve equal hashes in the
+// same way.
 func newRouterSet(names []string) *routerSet {
 	slices.Sort(names)
 	return &routerSet{names: names, hash: rendezvous.New(names, xxhash.Sum64String)}
--- a/coordination/ownership/ownership_test.go
+++ b/coordination/ownership/ownership_test.go
@@ -17,14 +17,14 @@
 		u := state.Upstream(fmt.Sprintf("u%d", i))
 		owner := New(all).Owner(u, "x")
 		owned[owner]++
-		require.Equal(t, owner, New(reversed).Owner(u, "x"), "the order of routers is no matter")
+		require.Equal(t, owner, New(reversed).Owner(u, "x"), "the owner does not depend on the order of routers")
 		require.Equal(t, state.Router("c"), New(all).Owner(u, "y"))
 		if owner != "b" {
-			require.Equal(t, owner, New(append(all[:1:1], all[2:]...)).Owner(u, "x"), "only the lost router's upstreams move")
+			require.Equal(t, owner, New(append(all[:1:1], all[2:]...)).Owner(u, "x"), "only the upstreams of the removed router move")
 		}
 	}
 	require.Greater(t, min(owned["a"], owned["b"]), 30)
-	require.NotEmpty(t, New(all).Owner("u", "z"), "a data centre without routers")
-	require.Equal(t, state.Router("d"), New(all[3:]).Owner("u", "y"), "the last router goes on although it drains")
+	require.NotEmpty(t, New(all).Owner("u", "z"), "an upstream in a data centre without routers has an owner")
+	require.Equal(t, state.Router("d"), New(all[3:]).Owner("u", "y"), "the last router keeps its upstreams although it drains")
 	require.Empty(t, New(nil).Owner("u", "x"))
 }
