--- a/coordination/claims/chain.go
+++ b/coordination/claims/chain.go
@@ -6,8 +6,9 @@
 	"github.com/figstile/figstile/state"
 )
 
-// sealedEntry is an entry of a sealed segment in memory. The digest is its key and
-// the claimer a number, which keeps it at 24 bytes.
+// sealedEntry is the in-memory form of an entry of a sealed segment. The digest
+// is the key of the map that holds it, and the claimer is stored as a number,
+// which keeps the entry at 24 bytes.
 type sealedEntry struct {
 	sequence  uint64
 	claimer   uint32
@@ -19,18 +20,18 @@
 type sealedSegment struct {
 	number  uint64
 	version Version
-	// newestClaim is the time of its newest entry.
+	// newestClaim is the time of the newest entry in the segment.
 	newestClaim time.Time
 }
 
-// chain is what a router remembers of a shard's sealed segments: the last entry
-// of each key. Sealed segments never change but to be emptied once expired, so
-// each is read once.
+// chain holds the last entry of each key in the sealed segments of a shard.
+// Sealed segments never change, except that they are emptied once all their
+// entries have expired, so each is read once.
 type chain struct {
 	entries        map[Digest]sealedEntry
 	claimers       []claimer
 	claimerNumbers map[claimer]uint32
-	// sealed are the segments that hold entries, oldest first.
+	// sealed lists the segments that hold entries, oldest first.
 	sealed []sealedSegment
 }
 
@@ -49,16 +50,16 @@
 }
 
 func (c *chain) entry(d Digest, r sealedEntry) Entry {
-	owner := c.claimers[r.claimer]
+	claimedBy := c.claimers[r.claimer]
 	return Entry{
 		Digest:    d,
-		Claim:     state.AttemptID{Router: owner.router, Incarnation: owner.incarnation, Sequence: r.sequence},
+		Claim:     state.AttemptID{Router: claimedBy.router, Incarnation: claimedBy.incarnation, Sequence: r.sequence},
 		Status:    r.status,
 		ClaimedAt: time.Unix(int64(r.claimedAt), 0).UTC(),
 	}
 }
 
-// merge takes in the segment that follows those known.
+// merge adds the segment that follows the ones already merged.
 func (c *chain) merge(segment *Segment, version Version) {
 	if len(segment.Entries) == 0 {
 		return
@@ -72,12 +73,12 @@
 }
 
 func (c *chain) put(e *Entry) {
-	owner := claimerOf(e.Claim)
-	number, known := c.claimerNumbers[owner]
+	claimedBy := claimerOf(e.Claim)
+	number, known := c.claimerNumbers[claimedBy]
 	if !known {
 		number = uint32(len(c.claimers))
-		c.claimers = append(c.claimers, owner)
-		c.claimerNumbers[owner] = number
+		c.claimers = append(c.claimers, claimedBy)
+		c.claimerNumbers[claimedBy] = number
 	}
 	c.entries[e.Digest] = sealedEntry{
 		sequence:  e.Claim.Sequence,
@@ -87,7 +88,8 @@
 	}
 }
 
-// expiredSegments counts the sealed segments, oldest first, that may be emptied.
+// expiredSegments returns the number of sealed segments, counted from the
+// oldest, that may be emptied.
 func (c *chain) expiredSegments(now time.Time) int {
 	for i := range c.sealed {
 		if now.Sub(c.sealed[i].newestClaim) <= Retention+clockSkew {
@@ -97,8 +99,9 @@
 	return len(c.sealed)
 }
 
-// dropExpired forgets expired entries and the claimers that only they named. The maps
-// are built anew, since a map does not give memory back.
+// dropExpired removes expired entries and the claimers that only they refer to.
+// The maps are built anew, since a Go map does not release memory when entries
+// are deleted.
 func (c *chain) dropExpired(now time.Time) {
 	kept := newChain()
 	for digest, r := range c.entries {
--- a/coordination/claims/chain_test.go
+++ b/coordination/claims/chain_test.go
@@ -14,7 +14,7 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// oneEntryBytes is a segment's size at which every write seals.
+// oneEntryBytes is a segment size at which every write seals the segment.
 const oneEntryBytes = 60
 
 func newSizedRouter(name state.Router, segmentBytes int) *router {
@@ -23,8 +23,9 @@
 	return r
 }
 
-// TestSealerDies: bookings of a shard stop for good, or run twice. A router is
-// lost between the write that seals a segment and the one that creates the next.
+// TestRouterLostAfterSeal checks that a shard neither stops nor grants a key
+// twice if a router is lost between the write that seals a segment and the one
+// that creates the next segment.
 func TestRouterLostAfterSeal(t *testing.T) {
 	p := &platform{}
 	require.Equal(t, result.OK, newSizedRouter("pudahuel-1", oneEntryBytes).claim(p, "k", 1).Code)
@@ -36,9 +37,10 @@
 	require.Equal(t, result.KeyInProgress, newSizedRouter("sala-1", oneEntryBytes).claim(p, next, 3).Code)
 }
 
-// TestLostAnswersAlongTheChain: a booking runs twice or its key is lost. The
-// answer to an append, to a seal or to a creation is lost; the write landed, got
-// lost, or lands after it was read back, and a resend follows elsewhere.
+// TestLostWriteAnswers checks that a key is granted once if the answer to an
+// append, a seal or the creation of a segment is lost. The write took effect,
+// never does, or takes effect after it was read back, and another router
+// receives the same request again.
 func TestLostWriteAnswers(t *testing.T) {
 	for name, bytes := range map[string]int{"append": 200, "seal": 100, "create": oneEntryBytes} {
 		for _, landing := range []string{"at once", "never", "late"} {
@@ -74,9 +76,10 @@
 	}
 }
 
-// TestPausedWriterMeetsASeal: two escorts for one child. A router is paused
-// within its append; meanwhile the segment is sealed and the same key claimed in
-// a later one. Another has an old view of the chain's end after a partition.
+// TestPausedWriterConflictsWithSeal checks that a key is not granted twice if a
+// router pauses within its write and another seals the segment and claims the
+// key in a later one. A third router has an old view of the chain's end after a
+// partition.
 func TestPausedWriterConflictsWithSeal(t *testing.T) {
 	p := &platform{}
 	paused, partitioned, other := newSizedRouter("pudahuel-1", 150), newSizedRouter("sala-1", 150), newSizedRouter("quilicura-1", 150)
@@ -95,8 +98,9 @@
 	require.Equal(t, result.KeyInProgress, partitioned.claim(p, keys[9], 2).Code)
 }
 
-// TestStaleEndOfTheChain: a booking runs again at a router that has just
-// started. Its first read is older than the segments that hold the claim.
+// TestStaleFirstRead checks that a router that has just started does not grant
+// a claimed key again if its first read is older than the segments that hold
+// the claim.
 func TestStaleFirstRead(t *testing.T) {
 	for behind := range 7 {
 		p := &platform{}
@@ -110,14 +114,14 @@
 		restarted.step(ClaimWanted{Request: req})
 		restarted.step(p.staleRead(restarted.nextCall().(Read), behind))
 		restarted.settle(p)
-		require.Equal(t, result.KeyInProgress, restarted.decided[req.Attempt].Code, "%d writes behind", behind)
+		require.Equal(t, result.KeyInProgress, restarted.decided[req.Attempt].Code, "the first read is %d writes behind", behind)
 	}
 }
 
-// TestLaterStatesOfASealedClaim: a resend hears "in progress" of a booking that was
-// made, or a key stays taken that nobody holds, because the claim's segment
-// takes no more changes. Later entries say what became of it; that a second
-// claim is released must not bring the first one back.
+// TestStatusAfterSeal checks the later states of a claim in a sealed segment,
+// which itself takes no more changes. A completed request must not stay in
+// progress, a released key must not stay blocked, and the release of a second
+// claim must not make the first one valid again.
 func TestStatusAfterSeal(t *testing.T) {
 	for _, bytes := range []int{oneEntryBytes, 120, SegmentBytes} {
 		p := &platform{}
@@ -131,22 +135,23 @@
 		r.settle(p)
 		require.Equal(t, result.KeyCompleted, newSizedRouter("quilicura-1", bytes).claim(p, "done", 1).Code)
 		for i, name := range []state.Router{"quilicura-1", "sala-1"} {
-			again := newSizedRouter(name, bytes)
-			req := again.request("freed", 2)
-			require.Equal(t, result.OK, again.claim(p, "freed", 2).Code)
+			second := newSizedRouter(name, bytes)
+			req := second.request("freed", 2)
+			require.Equal(t, result.OK, second.claim(p, "freed", 2).Code)
 			r.step(RequestFinished{Request: freed, Ran: result.RanNo})
 			r.settle(p)
-			require.Equal(t, result.KeyInProgress, r.claim(p, "freed", uint64(10+i)).Code, "an old release frees nothing")
-			again.step(RequestFinished{Request: req, Ran: result.RanNo})
-			again.settle(p)
+			require.Equal(t, result.KeyInProgress, r.claim(p, "freed", uint64(10+i)).Code, "the repeated release of an earlier claim does not free the key")
+			second.step(RequestFinished{Request: req, Ran: result.RanNo})
+			second.settle(p)
 		}
 		require.Equal(t, result.OK, newSizedRouter("sala-2", bytes).claim(p, "freed", 1).Code)
 	}
 }
 
-// TestChainGoesRound: the platform fills up with old bookings, or one runs again
-// because a segment inside the retention was overwritten. Slots are reused only
-// once their entries have expired, also by a router that slept all the while.
+// TestChainReusesSlots checks that a chain does not grow without bound and that
+// slots are reused only once their entries have expired. A segment overwritten
+// within the retention would let a request run again. A router that was idle
+// all the while must follow as well.
 func TestChainReusesSlots(t *testing.T) {
 	p := &platform{}
 	r, idle := newSizedRouter("pudahuel-1", oneEntryBytes), newSizedRouter("quilicura-1", oneEntryBytes)
@@ -155,14 +160,14 @@
 	}
 	keys := keysInShard(r, 3, 8)
 	require.Equal(t, result.OK, idle.claim(p, keys[7], 1).Code)
-	for day := range 10 {
+	for period := range 10 {
 		for i, key := range keys[:6] {
-			require.Equal(t, result.OK, r.claim(p, key, uint64(100*day+i)).Code, "day %d", day)
+			require.Equal(t, result.OK, r.claim(p, key, uint64(100*period+i)).Code, "period %d", period)
 		}
 		idle.now = r.now
 		restarted := newSizedRouter("sala-1", oneEntryBytes)
 		restarted.limits, restarted.now = r.limits, r.now
-		require.Equal(t, result.KeyInProgress, restarted.claim(p, keys[0], uint64(day)).Code)
+		require.Equal(t, result.KeyInProgress, restarted.claim(p, keys[0], uint64(period)).Code)
 		require.LessOrEqual(t, len(r.shards[3].chain.entries), 8)
 		r.now = r.now.Add(Retention + clockSkew + time.Minute)
 	}
@@ -172,18 +177,19 @@
 	full.limits, full.now = r.limits, idle.now
 	require.Equal(t, result.OK, full.claim(p, keys[6], 1).Code)
 	res := full.claim(p, keys[7], 2)
-	require.Equal(t, result.ClaimUnavailable, res.Code, "no slot is free")
+	require.Equal(t, result.ClaimUnavailable, res.Code, "no slot is free for another claim")
 	require.Equal(t, result.RanNo, res.Ran)
 	require.Equal(t, before+1, p.seals)
-	stubs := slices.DeleteFunc(slices.Clone(p.history[3]), func(o StoredSegment) bool {
+	emptiedSegments := slices.DeleteFunc(slices.Clone(p.history[3]), func(o StoredSegment) bool {
 		segment, err := Decode(o.Value)
 		return err != nil || len(segment.Entries) > 0
 	})
-	require.NotEmpty(t, stubs, "expired segments are emptied")
+	require.NotEmpty(t, emptiedSegments, "expired segments must be emptied")
 }
 
-// TestNoFreeSlot: a booking runs again because completions of a full shard went
-// on into the slot that holds its claim. They wait until it has expired.
+// TestNoFreeSlot checks that completions of a full shard do not overwrite the
+// slot that holds their claim, which would let the request run again. They wait
+// until the slot has expired.
 func TestNoFreeSlot(t *testing.T) {
 	p := &platform{}
 	r := newSizedRouter("pudahuel-1", oneEntryBytes)
@@ -215,8 +221,9 @@
 	require.Equal(t, result.OK, r.claim(p, keys[3], 4).Code)
 }
 
-// TestGapRefusesClaims: a booking runs again because the segment that holds its
-// claim was deleted or mixed up. Whatever does not follow refuses claims.
+// TestGapRefusesClaims checks that claims are refused if a segment of the chain
+// is missing or in the wrong place, since it may hold the claim of the same
+// key.
 func TestGapRefusesClaims(t *testing.T) {
 	segment := func(number uint64, sealed bool) []byte {
 		value, err := (&Segment{Number: number, Sealed: sealed}).Encode()
@@ -241,8 +248,9 @@
 	}
 }
 
-// TestOversizedSegment: bookings of a shard are refused until tomorrow. A router
-// with another size of segments left one open that has no room for a claim.
+// TestOversizedSegment checks that claims of a shard are not refused until the
+// retention ends because a router with a larger segment size left an open
+// segment without space for another claim.
 func TestOversizedSegment(t *testing.T) {
 	p := &platform{}
 	r := newRouter("pudahuel-1", 1)
@@ -262,7 +270,8 @@
 	require.Equal(t, result.KeyInProgress, newRouter("quilicura-1", 1).claim(p, key, 1).Code)
 }
 
-// BenchmarkMemoryPerKey reports the heap that a sealed key takes.
+// BenchmarkMemoryPerKey reports the heap memory used by a key in a sealed
+// segment, in bytes.
 func BenchmarkMemoryPerKey(b *testing.B) {
 	for _, keys := range []int{1000, 10_000, MaxKeys} {
 		b.Run(fmt.Sprint(keys), func(b *testing.B) { benchmarkMemory(b, keys) })
@@ -285,7 +294,8 @@
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(keys), "B/key")
 }
 
-// completedSegments returns sealed segments of a shard with so many completed keys.
+// completedSegments returns sealed segments that hold the given number of
+// completed keys.
 func completedSegments(keys int) []*Segment {
 	const perSegment = SegmentBytes / entryBytes
 	var segments []*Segment
--- a/coordination/claims/codec.go
+++ b/coordination/claims/codec.go
@@ -11,33 +11,35 @@
 	"github.com/figstile/figstile/state"
 )
 
-// The object of a segment: a magic number, its number in the chain, a flag, the
-// claimers, the entries in digest order, and a checksum. An entry names its
-// claimer by index, which keeps it at 31 bytes.
+// magic begins the object of a segment. It is followed by the number of the
+// segment in the chain, a flag, the claimers, the entries in order of their
+// digests, and a checksum. An entry refers to its claimer by index, which keeps
+// it at 31 bytes.
 var magic = []byte("fsc2")
 
 const (
 	entryBytes    = digestBytes + 2 + 8 + 1 + 4
 	checksumBytes = 8
 	headerBytes   = 8 + 1
-	// maxClaimers is what an entry's index can name.
+	// maxClaimers is the number of claimers that the 16-bit index of an entry
+	// can refer to.
 	maxClaimers = 1 << 16
-	// maxNameBytes bounds a router's name in an object.
+	// maxNameBytes bounds the length of a router's name in an object.
 	maxNameBytes = 255
 )
 
-// The values of a segment's flag.
+// Values of the flag of a segment.
 const (
 	flagOpen = iota
 	flagSealed
 )
 
-// errFormat says that an object is not a segment of this format. It is never
-// overwritten: what it holds may be claims.
+// errFormat is returned for an object that is not a segment of this format.
+// Such an object is never overwritten, because it may hold claims.
 var errFormat = errors.New("claims: object is not a segment of this format")
 
-// errFull says that a segment does not fit its object.
-var errFull = errors.New("claims: segment is full")
+// errFull is returned for a segment that does not fit into its object.
+var errFull = errors.New("claims: segment does not fit into its object")
 
 type claimer struct {
 	router      state.Router
@@ -46,7 +48,7 @@
 
 func claimerOf(a state.AttemptID) claimer { return claimer{a.Router, a.Incarnation} }
 
-// Encode renders the segment.
+// Encode returns the binary form of the segment.
 func (s *Segment) Encode() ([]byte, error) {
 	index, order := s.claimers()
 	if len(order) > maxClaimers {
@@ -104,7 +106,7 @@
 	return binary.BigEndian.AppendUint32(buf, uint32(e.ClaimedAt.Unix()))
 }
 
-// Decode reads a segment. An empty value is the empty first segment.
+// Decode parses a segment. An empty value is the empty first segment.
 func Decode(value []byte) (*Segment, error) {
 	if len(value) == 0 {
 		return &Segment{}, nil
@@ -128,7 +130,7 @@
 	return segment, nil
 }
 
-// reader takes fields from a value and remembers the first failure.
+// reader reads fields from a value and records whether any read failed.
 type reader struct {
 	rest   []byte
 	failed bool
--- a/coordination/claims/codec_test.go
+++ b/coordination/claims/codec_test.go
@@ -11,8 +11,9 @@
 	"github.com/figstile/figstile/state"
 )
 
-// FuzzDecode reads objects that somebody else may have written: whatever is
-// accepted must be written back the same, or claims would get lost.
+// FuzzDecode decodes objects that may have been written by other programs.
+// Whatever is accepted must be encoded the same again, because otherwise claims
+// would be lost.
 func FuzzDecode(f *testing.F) {
 	shard := &Segment{Number: 3, Sealed: true, Entries: []Entry{
 		{Digest: Digest{1}, Claim: state.AttemptID{Router: "a", Incarnation: 1, Sequence: 2}, Status: StatusRunning, ClaimedAt: time.Unix(5, 0).UTC()},
--- a/coordination/claims/entry.go
+++ b/coordination/claims/entry.go
@@ -8,54 +8,56 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Status is what a chain says of a claimed request.
+// Status is the state of a claimed request according to the chain.
 type Status uint8
 
-// The values of Status.
+// Values of Status.
 const (
-	// StatusRunning: the claimer may have sent the request.
+	// StatusRunning means that the claimer may have sent the request.
 	StatusRunning Status = iota + 1
-	// StatusCompleted: the request ran.
+	// StatusCompleted means that the request ran.
 	StatusCompleted
-	// StatusUnknown: the claimer sent it and cannot tell whether it ran.
+	// StatusUnknown means that the claimer sent the request and does not know
+	// whether it ran.
 	StatusUnknown
-	// StatusReleased: the claim stands in a sealed segment and was taken
-	// back. It frees the key for later entries only.
+	// StatusReleased means that the claim is in a sealed segment and was
+	// released. Later entries may claim the key again.
 	StatusReleased
 )
 
-// Entry is one claim in a segment, or a later state of a claim that stands in a
-// sealed one. The last entry of a key in chain order counts.
+// Entry is a claim, or a later state of a claim that is in a sealed segment.
+// The last entry of a key in the order of the chain is the valid one.
 type Entry struct {
 	Digest Digest
 	Claim  state.AttemptID
 	Status Status
-	// ClaimedAt is when the claim was made, by the claimer's clock.
+	// ClaimedAt is the time of the claim by the clock of the claimer.
 	ClaimedAt time.Time
 }
 
-// expired says whether the entry may be forgotten.
+// expired reports whether the entry may be removed.
 func (e *Entry) expired(now time.Time) bool {
 	return now.Sub(e.ClaimedAt) > Retention+clockSkew
 }
 
-// blocksKey says whether the entry keeps its key from being claimed.
+// blocksKey reports whether the entry prevents others from claiming its key.
 func (e *Entry) blocksKey(now time.Time) bool {
 	return e.Status != StatusReleased && !e.expired(now)
 }
 
-// Segment is one object of a shard's chain. It holds at most one entry of a
-// key, in the order of their digests. It is not changed once built: a draft
-// makes the next one.
+// Segment is one object of a shard's chain. It holds at most one entry per key,
+// in order of their digests. It is not modified after it was built; changes are
+// collected in a draft, which builds a new one.
 type Segment struct {
-	// Number is the segment's place in the chain.
+	// Number is the position of the segment in the chain, counted from 0.
 	Number uint64
-	// Sealed: it takes no more entries and the next segment may exist.
+	// Sealed is set once the segment takes no more entries. The next segment
+	// may then exist.
 	Sealed  bool
 	Entries []Entry
 }
 
-// expiredEntries counts the entries that are not needed any more.
+// expiredEntries returns the number of expired entries.
 func (s *Segment) expiredEntries(now time.Time) int {
 	n := 0
 	for i := range s.Entries {
@@ -66,14 +68,14 @@
 	return n
 }
 
-// expired says whether no entry is needed any more.
+// expired reports whether all entries have expired.
 func (s *Segment) expired(now time.Time) bool {
 	return s.expiredEntries(now) == len(s.Entries)
 }
 
 func compareDigest(e Entry, d Digest) int { return bytes.Compare(e.Digest[:], d[:]) }
 
-// Lookup returns the entry of a digest or nil.
+// Lookup returns the entry of a digest, or nil.
 func (s *Segment) Lookup(d Digest) *Entry {
 	i, found := slices.BinarySearchFunc(s.Entries, d, compareDigest)
 	if !found {
@@ -82,7 +84,7 @@
 	return &s.Entries[i]
 }
 
-// draft collects one round's changes to the last segment of a chain.
+// draft collects the changes of one round to the last segment of a chain.
 type draft struct {
 	base       *Segment
 	chain      *chain
@@ -95,7 +97,7 @@
 	return &draft{base: base, chain: sealed, edits: make(map[Digest]*Entry), now: now}
 }
 
-// lookup returns the entry that keeps a key taken, nil if it is free.
+// lookup returns the entry that blocks a key, or nil if the key is free.
 func (d *draft) lookup(digest Digest) *Entry {
 	e := d.lastEntry(digest)
 	if e == nil || !e.blocksKey(d.now) {
@@ -104,7 +106,7 @@
 	return e
 }
 
-// lastEntry returns the last entry of a key in chain order.
+// lastEntry returns the last entry of a key in the order of the chain.
 func (d *draft) lastEntry(digest Digest) *Entry {
 	if e, edited := d.edits[digest]; edited {
 		return e
@@ -117,10 +119,11 @@
 
 func (d *draft) put(e Entry) { d.edits[e.Digest] = &e }
 
-// release frees the key of an entry. Leaving the entry out of the last segment
-// would bring back an older one of the same key in a sealed segment, and with
-// it a claim that nobody holds; an entry that says so stands in its place. It
-// keeps the claim's time, so that both expire together.
+// release frees the key of an entry. If the key also has an entry in a sealed
+// segment, removing the entry from the last segment would make that older entry
+// valid again, and with it a claim that no router holds. In that case an entry
+// with StatusReleased takes its place. It keeps the time of the claim, so that
+// both expire together.
 func (d *draft) release(e Entry) {
 	if d.chain.lookup(e.Digest) == nil {
 		d.edits[e.Digest] = nil
@@ -132,7 +135,7 @@
 
 func (d *draft) changed() bool { return len(d.edits) > 0 || d.forceWrite }
 
-// build merges the changes into the segment and drops what has expired.
+// build returns a segment with the changes applied and expired entries removed.
 func (d *draft) build() *Segment {
 	entries := make([]Entry, 0, len(d.base.Entries)+len(d.edits))
 	for _, e := range d.base.Entries {
--- a/coordination/claims/event.go
+++ b/coordination/claims/event.go
@@ -7,10 +7,11 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// Version is the platform's version of an object; zero means none.
+// Version is the version of an object in the platform; zero means that the
+// object does not exist.
 type Version uint64
 
-// Event is something that happened to a router's claims.
+// Event is an input of the claim machine.
 type Event interface{ event() }
 
 // ClaimWanted asks for a claim. The machine answers with one Decide.
@@ -18,57 +19,59 @@
 	Request Request
 }
 
-// ClaimWithdrawn says that the claim will not be used: its request is refused or
-// its caller left, and nothing was sent. It may come before or after Decide;
-// no Decide follows it.
+// ClaimWithdrawn reports that the claim will not be used, because its request
+// was refused or its caller disconnected, and that nothing was sent. It may
+// come before or after Decide. No Decide follows it.
 type ClaimWithdrawn struct {
 	Request Request
 }
 
-// RequestFinished says what became of a request that had its claim.
+// RequestFinished reports the result of a request that had its claim.
 type RequestFinished struct {
 	Request Request
 	Ran     result.Ran
 }
 
-// ReadOutcome tells how a read ended.
+// ReadOutcome is the way in which a read ended.
 type ReadOutcome uint8
 
-// The outcomes of a read. An object that does not exist is read as empty.
+// Outcomes of a read. An object that does not exist is read as empty.
 const (
 	ReadOK ReadOutcome = iota + 1
 	ReadFailed
 )
 
-// StoredSegment is a segment as the platform holds it.
+// StoredSegment is a segment as stored in the platform.
 type StoredSegment struct {
 	Slot    int
 	Version Version
 	Value   []byte
 }
 
-// ReadDone answers a Read. Version and Value are those of the slot asked for,
-// which is the first one if the whole chain was.
+// ReadDone answers a Read. Version and Value are those of the requested slot,
+// which is the first one if the whole chain was requested.
 type ReadDone struct {
 	Shard   int
 	Outcome ReadOutcome
 	Version Version
 	Value   []byte
-	// Others are the other slots of a whole chain.
+	// Others holds the other slots of a whole chain.
 	Others []StoredSegment
 }
 
-// WriteOutcome tells how a conditional write ended.
+// WriteOutcome is the way in which a conditional write ended.
 type WriteOutcome uint8
 
-// The outcomes of a conditional write.
+// Outcomes of a conditional write.
 const (
 	WriteOK WriteOutcome = iota + 1
-	// WriteConflict: the object has another version; nothing was written.
+	// WriteConflict means that the object has another version and nothing was
+	// written.
 	WriteConflict
-	// WriteUnavailable: the write surely had no effect.
+	// WriteUnavailable means that the write certainly had no effect.
 	WriteUnavailable
-	// WriteUnknown: the write may have taken effect or may yet do so.
+	// WriteUnknown means that the write may have taken effect or may still do
+	// so later.
 	WriteUnknown
 )
 
@@ -80,15 +83,16 @@
 	Version Version
 }
 
-// FleetResized says how many routers share the platform.
+// FleetResized reports the number of routers that share the platform.
 type FleetResized struct {
 	Routers int
 }
 
-// FlushRequested makes waiting completions due, before a shutdown.
+// FlushRequested makes delayed completions due at once, before a shutdown.
 type FlushRequested struct{}
 
-// Tick lets time pass; the host sends one at each Wake.
+// Tick lets the machine process timeouts. The host sends one at the time of
+// each Wake.
 type Tick struct{}
 
 func (ClaimWanted) event()     {}
@@ -100,19 +104,20 @@
 func (FlushRequested) event()  {}
 func (Tick) event()            {}
 
-// Action is something the host must do.
+// Action is an instruction to the host.
 type Action interface{ action() }
 
-// Read fetches one segment of a shard or its whole chain; the host answers with
+// Read fetches one segment of a shard or its whole chain. The host answers with
 // ReadDone.
 type Read struct {
 	Shard int
 	Slot  int
-	// WholeChain asks for every slot of the shard as of one version of the store.
+	// WholeChain requests every slot of the shard as of a single version of the
+	// store.
 	WholeChain bool
 }
 
-// Write replaces a segment if it has the expected version; the host answers
+// Write replaces a segment if it has the expected version. The host answers
 // with WriteDone.
 type Write struct {
 	Shard    int
@@ -121,13 +126,13 @@
 	Value    []byte
 }
 
-// Decide answers a Wanted: OK means that the request may run.
+// Decide answers a ClaimWanted. A result of OK means that the request may run.
 type Decide struct {
 	Attempt state.AttemptID
 	Result  result.Result
 }
 
-// Wake asks for a Tick. A later Wake replaces it.
+// Wake asks for a Tick at the given time. A later Wake replaces it.
 type Wake struct {
 	At time.Time
 }
--- a/coordination/claims/limits.go
+++ b/coordination/claims/limits.go
@@ -3,68 +3,78 @@
 import "time"
 
 const (
-	// Shards is the number of chains that claims are spread over. Few make
-	// group commits large and writes rare; many make conflicts rare. Every
-	// router must agree on the number: with another one a key would be
-	// looked up in the wrong shard and run twice.
+	// Shards is the number of chains that claims are distributed over. With few
+	// shards, group commits are large and writes rare; with many, conflicts are
+	// rare. Every router must use the same number, because with another one a
+	// key would be looked up in the wrong shard and its request would run
+	// twice.
 	Shards = 16
-	// SegmentBytes is the size at which a segment is sealed. A write carries
-	// half of it in the mean, so that small is cheap; but each segment costs
-	// a read by every router that follows the shard, a slot and one write to
-	// empty it. At 16 KiB these are shared by some 500 entries. Routers need
-	// not agree on it.
+	// SegmentBytes is the size at which a segment is sealed. On average a write
+	// carries half of it, which favours a small size. On the other hand, each
+	// segment costs one read by every router that follows the shard, one slot,
+	// and one write to empty it. At 16 KiB these costs are shared by about 500
+	// entries. Routers need not use the same size.
 	SegmentBytes = 16 << 10
 	// Slots is the number of objects that a chain uses in turn. The platform
-	// has no deletion, so that without an end to the names a cold start's
-	// list would grow for ever. It holds five entries for each of MaxKeys,
-	// where a claim and its completion need two. Every router must agree on
-	// the number: with another one a chain would have gaps.
+	// cannot delete objects, so with an unlimited number of names the list that
+	// a router reads at its start would grow for ever. The slots hold five
+	// entries for each of MaxKeys keys, and a claim with its completion needs
+	// two. Every router must use the same number, because with another one a
+	// chain would have gaps.
 	Slots = 512
-	// reservedSlots are kept from claims, so that a full shard still takes
-	// completions and releases.
+	// reservedSlots is the number of slots that claims may not use, so that a
+	// full shard still accepts completions and releases.
 	reservedSlots = Slots / 8
-	// MaxKeys bounds the keys of a shard that a router remembers, at some 70
-	// bytes each: 16 shards of them take less than half of the 128 MB that a
-	// router may spend on control. Beyond it claims are refused, since to
-	// forget one would run it twice.
+	// MaxKeys bounds the number of keys of a shard that a router keeps in
+	// memory. At about 70 bytes per key, 16 shards take less than half of the
+	// 128 MB that a router may use for control. Beyond it, claims are refused,
+	// because a request whose key was forgotten could run twice.
 	MaxKeys = 50_000
-	// Retention is how long a key is remembered. Callers that send again
-	// after more than a day are taken for new.
+	// Retention is the time for which a key is remembered. A request that is
+	// sent again later than that counts as new.
 	Retention = 24 * time.Hour
-	// clockSkew is kept on top of the retention before an entry is dropped,
-	// since claimers stamp entries with their own clocks.
+	// clockSkew is the additional time after Retention before an entry is
+	// dropped, since claimers record the time of entries by their own clocks.
 	clockSkew = time.Hour
-	// roundsPerEmptying is how many rounds of a shard go by for each expired segment
-	// that is emptied. It is below the rounds that fill a segment, so that
-	// emptying keeps up, and leaves three rounds in four to claims.
+	// roundsPerEmptying is the number of rounds of a shard for each expired
+	// segment that is emptied. It is below the number of rounds that fill a
+	// segment, so that emptying keeps up, and leaves three rounds in four to
+	// claims.
 	roundsPerEmptying = 4
-	// MaxShardBytes bounds a segment's object, as the platform does.
+	// MaxShardBytes bounds the size of a segment's object. The platform has the
+	// same bound.
 	MaxShardBytes = 1 << 20
-	// FleetRoundsPerSecond bounds the rounds a second of all routers together. A
-	// round is at most one write, and one read and one more for each segment
-	// sealed by others meanwhile. The platform takes several hundred writes
-	// a second and serves other purposes too.
+	// FleetRoundsPerSecond bounds the number of rounds per second of all
+	// routers together. A round consists of at most one write and one read, and
+	// one further read for each segment that others sealed in the meantime. The
+	// platform accepts several hundred writes per second and serves other
+	// purposes as well.
 	FleetRoundsPerSecond = 200
-	// defaultRouters paces a machine that has not heard the fleet's size. Too
-	// many only slow its bursts; too few would flood the platform.
+	// defaultRouters is the assumed number of routers until the size of the
+	// fleet is known. If it is too large, bursts are only slower; if it is too
+	// small, the platform is overloaded.
 	defaultRouters = 8
-	// completionDelay lets a completion wait for a claim's write to ride in.
-	// Until then a resend hears that the request is in progress.
+	// completionDelay is the time for which a completion waits for a claim to
+	// share a write with. Until it is written, a request with the same key is
+	// answered that the first one is in progress.
 	completionDelay = time.Second
-	// unavailableRetry is how long claims are refused at once after the platform did
-	// not answer, before one round tries it again.
+	// unavailableRetry is the time for which claims are refused at once after
+	// the platform did not answer. Then a single round tries it again.
 	unavailableRetry = 2 * time.Second
-	// maxDecisionTime is the longest a claim may take from arrival to the right
-	// to run. A claimer that was paused for longer gives the claim back: the
-	// caller has been answered or left, and the entry may be near its end.
+	// maxDecisionTime is the maximum time from the arrival of a claim to the
+	// right to run. A claimer that was paused for longer releases the claim,
+	// because the caller has been answered or has disconnected, and the entry
+	// may be about to expire.
 	maxDecisionTime = 30 * time.Second
-	// maxInProgressTime is how long a running claim is taken for under way. It
-	// is above the longest default deadline; later nobody will complete it.
+	// maxInProgressTime is the time for which a running claim counts as in
+	// progress. It is above the longest default deadline; after it, no router
+	// will complete the claim.
 	maxInProgressTime = 15 * time.Minute
-	// progressRetry is when a caller may ask after a running request again.
+	// progressRetry is the retry delay sent to a caller whose request is
+	// already running.
 	progressRetry = 2 * time.Second
-	// maxPendingSettlements bounds completions and releases kept while the platform is
-	// away. Beyond it the oldest is dropped; its key then reads as unknown,
-	// which is still true.
+	// maxPendingSettlements bounds the number of completions and releases that
+	// are kept while the platform is unavailable. Beyond it the oldest is
+	// dropped. Its key is then answered as unknown, which is still correct.
 	maxPendingSettlements = 100_000
 )
--- a/coordination/claims/load_test.go
+++ b/coordination/claims/load_test.go
@@ -14,14 +14,14 @@
 
 const (
 	loadSeconds = 10
-	// loadCallTime is how long a call to the platform takes in the load tests.
+	// loadCallTime is the duration of a call to the platform in the load tests.
 	loadCallTime = 5 * time.Millisecond
-	// loadRunTime is how long a claimed request runs.
+	// loadRunTime is the time for which a claimed request runs.
 	loadRunTime = 300 * time.Millisecond
 )
 
-// load drives a fleet at a steady rate of claims, in steps of a millisecond of
-// its own clock.
+// load sends claims to a fleet at a constant rate, with a simulated clock that
+// advances by one millisecond per step.
 type load struct {
 	p           *platform
 	routers     []*router
@@ -102,8 +102,8 @@
 	}
 }
 
-// TestGroupCommit counts the platform's calls against the load: a season's
-// opening must not take the writes that settings and status need too.
+// TestGroupCommit counts the calls to the platform under load: a burst of
+// claims must not use up the writes that settings and status also need.
 func TestGroupCommit(t *testing.T) {
 	for _, routers := range []int{1, 8} {
 		for _, rate := range []int{10, 100, 1000} {
@@ -122,27 +122,29 @@
 
 func perSecond(count int) float64 { return float64(count) / loadSeconds }
 
-// initialKeys is what each shard remembers before the load of TestWritesStaySmall.
+// initialKeys is the number of keys in each shard before the load of
+// TestWritesStaySmall.
 const initialKeys = 20_000
 
-// TestWritesStaySmall: by the evening the fleet spends its network on claims,
-// since each write carries the keys of the day. A write carries one segment at
-// most, and each router reads what it has not seen once.
+// TestWritesStaySmall checks that the traffic for claims does not grow with the
+// number of remembered keys, as it would if each write carried all of them. A
+// write carries at most one segment, and each router reads every segment that
+// is new to it once.
 func TestWritesStaySmall(t *testing.T) {
 	for _, rate := range []int{10, 100, 1000} {
 		l := newLoad(8)
 		l.p.fill(t, initialKeys)
 		l.run(t, rate)
 		n := len(l.waits)
-		t.Logf("keys=%d claims/s=%d written/claim=%d B read/claim=%d B cold reads=%d of %d B each writes/s=%.1f reads/s=%.1f",
+		t.Logf("keys=%d claims/s=%d written/claim=%d B read/claim=%d B reads of whole chains=%d of %d B each writes/s=%.1f reads/s=%.1f",
 			Shards*initialKeys, rate, l.p.writtenBytes/n, (l.p.readBytes-l.p.wholeReadBytes)/n, l.p.wholeReads, l.p.wholeReadBytes/l.p.wholeReads,
 			perSecond(l.p.writes), perSecond(l.p.reads))
 		require.LessOrEqual(t, l.p.writtenBytes, 2*SegmentBytes*l.p.writes)
-		require.LessOrEqual(t, l.p.wholeReads, 8*Shards, "a chain is read whole once")
+		require.LessOrEqual(t, l.p.wholeReads, 8*Shards, "each router reads the whole chain of a shard at most once")
 	}
 }
 
-// fill gives each shard a chain of so many keys.
+// fill gives each shard a chain with the given number of keys.
 func (p *platform) fill(t *testing.T, keys int) {
 	t.Helper()
 	segments := completedSegments(keys)
--- a/coordination/claims/machine.go
+++ b/coordination/claims/machine.go
@@ -8,7 +8,7 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// opKind is what an op does to a shard.
+// opKind is the kind of change that an op makes to a shard.
 type opKind uint8
 
 const (
@@ -17,24 +17,26 @@
 	opRelease
 )
 
-// op is one change that a router wants in a shard.
+// op is one change that this router wants to make to a shard.
 type op struct {
 	kind    opKind
 	digest  Digest
 	claim   state.AttemptID
 	arrived time.Time
-	// status is what opComplete sets.
+	// status is the status that opComplete sets.
 	status Status
-	// fence is what the last write with an unknown outcome expected. Until
-	// the chain is past it, that write may yet land.
+	// fence is the position that the last write with an unknown outcome
+	// expected. Until the chain is past it, that write may still take effect.
 	fence position
-	// fenced says that fence holds, since a segment's first write expects 0.
+	// fenced is set if fence is valid. A zero fence does not show this, since
+	// the first write of a segment expects version 0.
 	fenced bool
-	// withdrawn is set on a claim in flight that nobody waits for.
+	// withdrawn is set on a claim in flight whose caller no longer waits.
 	withdrawn bool
 }
 
-// cannotLand says whether no write of this op can land any more.
+// cannotLand reports whether no earlier write of this op can take effect any
+// more.
 func (o *op) cannotLand(at position) bool { return !o.fenced || at.after(o.fence) }
 
 // position is a version of one segment of a chain.
@@ -43,9 +45,10 @@
 	version Version
 }
 
-// after says whether a write that expects other meets a later version. That
-// holds in the same segment, and where the chain has gone on: its segment was
-// sealed by a write after that version.
+// after reports whether a write that expects the position other meets a later
+// version and fails. That is so if the same segment has a later version, and if
+// the chain has a later segment, because then the segment was sealed by a write
+// after that version.
 func (p position) after(other position) bool {
 	return p.number > other.number || p.number == other.number && p.version > other.version
 }
@@ -58,59 +61,68 @@
 	callWrite
 )
 
-// shardState is a router's view of one shard and its work on it.
+// shardState is this router's view of one shard and its pending changes to it.
 type shardState struct {
 	index int
-	// chain holds the sealed segments, nil until the whole chain was read.
+	// chain holds the sealed segments. It is nil until the whole chain was
+	// read.
 	chain *chain
-	// lastPosition is the position of the segment after them. Version zero: it does
-	// not exist as far as this router knows.
+	// lastPosition is the position of the segment after the sealed ones. A
+	// version of zero means that the segment does not exist as far as this
+	// router knows.
 	lastPosition position
-	// lastSegment is the last segment's content, nil if it must be read.
+	// lastSegment is the content of the last segment. It is nil if the segment
+	// must be read.
 	lastSegment *Segment
-	// lastSegmentAsOf is a time at which copy was surely current.
+	// lastSegmentAsOf is a time at which lastSegment was certainly current.
 	lastSegmentAsOf time.Time
-	// contended is set while other routers write the shard too: reads are
-	// cheaper than conflicts, so each round then reads first.
+	// contended is set while other routers also write to the shard. Reads are
+	// cheaper than conflicts, so each round then begins with a read.
 	contended bool
-	// notBefore holds back rounds on an object of another format.
+	// notBefore is the time before which no round starts, after one that cannot
+	// continue, for example because of an object of another format.
 	notBefore    time.Time
 	waiting      []*op
 	callInFlight callKind
-	// callStarted is when the call in flight began.
+	// callStarted is the time at which the call in flight started.
 	callStarted time.Time
-	// round are the ops of the write in flight, next what it writes.
+	// round lists the ops in the write in flight. nextSegment is the segment
+	// that it writes.
 	round       []*op
 	nextSegment *Segment
 	// emptying is set while the write in flight empties an expired segment.
 	emptying bool
-	// roundsSinceEmptying counts those since an expired segment was emptied.
+	// roundsSinceEmptying is the number of rounds since an expired segment was
+	// emptied.
 	roundsSinceEmptying int
 	queued              bool
-	// urgent puts the shard before others in the queue after a round that
-	// came to nothing. Its claims have waited a whole turn already; with one
-	// more for each conflict the last callers of a burst would wait seconds.
+	// urgent puts the shard at the head of the queue after a round that decided
+	// nothing. Its claims have already waited for a full turn. If they waited
+	// another turn after each conflict, the last callers of a burst would wait
+	// for seconds.
 	urgent bool
 }
 
 // Machine decides claims for one router. It does no I/O and reads no clock.
 //
-// Load: bookings and publications come in bursts, hundreds at once when a
-// flight or a season opens, while the platform takes only some hundred writes
-// a second from everybody. Claims of a shard therefore share writes, one in
-// flight at a time, and rounds are paced for the whole router.
+// Keyed requests come in bursts of hundreds at once, while the platform accepts
+// only a few hundred writes per second from all its clients. Therefore the
+// claims of a shard share writes, with one write in flight at a time, and the
+// rate of rounds is limited for the whole router.
 type Machine struct {
 	self   claimer
 	shards [Shards]shardState
-	// queue holds shards with work, first come first served.
+	// queue holds the shards with pending changes, in first-come-first-served
+	// order.
 	queue []*shardState
-	// spareQueue is the queue's other buffer.
+	// spareQueue is the second buffer of the queue.
 	spareQueue []*shardState
-	// interval is the time between rounds, nextRound when one may start.
+	// interval is the minimum time between two rounds. nextRound is the
+	// earliest time of the next one.
 	interval  time.Duration
 	nextRound time.Time
-	// platformSuspect is set while the platform did not answer the last call, and
-	// awayUntil is when it is tried again.
+	// platformSuspect is set if the platform did not answer the last call.
+	// unavailableUntil is the time at which it is tried again.
 	platformSuspect    bool
 	unavailableUntil   time.Time
 	callsInFlight      int
@@ -120,7 +132,7 @@
 	limits             limits
 }
 
-// limits are the sizes of chains. Tests take small ones.
+// limits holds the sizes of chains. Tests use small ones.
 type limits struct {
 	segmentBytes  int
 	slots         uint64
@@ -141,7 +153,8 @@
 	return m
 }
 
-// Pending counts changes that are not in the platform yet.
+// Pending returns the number of changes that are not stored in the platform
+// yet.
 func (m *Machine) Pending() int {
 	pending := 0
 	for i := range m.shards {
@@ -150,8 +163,9 @@
 	return pending
 }
 
-// Step takes one event and returns what to do. The same events at the same
-// times give the same actions. The slice is valid until the next Step.
+// Step processes one event and returns the actions for the host. The same
+// events at the same times give the same actions. The slice is valid until the
+// next Step.
 func (m *Machine) Step(now time.Time, event Event) []Action {
 	m.actions = m.actions[:0]
 	switch e := event.(type) {
@@ -177,8 +191,8 @@
 
 func (m *Machine) emit(a Action) { m.actions = append(m.actions, a) }
 
-// setFleetSize divides the fleet's rounds among its routers, so that calls to the
-// platform do not grow with the fleet.
+// setFleetSize divides the rounds of the fleet among its routers, so that the
+// rate of calls to the platform does not grow with the fleet.
 func (m *Machine) setFleetSize(routers int) {
 	m.interval = time.Second * time.Duration(max(routers, 1)) / FleetRoundsPerSecond
 }
@@ -212,8 +226,8 @@
 	m.queue = append(m.queue, s)
 }
 
-// dropOldest forgets one completion or release of a shard. The entry stays as
-// it is in the platform, so the key is never free by this.
+// dropOldest drops the oldest completion or release of a shard. The entry in
+// the platform stays as it is, so this never frees a key.
 func (m *Machine) dropOldest(s *shardState) {
 	i := slices.IndexFunc(s.waiting, func(o *op) bool { return o.kind != opClaim })
 	if i < 0 {
@@ -223,8 +237,8 @@
 	m.pendingSettlements--
 }
 
-// withdrawClaim gives up a claim that was not used. One that no write has carried
-// is just dropped; any other is released.
+// withdrawClaim gives up a claim that was not used. If no write has included
+// it, it is just dropped; otherwise it is released.
 func (m *Machine) withdrawClaim(now time.Time, req Request) {
 	digest := req.Digest()
 	s := &m.shards[ShardOf(digest)]
@@ -243,8 +257,8 @@
 	m.releaseIfFenced(now, s, o)
 }
 
-// releaseIfFenced takes a claim back that is not going to run. Only a write with an
-// unknown outcome can have left something to take back.
+// releaseIfFenced releases a claim that will not run. Only after a write with
+// an unknown outcome can the platform hold an entry that must be released.
 func (m *Machine) releaseIfFenced(now time.Time, s *shardState, o *op) {
 	if !o.fenced {
 		return
--- a/coordination/claims/machine_test.go
+++ b/coordination/claims/machine_test.go
@@ -18,7 +18,7 @@
 // whether its answer arrives.
 type platform struct {
 	version Version
-	// history holds the writes of each shard in their order.
+	// history holds the writes to each shard in their order.
 	history [Shards][]StoredSegment
 
 	reads, wholeReads, writes, conflicts, seals int
@@ -40,7 +40,7 @@
 	return done
 }
 
-// staleRead reads a shard as it was some writes ago.
+// staleRead reads a shard as it was before the given number of latest writes.
 func (p *platform) staleRead(a Read, behind int) ReadDone {
 	past := p.history[a.Shard]
 	slots := map[int]StoredSegment{}
@@ -65,7 +65,7 @@
 	return StoredSegment{Slot: slot}
 }
 
-// write replaces an object under its condition.
+// write replaces an object if it has the expected version.
 func (p *platform) write(a Write) WriteDone {
 	p.writes++
 	p.writtenBytes += len(a.Value)
@@ -86,7 +86,7 @@
 	return err == nil && segment.Sealed
 }
 
-// router is a machine with what it decided and the calls it has under way.
+// router is a machine with its decisions and its calls in flight.
 type router struct {
 	*Machine
 	now     time.Time
@@ -115,7 +115,7 @@
 	}
 }
 
-// nextCall takes the oldest call under way.
+// nextCall removes and returns the oldest call in flight.
 func (r *router) nextCall() Action {
 	call := r.calls[0]
 	r.calls = r.calls[1:]
@@ -131,7 +131,7 @@
 	}
 }
 
-// settle answers all calls and lets time pass until nothing is left to do.
+// settle answers all calls and advances the time until no change is pending.
 func (r *router) settle(p *platform) {
 	for {
 		switch {
@@ -153,7 +153,7 @@
 	}
 }
 
-// claim asks and settles, and returns the decision.
+// claim requests a claim, settles, and returns the decision.
 func (r *router) claim(p *platform, key string, sequence uint64) result.Result {
 	req := r.request(key, sequence)
 	r.step(ClaimWanted{Request: req})
@@ -165,9 +165,9 @@
 	return res
 }
 
-// TestSameKeyAtTwoRouters: two escorts are assigned to one child. A phone sends
-// a booking again over another router at the same moment; both read the shard
-// before either writes.
+// TestSameKeyAtTwoRouters checks that a key is granted once if a client sends a
+// request to two routers at the same moment and both read the shard before
+// either writes.
 func TestSameKeyAtTwoRouters(t *testing.T) {
 	p := &platform{}
 	a, b := newRouter("pudahuel-1", 1), newRouter("quilicura-1", 1)
@@ -187,14 +187,14 @@
 	require.Equal(t, result.KeyCompleted, b.claim(p, "k", 2).Code)
 }
 
-// TestResendAfterAKill: a family is charged twice. The router is replaced
-// between claim and dispatch, so nobody knows whether the booking was sent,
-// and the resend must not run.
+// TestResendAfterCrash checks that a request does not run again after its
+// router was replaced between claim and dispatch, since it is unknown whether
+// it was sent.
 func TestResendAfterCrash(t *testing.T) {
 	p := &platform{}
 	require.Equal(t, result.OK, newRouter("pudahuel-1", 1).claim(p, "k", 1).Code)
-	again := newRouter("pudahuel-1", 2)
-	require.Equal(t, result.KeyUnknown, again.claim(p, "k", 1).Code)
+	restarted := newRouter("pudahuel-1", 2)
+	require.Equal(t, result.KeyUnknown, restarted.claim(p, "k", 1).Code)
 	other := newRouter("quilicura-1", 1)
 	require.Equal(t, result.KeyInProgress, other.claim(p, "k", 1).Code)
 	other.now = other.now.Add(maxInProgressTime + time.Second)
@@ -203,9 +203,10 @@
 	require.Equal(t, result.OK, other.claim(p, "k", 3).Code)
 }
 
-// TestLostAnswerIsSettled: a guardian's booking hangs although it could run.
-// The platform's answer to the write is lost; reading back finds the router's
-// own claim id, whether the write landed before the read or only after it.
+// TestLostAnswerIsReadBack checks that a request runs although the platform's
+// answer to the write of its claim was lost. Reading the segment again finds
+// the router's own claim, whether the write took effect before that read or
+// only after it.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	for _, landsLate := range []bool{false, true} {
 		p := &platform{}
@@ -218,7 +219,7 @@
 			p.write(write)
 		}
 		r.step(WriteDone{Shard: write.Shard, Outcome: WriteUnknown})
-		require.Empty(t, r.decided, "nothing runs on an unknown write")
+		require.Empty(t, r.decided, "a write with an unknown outcome decides no claim")
 		r.now = r.wake
 		r.step(Tick{})
 		r.answer(p, r.nextCall())
@@ -230,10 +231,10 @@
 	}
 }
 
-// TestUnsettledClaimIsTakenBack: a caller was told "not run", yet its resend
-// hears "in progress" for a day. The platform goes away within the write, so
-// the claim may have landed or may land later; once the platform is back the
-// claim is withdrawn before or together with the resend.
+// TestUnsettledClaimIsReleased covers a caller that was answered "not run"
+// because the platform became unavailable within the write, which may still
+// take effect. The claim must be released by the time its key is claimed again,
+// or the answer would be "in progress" for the whole retention.
 func TestUnsettledClaimIsReleased(t *testing.T) {
 	for _, landing := range []string{"never", "before the outage", "after the first read back"} {
 		t.Run(landing, func(t *testing.T) {
@@ -261,14 +262,15 @@
 			}
 			r.settle(p)
 			require.Equal(t, result.OK, newRouter("quilicura-1", 1).claim(p, "k", 1).Code)
-			require.Equal(t, WriteConflict, p.write(write).Outcome, "the late write must not land any more")
+			require.Equal(t, WriteConflict, p.write(write).Outcome, "the late write must not take effect any more")
 		})
 	}
 }
 
-// TestFrozenClaimer: a booking runs twice. A router is paused within its write;
-// meanwhile the caller sends again elsewhere. When it wakes, its write meets a
-// later version, or lands so late that its caller is long gone.
+// TestPausedClaimer checks that a request does not run twice if a router pauses
+// within its write and the caller sends it again to another router. When the
+// paused router resumes, its write gets a conflict, or takes effect so late
+// that its caller no longer waits.
 func TestPausedClaimer(t *testing.T) {
 	p := &platform{}
 	paused, other := newRouter("pudahuel-1", 1), newRouter("quilicura-1", 1)
@@ -285,12 +287,12 @@
 	paused.now = paused.now.Add(maxDecisionTime + time.Second)
 	paused.settle(p)
 	require.Equal(t, result.ClaimUnavailable, paused.decided[late.Attempt].Code)
-	require.Equal(t, result.OK, other.claim(p, "k2", 2).Code, "the late claim was given back")
+	require.Equal(t, result.OK, other.claim(p, "k2", 2).Code, "the late claim was released")
 }
 
-// TestPlatformAway: counter staff stare at a spinner for every booking of an
-// outage. After the first failure claims are refused at once, and one call at
-// a time asks whether the platform is back.
+// TestPlatformUnavailable checks that requests do not wait for a timeout each
+// while the platform is unavailable. After the first failure claims are refused
+// at once, and one call at a time checks whether the platform answers again.
 func TestPlatformUnavailable(t *testing.T) {
 	p := &platform{}
 	r := newRouter("pudahuel-1", 1)
@@ -319,9 +321,9 @@
 	require.Equal(t, result.OK, r.claim(p, "k0", 202).Code)
 }
 
-// TestFullShard: a booking runs twice because its claim was dropped to make
-// room. A full shard refuses new claims instead, and still takes completions
-// and releases.
+// TestFullShard checks that a full shard refuses new claims instead of dropping
+// old ones, which would let a request run twice, and that it still accepts
+// completions and releases.
 func TestFullShard(t *testing.T) {
 	p := &platform{}
 	r := newRouter("pudahuel-1", 1)
@@ -355,12 +357,12 @@
 	require.Equal(t, result.ClaimUnavailable, r.claim(p, keys[1], 4).Code)
 	r.step(RequestFinished{Request: released, Ran: result.RanNo})
 	r.settle(p)
-	require.Equal(t, result.OK, r.claim(p, released.Key, 5).Code, "what was released makes room")
+	require.Equal(t, result.OK, r.claim(p, released.Key, 5).Code, "a released key no longer counts towards the limit")
 	r.now = r.now.Add(Retention + clockSkew + time.Second)
-	require.Equal(t, result.OK, r.claim(p, keys[2], 6).Code, "what has expired makes room")
+	require.Equal(t, result.OK, r.claim(p, keys[2], 6).Code, "expired keys no longer count towards the limit")
 }
 
-// keysInShard returns keys that lie in a shard.
+// keysInShard returns n keys that belong to a shard.
 func keysInShard(r *router, shard, n int) []string {
 	var keys []string
 	for i := 0; len(keys) < n; i++ {
@@ -372,10 +374,11 @@
 	return keys
 }
 
-// keyInShard returns a key that lies in the shard.
+// keyInShard returns a key that belongs to a shard.
 func keyInShard(r *router, shard int) string { return keysInShard(r, shard, 1)[0] }
 
-// TestUnknownFormatIsNotOverwritten keeps an object that this version cannot read.
+// TestUnknownFormatIsNotOverwritten checks that an object in a format of a
+// later version is not overwritten.
 func TestUnknownFormatIsNotOverwritten(t *testing.T) {
 	p := &platform{}
 	for i := range p.history {
@@ -387,9 +390,10 @@
 	require.Equal(t, before, p.writes)
 }
 
-// TestOneRoundAtATime: two resends of a booking both run. A round that gives a
-// late claim back queues its shard again while its own write is under way; a
-// second round then mixes with the first, whose answer grants them all.
+// TestOneRoundAtATime checks that only one of several claims of a key is
+// granted. A round that releases a late claim queues its shard again while its
+// own write is in flight. A second round would then be mixed with the first,
+// whose answer would grant all claims.
 func TestOneRoundAtATime(t *testing.T) {
 	p := &platform{}
 	r := newRouter("pudahuel-1", 1)
@@ -420,8 +424,9 @@
 	require.Equal(t, 1, granted)
 }
 
-// TestStaleReadKeepsARelease: a caller was told "not run", yet its key stays
-// taken for a day. The read before the release is older than the claim.
+// TestStaleReadKeepsRelease checks that a key that was released after "not run"
+// does not stay blocked for the whole retention if the read before the release
+// is older than the claim.
 func TestStaleReadKeepsRelease(t *testing.T) {
 	p := &platform{}
 	r, other := newRouter("pudahuel-1", 1), newRouter("quilicura-1", 1)
--- a/coordination/claims/property_test.go
+++ b/coordination/claims/property_test.go
@@ -13,23 +13,26 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// fleet runs several routers against a platform whose answers get lost, whose
-// writes land late, and some of whose routers crash.
+// fleet runs several routers against a platform. Answers of the platform get
+// lost, writes take effect late, and routers crash.
 type fleet struct {
 	t       *rapid.T
 	p       *platform
 	routers []*router
 	keys    []string
-	// lateWrites are writes whose answer was given up and that may yet land.
+	// lateWrites holds writes whose answer is no longer awaited and that may
+	// still take effect.
 	lateWrites []Write
-	// pending and granted are the requests of each router by state.
+	// pending, granted and running hold the requests of each router by state.
 	pending, granted [][]Request
 	running          [][]Request
 	sequence         uint64
 	runs             map[string]int
-	// grantedKeys are keys that somebody has the right to run or has run.
+	// grantedKeys holds the keys of requests that some router has the right to
+	// run or has run.
 	grantedKeys map[string]bool
-	// uncertainKeys are keys whose claimer crashed or that may be running.
+	// uncertainKeys holds the keys whose claimer crashed, and those that may be
+	// running.
 	uncertainKeys map[string]bool
 	limits        limits
 }
@@ -37,7 +40,7 @@
 func newFleet(t *rapid.T) *fleet {
 	f := &fleet{t: t, p: &platform{}, runs: map[string]int{}, grantedKeys: map[string]bool{}, uncertainKeys: map[string]bool{}}
 	f.limits = newRouter("r", 1).limits
-	// Two to four entries fill a segment.
+	// Two to four entries fill a segment of this size.
 	f.limits.segmentBytes = rapid.IntRange(72, 140).Draw(t, "segment bytes")
 	if rapid.Bool().Draw(t, "few slots") {
 		f.limits.slots, f.limits.reservedSlots = 12, 1
@@ -69,7 +72,7 @@
 	f.collect(i)
 }
 
-// collect looks at what a router decided.
+// collect checks the decisions of a router.
 func (f *fleet) collect(i int) {
 	r := f.routers[i]
 	f.pending[i] = slices.DeleteFunc(f.pending[i], func(req Request) bool {
@@ -79,11 +82,11 @@
 		}
 		switch {
 		case res.Code == result.OK:
-			require.False(f.t, f.grantedKeys[req.Key], "%s was granted twice", req.Key)
+			require.False(f.t, f.grantedKeys[req.Key], "key %s was granted twice", req.Key)
 			f.grantedKeys[req.Key] = true
 			f.granted[i] = append(f.granted[i], req)
 		case res.Code == result.KeyCompleted:
-			require.Equal(f.t, 1, f.runs[req.Key], "told completed, but it never ran")
+			require.Equal(f.t, 1, f.runs[req.Key], "a request was answered as completed, but it did not run exactly once")
 		case res.Code == result.ClaimUnavailable:
 			require.Equal(f.t, result.RanNo, res.Ran)
 		default:
@@ -100,16 +103,17 @@
 	f.step(i, ClaimWanted{Request: req})
 }
 
-// endCall ends one call of a router in one of the ways a network allows.
+// endCall ends one call of a router with one of the results that a network can
+// cause.
 func (f *fleet) endCall(i int) {
 	r := f.routers[i]
 	if len(r.calls) == 0 {
 		return
 	}
-	fate := f.pick("fate", 6)
+	outcome := f.pick("result of the call", 6)
 	switch a := removeAt(&r.calls, f.pick("call", len(r.calls))).(type) {
 	case Read:
-		switch fate {
+		switch outcome {
 		case 0:
 			f.step(i, ReadDone{Shard: a.Shard, Outcome: ReadFailed})
 		case 1:
@@ -118,13 +122,13 @@
 			f.step(i, f.p.read(a))
 		}
 	case Write:
-		f.endWrite(i, a, fate)
+		f.endWrite(i, a, outcome)
 	}
 }
 
-func (f *fleet) endWrite(i int, a Write, fate int) {
+func (f *fleet) endWrite(i int, a Write, outcome int) {
 	lost := WriteDone{Shard: a.Shard, Outcome: WriteUnknown}
-	switch fate {
+	switch outcome {
 	case 0:
 		f.step(i, WriteDone{Shard: a.Shard, Outcome: WriteUnavailable})
 	case 1:
@@ -138,7 +142,8 @@
 	}
 }
 
-// actAsHost does what a router's host does with its claims.
+// actAsHost performs one step of a router's host, which uses, withdraws or
+// finishes claims.
 func (f *fleet) actAsHost(i int) {
 	switch f.pick("host", 4) {
 	case 0:
@@ -153,7 +158,7 @@
 		if len(f.granted[i]) > 0 {
 			req := removeAt(&f.granted[i], 0)
 			f.runs[req.Key]++
-			require.LessOrEqual(f.t, f.runs[req.Key], 1, "%s ran twice", req.Key)
+			require.LessOrEqual(f.t, f.runs[req.Key], 1, "the request with key %s ran twice", req.Key)
 			f.running[i] = append(f.running[i], req)
 		}
 	default:
@@ -164,13 +169,13 @@
 	}
 }
 
-// giveBack ends a granted request of which nothing was sent.
+// giveBack ends a granted request that was not sent.
 func (f *fleet) giveBack(i int, req Request) {
 	f.grantedKeys[req.Key] = false
 	f.step(i, RequestFinished{Request: req, Ran: result.RanNo})
 }
 
-// crash replaces a router. What it sent may yet arrive.
+// crash replaces a router. Its writes in flight may still take effect.
 func (f *fleet) crash(i int) {
 	old := f.routers[i]
 	for _, list := range [][]Request{f.pending[i], f.granted[i], f.running[i]} {
@@ -195,8 +200,8 @@
 	f.pending[i], f.granted[i], f.running[i] = nil, nil, nil
 }
 
-// expireClaims ends all requests and lets their claims expire, after which each key may
-// run again.
+// expireClaims ends all requests and advances the time until their claims
+// expire, after which each key may run again.
 func (f *fleet) expireClaims() {
 	for i, r := range f.routers {
 		for len(f.pending[i]) > 0 {
@@ -216,7 +221,7 @@
 
 func (f *fleet) randomAction() {
 	i := f.pick("router", len(f.routers))
-	switch f.pick("act", 11) {
+	switch f.pick("action", 11) {
 	case 0, 1:
 		f.requestClaim(i)
 	case 2, 3, 4:
@@ -228,28 +233,28 @@
 		f.step(i, Tick{})
 	case 8:
 		if len(f.lateWrites) > 0 {
-			f.p.write(removeAt(&f.lateWrites, f.pick("adrift", len(f.lateWrites))))
+			f.p.write(removeAt(&f.lateWrites, f.pick("late write", len(f.lateWrites))))
 		}
 	case 9:
 		if f.pick("crash", 4) == 0 {
 			f.crash(i)
 		}
 	default:
-		if f.pick("day", 4) == 0 {
+		if f.pick("expire claims", 4) == 0 {
 			f.expireClaims()
 		}
 	}
 }
 
-// TestAtMostOneRun: a booking is run twice, or a caller told "not run" can
-// never run it. Claims, crashes, lost answers and late writes come in any
-// order; no key runs twice, nobody is told a lie, and once all is quiet a key
-// that nobody ran and no crashed router held is free. Segments are so small that
-// most runs seal some.
+// TestAtMostOneRun runs claims, crashes, lost answers and late writes in random
+// order. No key runs twice, every answer to a caller is correct, and at the end
+// every key that did not run and was not claimed by a crashed router is free.
+// Most runs seal some segments, because segments are small.
 func TestAtMostOneRun(t *testing.T) {
 	runs, sealing := 0, 0
-	// One check's hundred runs are too few for the rare orders. Half of them
-	// have so few slots that chains go round, and claims may find none free.
+	// The hundred runs of one check are too few to reach rare orders of events.
+	// Half of the runs have so few slots that chains reuse them, and claims may
+	// find no free slot.
 	for range 40 {
 		rapid.Check(t, func(t *rapid.T) {
 			f := newFleet(t)
@@ -287,9 +292,9 @@
 		res := last.claim(f.p, key, f.sequence)
 		switch {
 		case f.runs[key] > 0:
-			require.NotEqual(f.t, result.OK, res.Code, "%s would run again", key)
+			require.NotEqual(f.t, result.OK, res.Code, "the request with key %s would run again", key)
 		case !f.uncertainKeys[key] && f.limits.slots == Slots:
-			require.Equal(f.t, result.OK, res.Code, "%s never ran and is lost", key)
+			require.Equal(f.t, result.OK, res.Code, "the request with key %s never ran, and the key is blocked", key)
 		}
 	}
 }
--- a/coordination/claims/pump.go
+++ b/coordination/claims/pump.go
@@ -7,7 +7,8 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// startRounds starts the rounds that may start now and asks to be woken for the rest.
+// startRounds starts the rounds that may start now and requests a Tick for the
+// others.
 func (m *Machine) startRounds(now time.Time) {
 	var wake time.Time
 	postponed := m.spareQueue[:0]
@@ -38,24 +39,27 @@
 	return a
 }
 
-// startAt returns when a shard's next round may start. A shard with a call in
-// flight has no round to start: a second one would mix its claims with those of
-// the first and grant them all by one answer. Such a shard can be in the queue,
-// since composing a round may add a release to it; landing queues it again.
+// startAt returns the time at which the next round of a shard may start. A
+// shard with a call in flight must not start another round: the claims of the
+// second round would be mixed with those of the first, and the answer to the
+// first would grant all of them. Such a shard can be in the queue, because
+// composing a round may add a release to it. It is queued again when the call
+// ends.
 func (m *Machine) startAt(now time.Time, s *shardState) (at time.Time, hasWork bool) {
 	if len(s.waiting) == 0 || s.callInFlight != callNone {
 		return time.Time{}, false
 	}
 	at = latest(m.nextRound, m.unavailableUntil, s.notBefore, m.workDue(s))
 	if m.platformSuspect && m.callsInFlight > 0 {
-		// One round at a time tries a platform that did not answer.
+		// While the platform does not answer, only one round at a time tries
+		// it.
 		at = latest(at, now.Add(m.interval))
 	}
 	return at, true
 }
 
-// workDue returns when a shard's work should start: completions alone wait for
-// a claim to ride with.
+// workDue returns the time at which the changes of a shard should be written.
+// If there are only completions, they wait for a claim to share the write with.
 func (m *Machine) workDue(s *shardState) time.Time {
 	var due time.Time
 	for _, o := range s.waiting {
@@ -71,8 +75,9 @@
 	return slices.MaxFunc(times, time.Time.Compare)
 }
 
-// refuseIfUnavailable answers waiting claims at once while the platform is away.
-// Otherwise every booking would wait for a time-out to hear the same.
+// refuseIfUnavailable refuses waiting claims at once while the platform is
+// unavailable. Otherwise every keyed request would wait for a timeout before it
+// is refused.
 func (m *Machine) refuseIfUnavailable(now time.Time, s *shardState) {
 	probing := m.platformSuspect && m.callsInFlight > 0
 	if probing || now.Before(m.unavailableUntil) || now.Before(s.notBefore) {
@@ -80,8 +85,8 @@
 	}
 }
 
-// refuseClaims gives every waiting claim of a shard its refusal. What was
-// written with an unknown outcome is released later.
+// refuseClaims refuses every waiting claim of a shard. Claims that were part of
+// a write with an unknown outcome are released later.
 func (m *Machine) refuseClaims(now time.Time, s *shardState) {
 	waiting := s.waiting
 	s.waiting = nil
@@ -100,7 +105,8 @@
 	return result.New(result.ClaimUnavailable, "").WithRetryAfter(max(retryAfter, progressRetry))
 }
 
-// startRound begins with a read where the copy is missing or likely stale.
+// startRound begins a round, with a read if lastSegment is missing or probably
+// out of date.
 func (m *Machine) startRound(now time.Time, s *shardState) {
 	m.nextRound = latest(m.nextRound, now).Add(m.interval)
 	s.urgent = false
@@ -128,14 +134,15 @@
 // slot returns the index of the object that a segment uses.
 func (m *Machine) slot(number uint64) int { return int(number % m.limits.slots) }
 
-// composeWrite applies the waiting ops to the copy and writes what changed.
+// composeWrite applies the waiting ops to the last segment and writes the
+// changes.
 func (m *Machine) composeWrite(now time.Time, s *shardState) {
 	d := newDraft(s.lastSegment, s.chain, now)
 	waiting := s.waiting
 	s.waiting = nil
 	needsRead := false
-	// Releases and completions come first: a resend of a claim that this
-	// router gave up then finds the key free in the same write.
+	// Releases and completions are applied first, so that a new claim for a key
+	// that this router released finds the key free in the same write.
 	for _, o := range waiting {
 		if o.kind != opClaim {
 			m.applySettlement(s, d, o)
@@ -156,8 +163,9 @@
 	m.queueShard(s)
 }
 
-// writeDraft sends the draft. Where it does not fit, the segment is sealed without
-// it: claims inside the retention are never forgotten to make room.
+// writeDraft sends the changes of a round. If they do not fit, the segment is
+// sealed without them: claims within the retention are never dropped to free
+// space.
 func (m *Machine) writeDraft(now time.Time, s *shardState, d *draft) bool {
 	next := d.build()
 	value, err := m.encode(next)
@@ -181,7 +189,8 @@
 	return true
 }
 
-// sealUnchanged seals the last segment unchanged. The round waits for the next one.
+// sealUnchanged seals the last segment without other changes. The changes of
+// the round wait for the next segment.
 func (m *Machine) sealUnchanged(now time.Time, s *shardState) bool {
 	sealed := &Segment{Number: s.lastSegment.Number, Sealed: true, Entries: s.lastSegment.Entries}
 	value, err := sealed.Encode()
@@ -196,17 +205,17 @@
 	return true
 }
 
-// postponeRound puts a round back that cannot be written.
+// postponeRound requeues a round that cannot be written.
 func (m *Machine) postponeRound(now time.Time, s *shardState) {
 	s.waiting = append(s.round, s.waiting...)
 	s.round = nil
 	s.notBefore = now.Add(unavailableRetry)
 }
 
-// encode renders a segment and seals it if it has reached its size. The seal
-// rides in the write that fills the segment: it costs no call, and as that
-// write is conditional, every writer with an older version of the segment
-// meets a conflict and goes on to the next one.
+// encode encodes a segment and seals it if it has reached its size. Sealing
+// needs no call of its own, because the write that fills the segment also seals
+// it. Since that write is conditional, every writer with an older version of
+// the segment gets a conflict and continues with the next segment.
 func (m *Machine) encode(next *Segment) ([]byte, error) {
 	value, err := next.Encode()
 	if err != nil || len(value) < m.limits.segmentBytes {
@@ -223,11 +232,12 @@
 	m.emit(Write{Shard: s.index, Slot: m.slot(at.number), Expected: at.version, Value: value})
 }
 
-// emptyOldest replaces the oldest sealed segment once all its entries have
-// expired; storage and a cold start's list would grow without end otherwise. It
-// takes a round of its own and frees no key: expired entries count for nothing.
-// Claims go first for some rounds after it, since a router that starts after a
-// quiet day finds hundreds of such segments.
+// emptyOldest replaces the oldest sealed segment with an empty one once all its
+// entries have expired. Otherwise the storage and the list that a router reads
+// at its start would grow without bound. Emptying takes a round of its own and
+// frees no key, because expired entries block none. Claims have priority for
+// some rounds after it, since a router that starts after 24 hours of little
+// traffic finds hundreds of such segments.
 func (m *Machine) emptyOldest(now time.Time, s *shardState) bool {
 	s.roundsSinceEmptying++
 	if s.roundsSinceEmptying < roundsPerEmptying || s.chain == nil || s.chain.expiredSegments(now) == 0 {
@@ -246,7 +256,7 @@
 }
 
 // refuseRound refuses the claims of a draft that does not fit and returns a
-// draft of what remains.
+// draft with the remaining changes.
 func (m *Machine) refuseRound(now time.Time, s *shardState, d *draft) *draft {
 	round := s.round
 	s.round = nil
--- a/coordination/claims/read.go
+++ b/coordination/claims/read.go
@@ -7,19 +7,22 @@
 	"time"
 )
 
-// errGap says that segments of a chain are missing, out of place or not sealed.
-// Claims may stand in what is missing, so none is made.
-var errGap = errors.New("claims: chain has a gap")
+// errGap is returned if segments of a chain are missing, in the wrong slot or
+// not sealed. Missing segments may hold claims, so no claim is granted.
+var errGap = errors.New("claims: a segment of the chain is missing or out of place")
 
-// errOvertaken says that a slot holds a segment far ahead: this router was away
-// for so long that the segments between are gone from their slots.
-var errOvertaken = errors.New("claims: chain has gone round")
+// errOvertaken is returned if a slot holds a much later segment: this router
+// was inactive for so long that the slots of the segments in between were
+// reused.
+var errOvertaken = errors.New("claims: the slot was reused for a later segment")
 
-// errStale says that a read is older than what this router has seen.
-var errStale = errors.New("claims: stale read")
+// errStale is returned for a read that is older than the state this router
+// already knows.
+var errStale = errors.New("claims: the read is older than the known state")
 
-// errNoSlot says that the next segment's slot holds claims inside the retention.
-var errNoSlot = errors.New("claims: no slot is free")
+// errNoSlot is returned if the slot of the next segment holds claims within the
+// retention.
+var errNoSlot = errors.New("claims: the next slot still holds claims within the retention")
 
 func (m *Machine) readDone(now time.Time, e ReadDone) {
 	s := &m.shards[e.Shard]
@@ -30,8 +33,9 @@
 	}
 	err := m.applyRead(now, s, e)
 	if errors.Is(err, errStale) {
-		// A stale read lacks what this router wrote. A release that finds
-		// nothing in it would be dropped, and its key stay taken.
+		// A stale read does not contain the latest writes of this router. A
+		// release that does not find its claim in it would be dropped, and the
+		// key would stay blocked.
 		m.markUnavailable(now, s)
 		return
 	}
@@ -54,10 +58,11 @@
 	m.queueShard(s)
 }
 
-// applyRead adds what was read to what is known. Without error and without a copy
-// there is more to read: claims are decided only by a router that knows the
-// chain from its start to its unsealed end. With less it would miss the claim
-// of another router in a segment that it skipped, and grant the key again.
+// applyRead adds the content of a read to the known state. If it returns no
+// error and lastSegment is nil, there is more to read: claims are decided only
+// by a router that knows the whole chain from its start to its unsealed end.
+// Otherwise it could miss another router's claim in a segment that it skipped,
+// and grant the same key again.
 func (m *Machine) applyRead(now time.Time, s *shardState, e ReadDone) error {
 	if s.chain == nil {
 		return m.rebuildChain(now, s, e)
@@ -69,13 +74,15 @@
 	if err != nil {
 		return err
 	}
-	// A segment that does not exist yet is no sign that others have stopped.
+	// If the segment does not exist yet, that does not show that other routers
+	// have stopped writing.
 	s.contended = s.contended && (e.Version == 0 || e.Version != s.lastPosition.version)
 	s.setLast(segment, e.Version)
 	return nil
 }
 
-// setLast makes a segment the last one, or goes past it if it is sealed.
+// setLast makes a segment the last one, or continues with the next one if it is
+// sealed.
 func (s *shardState) setLast(segment *Segment, version Version) {
 	s.lastPosition.version = version
 	s.lastSegment = segment
@@ -85,16 +92,17 @@
 	}
 }
 
-// advance folds the sealed copy and goes on to the next segment.
+// advance merges the sealed last segment into the chain and continues with the
+// next one.
 func (s *shardState) advance() {
 	s.chain.merge(s.lastSegment, s.lastPosition.version)
 	s.lastPosition = position{number: s.lastPosition.number + 1}
 	s.lastSegment = nil
 }
 
-// checkSegment checks that a read returned the segment asked for. One that does not
-// exist is empty, and so is one whose slot still has the expired segment of the
-// round before.
+// checkSegment checks that a read returned the requested segment. A segment
+// that does not exist is empty, and so is one whose slot still holds the
+// expired segment that used the slot before.
 func (m *Machine) checkSegment(now time.Time, number uint64, e ReadDone) (*Segment, error) {
 	if e.Version == 0 && len(e.Value) == 0 {
 		return &Segment{Number: number}, nil
@@ -117,13 +125,15 @@
 	return &Segment{Number: number}, nil
 }
 
-// versionedSegment is a segment of a whole chain.
+// versionedSegment is a segment of a whole chain with its version in the
+// platform.
 type versionedSegment struct {
 	segment *Segment
 	version Version
 }
 
-// rebuildChain builds the chain of a router that knows nothing of it.
+// rebuildChain builds the chain from a read of the whole chain, when nothing of
+// it is known.
 func (m *Machine) rebuildChain(now time.Time, s *shardState, e ReadDone) error {
 	segments, err := m.orderedSegments(e)
 	if err != nil {
@@ -142,8 +152,9 @@
 	return nil
 }
 
-// orderedSegments returns the segments of a whole chain, oldest first, after checking
-// that none is missing. A chain without objects has an empty first segment.
+// orderedSegments returns the segments of a whole chain, oldest first, and
+// checks that none is missing. A chain without objects has an empty first
+// segment.
 func (m *Machine) orderedSegments(e ReadDone) ([]versionedSegment, error) {
 	stored := append([]StoredSegment{{Version: e.Version, Value: e.Value}}, e.Others...)
 	var segments []versionedSegment
@@ -167,9 +178,9 @@
 	return segments, m.checkGaps(segments)
 }
 
-// checkGaps holds that a chain begins with its first segment, or with the one
-// that a full round of slots leaves, that numbers follow each other and that
-// all but the last are sealed.
+// checkGaps checks that a chain begins with segment 0, or occupies all slots if
+// its oldest segments were overwritten; that the numbers are consecutive; and
+// that all segments except the last are sealed.
 func (m *Machine) checkGaps(segments []versionedSegment) error {
 	first := segments[0].segment.Number
 	if first > 0 && uint64(len(segments)) != m.limits.slots {
@@ -184,9 +195,10 @@
 	return nil
 }
 
-// finishEmptying ends the emptying of the oldest segment. After a conflict another
-// router has emptied it. After a lost answer it may still stand; its slot is
-// then reused all the same, because its entries have expired.
+// finishEmptying completes the emptying of the oldest segment. After a
+// conflict, another router has emptied it. After a lost answer, the segment may
+// still be stored; its slot can be reused nevertheless, because its entries
+// have expired.
 func (m *Machine) finishEmptying(now time.Time, s *shardState, outcome WriteOutcome) {
 	s.emptying = false
 	if outcome == WriteUnavailable {
--- a/coordination/claims/request.go
+++ b/coordination/claims/request.go
@@ -8,28 +8,29 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Request asks for the right to run one keyed request.
+// Request asks for the right to run one request that has an idempotency key.
 type Request struct {
 	Workspace state.Workspace
 	Service   state.Service
 	// Key is the caller's idempotency key.
 	Key string
-	// Attempt identifies the claim as well as the dispatch made under it.
+	// Attempt identifies the claim and also the dispatch made under it.
 	Attempt state.AttemptID
 }
 
-// digestBytes of a hash make two keys that share a digest less likely than a
-// fault of the machine, also where a caller chooses keys to that end.
+// digestBytes is the length of a digest. At 16 bytes of a hash, two keys with
+// the same digest are less likely than a hardware fault, even if a caller
+// chooses keys to that end.
 const digestBytes = 16
 
-// Digest stands for workspace, service and key in a shard.
+// Digest identifies the combination of workspace, service and key in a shard.
 type Digest [digestBytes]byte
 
-// String returns the digest in hex.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Digest returns the digest of the request's key. Each field goes in with its
-// length, so that no two requests agree by shifting bytes between fields.
+// Digest returns the digest of the request's key. Each field is preceded by its
+// length, so that moving bytes from one field to the next changes the digest.
 func (r Request) Digest() Digest {
 	var buf []byte
 	for _, field := range []string{string(r.Workspace), string(r.Service), r.Key} {
--- a/coordination/claims/round.go
+++ b/coordination/claims/round.go
@@ -21,15 +21,15 @@
 		m.pendingSettlements--
 		return
 	default:
-		// The write that carried the claim may yet land. Any write moves
-		// the version on, after which it cannot.
+		// The write that included the claim may still take effect. Any other
+		// write changes the version, after which it cannot.
 		d.forceWrite = true
 	}
 	s.round = append(s.round, o)
 }
 
-// applyClaim applies a claim to the draft. It returns false if the shard must be
-// read before the claim can be decided.
+// applyClaim applies a claim to the draft. It returns false if the shard must
+// be read before the claim can be decided.
 func (m *Machine) applyClaim(now time.Time, s *shardState, d *draft, o *op) bool {
 	e := d.lookup(o.digest)
 	if e == nil && m.isFull(now, s) {
@@ -42,12 +42,13 @@
 		return true
 	}
 	if e.Claim == o.claim {
-		// An earlier write whose answer was lost did land.
+		// An earlier write whose answer was lost has taken effect.
 		m.grantClaim(now, s, o)
 		return true
 	}
 	if e.Status == StatusRunning && s.lastSegmentAsOf.Before(o.arrived) && d.edits[o.digest] == nil {
-		// The claimer may have released the key since the copy was read.
+		// The claimer may have released the key since the last segment was
+		// read.
 		return false
 	}
 	m.decide(o, m.duplicateResult(now, e))
@@ -55,8 +56,8 @@
 	return true
 }
 
-// duplicateResult answers a request whose key is taken. It never says that the
-// request did not run.
+// duplicateResult returns the result for a request whose key is blocked. It
+// never states that the request did not run.
 func (m *Machine) duplicateResult(now time.Time, e *Entry) result.Result {
 	switch {
 	case e.Status == StatusCompleted:
@@ -68,14 +69,15 @@
 	}
 }
 
-// isOwnEarlierClaim recognises claims of this router's own earlier runs: nobody will
-// complete them, so waiting does not help the caller.
+// isOwnEarlierClaim reports whether a claim was made by an earlier incarnation
+// of this router. Such a claim will never be completed, so waiting does not
+// help the caller.
 func (m *Machine) isOwnEarlierClaim(e *Entry) bool {
 	return e.Claim.Router == m.self.router && e.Claim.Incarnation < m.self.incarnation
 }
 
-// grantClaim gives the right to run, unless the claimer was paused for so long that
-// the answer comes too late to be used.
+// grantClaim grants the right to run, unless the claimer was paused for so long
+// that its caller no longer waits for the answer.
 func (m *Machine) grantClaim(now time.Time, s *shardState, o *op) {
 	late := now.Sub(o.arrived) > maxDecisionTime
 	if !o.withdrawn && !late {
@@ -86,7 +88,7 @@
 	m.enqueue(s, &op{kind: opRelease, digest: o.digest, claim: o.claim, arrived: now})
 }
 
-// isFull says whether a shard takes no more claims.
+// isFull reports whether a shard accepts no more claims.
 func (m *Machine) isFull(now time.Time, s *shardState) bool {
 	slotsOverLimit := len(s.chain.sealed) + m.limits.reservedSlots - int(m.limits.slots)
 	if slotsOverLimit >= 0 && slotsOverLimit >= s.chain.expiredSegments(now) {
@@ -96,13 +98,14 @@
 	return keys >= m.limits.maxKeys && keys-s.lastSegment.expiredEntries(now) >= m.limits.maxKeys
 }
 
-// endCall ends the call in flight.
+// endCall records the end of the call in flight.
 func (m *Machine) endCall(s *shardState) {
 	s.callInFlight = callNone
 	m.callsInFlight--
 }
 
-// markUnavailable notes that the platform did not answer. Claims hear so at once.
+// markUnavailable records that the platform did not answer. Waiting claims are
+// refused at once.
 func (m *Machine) markUnavailable(now time.Time, s *shardState) {
 	m.platformSuspect = true
 	m.unavailableUntil = now.Add(unavailableRetry)
@@ -132,8 +135,8 @@
 		m.requeueRound(now, s, round)
 		m.markUnavailable(now, s)
 	default:
-		// The answer was lost. Reading back tells whether the write
-		// landed; until then nothing is run on it.
+		// The answer was lost. Reading the segment again shows whether the
+		// write took effect; until then, nothing runs on its claims.
 		fenceAll(round, s.lastPosition)
 		s.urgent = true
 		s.lastSegment = nil
@@ -150,15 +153,16 @@
 	}
 }
 
-// finishWrite makes the write's content the copy and decides its claims.
+// finishWrite makes the written segment the last segment and decides its
+// claims.
 func (m *Machine) finishWrite(now time.Time, s *shardState, round []*op, v Version) {
 	m.platformSuspect = false
 	s.lastSegment = s.nextSegment
 	s.lastPosition.version = v
 	s.lastSegmentAsOf = s.callStarted
 	if s.lastSegment.Sealed {
-		// Nobody can have created the next segment before this write took
-		// effect, so what is known was current when it began.
+		// No router can have created the next segment before this write took
+		// effect, so the known state was current when the write began.
 		s.advance()
 		s.lastSegment = &Segment{Number: s.lastPosition.number}
 	}
@@ -171,8 +175,8 @@
 	}
 }
 
-// requeueRound puts the ops of a failed round back before those that came since. A
-// claim withdrawn meanwhile becomes its own release.
+// requeueRound puts the ops of a failed round back before those that arrived
+// since. A claim that was withdrawn in the meantime is replaced by its release.
 func (m *Machine) requeueRound(now time.Time, s *shardState, round []*op) {
 	arrivedSince := s.waiting
 	s.waiting = nil
