--- a/coordination/claims/minted/key.go
+++ b/coordination/claims/minted/key.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// prefix marks minted keys among callers' own.
+	// prefix distinguishes issued keys from keys that callers choose
+	// themselves.
 	prefix = "fk1:"
-	// macBytes of the authentication code cannot be guessed within a key's
-	// lifetime.
+	// macBytes is the length of the authentication code. A code of 16 bytes
+	// cannot be guessed within a key's lifetime.
 	macBytes = 16
-	// keyFields are data centre, router, incarnation, sequence and code.
+	// keyFields is the number of fields of a key: data centre, router,
+	// incarnation, sequence and code.
 	keyFields = 5
 	separator = ":"
 )
 
-// errMalformedKey says that a text is no minted key.
-var errMalformedKey = errors.New("minted: not a minted key")
+// errMalformedKey is returned for a text that is not an issued key.
+var errMalformedKey = errors.New("minted: not an issued key")
 
-// Key names one key. The code binds it to a workspace and to the secret of the
-// incarnation that issued it.
+// Key is one issued key. The code binds it to a workspace and to the secret of
+// the incarnation that issued it.
 type Key struct {
 	DataCentre  state.DataCentre
 	Router      state.Router
@@ -36,7 +38,7 @@
 	code        [macBytes]byte
 }
 
-// IsMinted says whether a caller's key claims to be a minted one.
+// IsMinted reports whether a caller's key has the form of an issued key.
 func IsMinted(key string) bool { return strings.HasPrefix(key, prefix) }
 
 // String returns the key as callers send it.
@@ -50,7 +52,7 @@
 	}, separator)
 }
 
-// Parse reads a key without checking its code.
+// Parse parses a key without checking its code.
 func Parse(text string) (Key, error) {
 	fields := strings.Split(strings.TrimPrefix(text, prefix), separator)
 	if !IsMinted(text) || len(fields) != keyFields {
@@ -77,7 +79,7 @@
 	}, nil
 }
 
-// sign returns the code of a key for a workspace.
+// sign returns the authentication code of a key for a workspace.
 func (k Key) sign(secret []byte, ws state.Workspace) [macBytes]byte {
 	mac := hmac.New(sha256.New, secret)
 	var buf []byte
--- a/coordination/claims/minted/mint.go
+++ b/coordination/claims/minted/mint.go
@@ -11,31 +11,33 @@
 )
 
 const (
-	// Lifetime is how long an unused key may be run. A caller fetches one
-	// when its user starts to fill in a booking.
+	// Lifetime is the time within which an issued key must be used. A caller
+	// fetches a key when its user starts to enter the request.
 	Lifetime = time.Hour
-	// MaxKeys bounds the records of a router: at about a hundred bytes each
-	// they hold some 20 MB of a small VM.
+	// MaxKeys bounds the number of records of a router. At about 100 bytes
+	// each, they take about 20 MB of the memory of a small VM.
 	MaxKeys = 200_000
-	// MaxPerWorkspace keeps one workspace from using up all records. It
-	// allows five keys a second over the lifetime.
+	// MaxPerWorkspace bounds the number of records of one workspace, so that it
+	// cannot use up all of them. It allows five keys per second over the
+	// lifetime.
 	MaxPerWorkspace = 20_000
-	// progressRetry is when a caller may ask after a running request again.
+	// progressRetry is the retry delay sent to a caller whose request is
+	// already running.
 	progressRetry = 2 * time.Second
-	// fullRetry is when a caller may ask for a key again where records ran
-	// out: old ones expire by the minute.
+	// fullRetry is the retry delay sent to a caller that gets no key because
+	// the records are used up. Some old records expire every minute.
 	fullRetry = time.Minute
-	// minSecretBytes of a secret withstand guessing.
+	// minSecretBytes is the minimum length of a secret that cannot be guessed.
 	minSecretBytes = 32
 )
 
-// Faults of a mint's options.
+// Errors in the options of a mint.
 var (
-	errInvalidName = errors.New("minted: data centre and router must be named without ':'")
+	errInvalidName = errors.New("minted: data centre and router must have names without ':'")
 	errShortSecret = errors.New("minted: the secret is too short")
 )
 
-// status is where a key stands.
+// status is the state of a key.
 type status uint8
 
 const (
@@ -45,37 +47,41 @@
 	statusUnknown
 )
 
-// record is a key that this incarnation still knows.
+// record holds the state of a key that this incarnation has issued and not yet
+// forgotten.
 type record struct {
 	workspace state.Workspace
 	claim     state.AttemptID
 	status    status
-	// expiresAt is when the record may be forgotten.
+	// expiresAt is the time after which the record may be removed.
 	expiresAt time.Time
 }
 
-// Options name an incarnation of a router.
+// Options identifies an incarnation of a router.
 type Options struct {
 	DataCentre  state.DataCentre
 	Router      state.Router
 	Incarnation state.Incarnation
-	// Secret is random and known to this incarnation only. A second process
-	// under the same name and number has another, and runs none of the keys.
+	// Secret is random and known only to this incarnation. A second process
+	// with the same name and incarnation number has another secret and accepts
+	// none of the keys.
 	Secret []byte
 }
 
-// Mint issues and runs the keys of one incarnation. It is not safe for
-// concurrent use, does no I/O and reads no clock.
+// Mint issues the keys of one incarnation and decides whether their requests
+// may run. It is not safe for concurrent use, does no I/O and reads no clock.
 //
-// A key without a record is never run: it was issued by somebody else, or so
-// long ago that it may have run. So forgetting is always safe, and the bounds
-// on memory cost no promise.
+// A request whose key has no record is never run: the key was issued by another
+// router or incarnation, or so long ago that the request may have run. Removing
+// records is therefore always safe, and the bounds on memory do not weaken the
+// guarantee.
 type Mint struct {
 	opts             Options
 	sequence         uint64
 	records          map[uint64]*record
 	keysPerWorkspace map[state.Workspace]int
-	// issued and used hold sequences in the order in which they expire.
+	// issued and used hold sequence numbers in the order in which their records
+	// expire.
 	issued, used []expiry
 }
 
@@ -84,7 +90,7 @@
 	expiresAt time.Time
 }
 
-// New returns a mint.
+// New returns a mint without any issued keys.
 func New(opts Options) (*Mint, error) {
 	names := string(opts.DataCentre) + string(opts.Router)
 	if opts.DataCentre == "" || opts.Router == "" || strings.Contains(names, separator) {
@@ -100,8 +106,8 @@
 	}, nil
 }
 
-// Issue returns a new key of a workspace and when it expires. The result is OK
-// or a refusal.
+// Issue returns a new key for a workspace and the time at which it expires. The
+// result is OK or a refusal.
 func (m *Mint) Issue(now time.Time, ws state.Workspace) (Key, time.Time, result.Result) {
 	m.forgetExpired(now)
 	if len(m.records) >= MaxKeys || m.keysPerWorkspace[ws] >= MaxPerWorkspace {
@@ -123,7 +129,8 @@
 	return key, expiresAt, result.New(result.OK, "")
 }
 
-// Claim returns OK if the request may run now, once.
+// Claim returns OK if the request with the key may run now. It does so once per
+// key.
 func (m *Mint) Claim(now time.Time, req claims.Request) result.Result {
 	m.forgetExpired(now)
 	key, err := Parse(req.Key)
@@ -160,8 +167,8 @@
 	}
 }
 
-// Complete records what became of a claimed request: RanNo lets the key run
-// again.
+// Complete records the result of a claimed request. After RanNo, the request
+// may be run again.
 func (m *Mint) Complete(req claims.Request, ran result.Ran) {
 	key, err := Parse(req.Key)
 	if err != nil {
@@ -181,8 +188,8 @@
 	}
 }
 
-// forgetExpired drops records whose time has come. A record that was used since it
-// was queued has a later time and stays for its next place in the queue.
+// forgetExpired removes expired records. If a key was used after its record was
+// queued, the record expires later and stays until its next entry in a queue.
 func (m *Mint) forgetExpired(now time.Time) {
 	m.issued = m.dropExpired(now, m.issued)
 	m.used = m.dropExpired(now, m.used)
--- a/coordination/claims/minted/mint_test.go
+++ b/coordination/claims/minted/mint_test.go
@@ -43,22 +43,23 @@
 	second := requestWithKey(key, 3)
 	require.Equal(t, result.OK, m.Claim(epoch, second).Code)
 	m.Complete(first, result.RanNo)
-	require.Equal(t, result.KeyInProgress, m.Claim(epoch, requestWithKey(key, 4)).Code, "a stale release changes nothing")
+	require.Equal(t, result.KeyInProgress, m.Claim(epoch, requestWithKey(key, 4)).Code, "the release of an earlier claim changes nothing")
 	m.Complete(second, result.RanYes)
 	require.Equal(t, result.KeyCompleted, m.Claim(epoch.Add(2*Lifetime), requestWithKey(key, 5)).Code)
 	require.Equal(t, result.KeyUnknown, m.Claim(epoch.Add(claims.Retention+time.Second), requestWithKey(key, 6)).Code)
 }
 
-// TestKeyElsewhereIsNotRun: two escorts are assigned to one child. The key's
-// router is gone, restarted, doubled or just another one, and whoever receives
-// the resend cannot know whether the booking ran.
+// TestKeyOfAnotherMintIsNotRun checks that a request is refused by every router
+// but the one that issued its key, since the others cannot know whether it ran.
+// Here they are another router, a restarted one, a second process with the same
+// identity, and one that has forgotten the key.
 func TestKeyOfAnotherMintIsNotRun(t *testing.T) {
 	key, _, _ := newMint(t, "pudahuel-1", 1, 1).Issue(epoch, "lan")
 	others := map[string]*Mint{
-		"another router":     newMint(t, "pudahuel-2", 1, 1),
-		"a later run":        newMint(t, "pudahuel-1", 2, 1),
-		"a doubled identity": newMint(t, "pudahuel-1", 1, 2),
-		"forgotten":          newMint(t, "pudahuel-1", 1, 1),
+		"another router":                          newMint(t, "pudahuel-2", 1, 1),
+		"a later incarnation":                     newMint(t, "pudahuel-1", 2, 1),
+		"a second process with the same identity": newMint(t, "pudahuel-1", 1, 2),
+		"a mint without a record of the key":      newMint(t, "pudahuel-1", 1, 1),
 	}
 	for name, m := range others {
 		res := m.Claim(epoch, requestWithKey(key, 1))
@@ -73,8 +74,8 @@
 	require.Equal(t, result.BadRequest, m.Claim(epoch, malformed).Code)
 }
 
-// TestKeysAreBounded: a router runs out of memory because one workspace asks
-// for keys in a loop.
+// TestKeysAreBounded checks that a workspace that requests keys in a loop does
+// not exhaust the memory of a router.
 func TestKeysAreBounded(t *testing.T) {
 	m := newMint(t, "pudahuel-1", 1, 1)
 	for range MaxPerWorkspace {
@@ -90,8 +91,8 @@
 	require.Len(t, m.records, 1)
 }
 
-// TestKeysRunAtMostOnce presents keys in any order while time passes, records
-// expire and requests end in any way.
+// TestKeysRunAtMostOnce presents keys in random order while time passes,
+// records expire and requests end with random results.
 func TestKeysRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMint(t, "pudahuel-1", 1, 1)
@@ -102,7 +103,7 @@
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for step := range uint64(steps) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 120).Draw(t, "minutes")) * time.Minute)
-			switch rapid.IntRange(0, 2).Draw(t, "act") {
+			switch rapid.IntRange(0, 2).Draw(t, "action") {
 			case 0:
 				key, _, _ := m.Issue(now, "lan")
 				keys = append(keys, key)
