--- a/coordination/claims/limits.go
+++ b/coordination/claims/limits.go
@@ -74,7 +74,8 @@
 	// already running.
 	progressRetry = 2 * time.Second
 	// maxPendingSettlements bounds the number of completions and releases that
-	// are kept while the platform is unavailable. Beyond it the oldest is
-	// dropped. Its key is then answered as unknown, which is still correct.
+	// are kept while the platform is unavailable. Beyond it, the oldest one of
+	// the shard that gets another one is dropped. Its key is then answered as
+	// unknown, which is still correct.
 	maxPendingSettlements = 100_000
 )
