--- a/coordination/claims/minted/key.go
+++ b/coordination/claims/minted/key.go
@@ -38,7 +38,7 @@
 	code        [macBytes]byte
 }
 
-// IsMinted reports whether a caller's key has the form of an issued key.
+// IsMinted reports whether a caller's key has the prefix of issued keys.
 func IsMinted(key string) bool { return strings.HasPrefix(key, prefix) }
 
 // String returns the key as callers send it.
