--- a/coordination/claims/machine.go
+++ b/coordination/claims/machine.go
@@ -35,9 +35,9 @@
 	withdrawn bool
 }
 
-// cannotLand reports whether no earlier write of this op can take effect any
+// cannotTakeEffect reports whether no earlier write of this op can take effect any
 // more.
-func (o *op) cannotLand(at position) bool { return !o.fenced || at.after(o.fence) }
+func (o *op) cannotTakeEffect(at position) bool { return !o.fenced || at.after(o.fence) }
 
 // position is a version of one segment of a chain.
 type position struct {
--- a/coordination/claims/minted/mint.go
+++ b/coordination/claims/minted/mint.go
@@ -82,7 +82,7 @@
 	keysPerWorkspace map[state.Workspace]int
 	// issued and used hold sequence numbers in the order in which their records
 	// expire.
-	issued, used []expiry
+	issued, claimed []expiry
 }
 
 type expiry struct {
@@ -156,7 +156,7 @@
 		rec.status = statusRunning
 		rec.claim = claim
 		rec.expiresAt = now.Add(claims.Retention)
-		m.used = append(m.used, expiry{sequence, rec.expiresAt})
+		m.claimed = append(m.claimed, expiry{sequence, rec.expiresAt})
 		return result.New(result.OK, "")
 	case statusRunning:
 		return result.New(result.KeyInProgress, "").WithRetryAfter(progressRetry)
@@ -192,7 +192,7 @@
 // queued, the record expires later and stays until its next entry in a queue.
 func (m *Mint) forgetExpired(now time.Time) {
 	m.issued = m.dropExpired(now, m.issued)
-	m.used = m.dropExpired(now, m.used)
+	m.claimed = m.dropExpired(now, m.claimed)
 }
 
 func (m *Mint) dropExpired(now time.Time, queue []expiry) []expiry {
--- a/coordination/claims/property_test.go
+++ b/coordination/claims/property_test.go
@@ -69,11 +69,11 @@
 
 func (f *fleet) step(i int, event Event) {
 	f.routers[i].step(event)
-	f.collect(i)
+	f.checkDecisions(i)
 }
 
-// collect checks the decisions of a router.
-func (f *fleet) collect(i int) {
+// checkDecisions checks the decisions of a router.
+func (f *fleet) checkDecisions(i int) {
 	r := f.routers[i]
 	f.pending[i] = slices.DeleteFunc(f.pending[i], func(req Request) bool {
 		res, decided := r.decided[req.Attempt]
@@ -152,7 +152,7 @@
 		}
 	case 1:
 		if len(f.granted[i]) > 0 {
-			f.giveBack(i, removeAt(&f.granted[i], 0))
+			f.releaseGranted(i, removeAt(&f.granted[i], 0))
 		}
 	case 2:
 		if len(f.granted[i]) > 0 {
@@ -169,8 +169,8 @@
 	}
 }
 
-// giveBack ends a granted request that was not sent.
-func (f *fleet) giveBack(i int, req Request) {
+// releaseGranted ends a granted request that was not sent.
+func (f *fleet) releaseGranted(i int, req Request) {
 	f.grantedKeys[req.Key] = false
 	f.step(i, RequestFinished{Request: req, Ran: result.RanNo})
 }
@@ -208,7 +208,7 @@
 			f.step(i, ClaimWithdrawn{Request: removeAt(&f.pending[i], 0)})
 		}
 		for len(f.granted[i]) > 0 {
-			f.giveBack(i, removeAt(&f.granted[i], 0))
+			f.releaseGranted(i, removeAt(&f.granted[i], 0))
 		}
 		for len(f.running[i]) > 0 {
 			f.step(i, RequestFinished{Request: removeAt(&f.running[i], 0), Ran: result.RanYes})
@@ -275,9 +275,9 @@
 func (f *fleet) checkAtRest() {
 	for i, r := range f.routers {
 		r.settle(f.p)
-		f.collect(i)
+		f.checkDecisions(i)
 		for _, req := range f.granted[i] {
-			f.giveBack(i, req)
+			f.releaseGranted(i, req)
 		}
 		f.granted[i] = nil
 		r.settle(f.p)
--- a/coordination/claims/round.go
+++ b/coordination/claims/round.go
@@ -17,7 +17,7 @@
 		updated := *e
 		updated.Status = o.status
 		d.put(updated)
-	case o.cannotLand(s.lastPosition):
+	case o.cannotTakeEffect(s.lastPosition):
 		m.pendingSettlements--
 		return
 	default:
--- a/coordination/fairness/ledger.go
+++ b/coordination/fairness/ledger.go
@@ -81,9 +81,9 @@
 	accounts    map[state.Workspace]*account
 	origins     map[Origin]*origin
 	originsSeen uint64
-	// extrapolated holds the accounts whose extrapolated cost may differ from
+	// extrapolatedAccounts holds the accounts whose extrapolated cost may differ from
 	// zero.
-	extrapolated map[*account]struct{}
+	extrapolatedAccounts map[*account]struct{}
 	// byVirtualTime and byModel index the backlogged accounts by virtual time.
 	byVirtualTime *btree.BTreeG[node]
 	byModel       map[state.Model]*btree.BTreeG[node]
@@ -102,14 +102,14 @@
 // virtual times.
 func New(seed uint64) *Ledger {
 	return &Ledger{
-		seed:            seed,
-		ownShare:        1,
-		accounts:        make(map[state.Workspace]*account),
-		origins:         make(map[Origin]*origin),
-		extrapolated:    make(map[*account]struct{}),
-		byVirtualTime:   newIndex(),
-		byModel:         make(map[state.Model]*btree.BTreeG[node]),
-		changedAccounts: make(map[*account]struct{}),
+		seed:                 seed,
+		ownShare:             1,
+		accounts:             make(map[state.Workspace]*account),
+		origins:              make(map[Origin]*origin),
+		extrapolatedAccounts: make(map[*account]struct{}),
+		byVirtualTime:        newIndex(),
+		byModel:              make(map[state.Model]*btree.BTreeG[node]),
+		changedAccounts:      make(map[*account]struct{}),
 	}
 }
 
@@ -146,7 +146,7 @@
 	a := l.account(w)
 	a.grantedEstimate += float64(estimate)
 	a.lastEstimate = estimate
-	l.extrapolated[a] = struct{}{}
+	l.extrapolatedAccounts[a] = struct{}{}
 	l.adjust(a, 0, estimate)
 }
 
--- a/coordination/fairness/origin.go
+++ b/coordination/fairness/origin.go
@@ -61,11 +61,11 @@
 	if o.share == 0 {
 		return
 	}
-	for a := range l.extrapolated {
+	for a := range l.extrapolatedAccounts {
 		a.peerGrantedEstimate += o.share * (a.grantedEstimate - o.grantedAtReceipt[a.workspace])
 		o.grantedAtReceipt[a.workspace] = a.grantedEstimate
 		if l.extrapolatedCost(a) < 1 {
-			delete(l.extrapolated, a)
+			delete(l.extrapolatedAccounts, a)
 		}
 	}
 }
@@ -181,7 +181,7 @@
 		for _, o := range liveOrigins {
 			a.peerGrantedEstimate += o.share * o.grantedAtReceipt[w]
 		}
-		l.extrapolated[a] = struct{}{}
+		l.extrapolatedAccounts[a] = struct{}{}
 	}
 }
 
--- a/coordination/scheduler/large_test.go
+++ b/coordination/scheduler/large_test.go
@@ -35,8 +35,8 @@
 	return Configured{Settings: config.Settings{Services: []config.Service{svc}}}
 }
 
-// newLarge returns a router of a large fleet and the upstreams that it owns.
-func newLarge(now time.Time, upstreams int) (*Scheduler, []state.Upstream) {
+// newLargeFleetRouter returns a router of a large fleet and the upstreams that it owns.
+func newLargeFleetRouter(now time.Time, upstreams int) (*Scheduler, []state.Upstream) {
 	all := largePeers(largeRouters)
 	s := New(Options{Self: all[0]})
 	s.Step(now, PeersChanged{Peers: all})
@@ -44,7 +44,7 @@
 	return s, owned[0].Upstreams
 }
 
-func bySize(b *testing.B, run func(b *testing.B, upstreams int)) {
+func runBySize(b *testing.B, run func(b *testing.B, upstreams int)) {
 	for _, n := range []int{1000, largeUpstreams} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { run(b, n) })
 	}
@@ -52,9 +52,9 @@
 
 // BenchmarkLargeRequest measures a request that an own upstream serves at once.
 func BenchmarkLargeRequest(b *testing.B) {
-	bySize(b, func(b *testing.B, upstreams int) {
+	runBySize(b, func(b *testing.B, upstreams int) {
 		now := time.Unix(1000, 0)
-		s, owned := newLarge(now, upstreams)
+		s, owned := newLargeFleetRouter(now, upstreams)
 		for _, u := range owned {
 			s.Step(now, Reported{Report: state.LoadReport{Upstream: u, Boot: "1", Slots: 8}})
 		}
@@ -70,9 +70,9 @@
 // BenchmarkLargeTick measures the mean time of ticks, including those with
 // exchanges and other periodic tasks.
 func BenchmarkLargeTick(b *testing.B) {
-	bySize(b, func(b *testing.B, upstreams int) {
+	runBySize(b, func(b *testing.B, upstreams int) {
 		now := time.Unix(1000, 0)
-		s, _ := newLarge(now, upstreams)
+		s, _ := newLargeFleetRouter(now, upstreams)
 		for b.Loop() {
 			now = now.Add(TickInterval)
 			s.Step(now, Tick{})
@@ -86,14 +86,14 @@
 	now := time.Unix(1000, 0)
 	all := largePeers(largeRouters)
 	b.Run("restart", func(b *testing.B) {
-		s, _ := newLarge(now, largeUpstreams)
+		s, _ := newLargeFleetRouter(now, largeUpstreams)
 		for b.Loop() {
 			all[1].Incarnation++
 			s.Step(now, PeersChanged{Peers: all})
 		}
 	})
 	b.Run("leave-and-join", func(b *testing.B) {
-		s, _ := newLarge(now, largeUpstreams)
+		s, _ := newLargeFleetRouter(now, largeUpstreams)
 		for b.Loop() {
 			s.Step(now, PeersChanged{Peers: all[:len(all)-1]})
 			s.Step(now, PeersChanged{Peers: all})
--- a/coordination/scheduler/options.go
+++ b/coordination/scheduler/options.go
@@ -50,9 +50,9 @@
 	// leavingRepeat is the interval at which the departure of a draining
 	// upstream is announced again, so that other routers do not forget it.
 	leavingRepeat = 10 * time.Second
-	// trimInterval is the interval at which idle workspaces are removed from
+	// forgetIdleInterval is the interval at which idle workspaces are removed from
 	// the queues.
-	trimInterval = 10 * time.Second
+	forgetIdleInterval = 10 * time.Second
 	// adoptionPeriod is the time after the start in which this router takes
 	// over virtual times from its peers. Each peer sends them once, when it
 	// first learns of this router.
--- a/coordination/scheduler/request.go
+++ b/coordination/scheduler/request.go
@@ -139,9 +139,9 @@
 	}
 }
 
-// expire refuses requests whose deadline has passed and withdraws expired
+// handleTimeouts refuses requests whose deadline has passed and withdraws expired
 // grants, except those whose request may still run.
-func (s *Scheduler) expire() {
+func (s *Scheduler) handleTimeouts() {
 	for _, item := range s.queues.TakeExpired(s.now) {
 		s.syncAfterRemoval(item)
 		code := result.DeadlinePassed
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -75,7 +75,7 @@
 	lastUsageRefresh  time.Time
 	nextDemandBatch   time.Time
 	nextDemandRefresh time.Time
-	nextTrim          time.Time
+	nextForgetIdle    time.Time
 	nextLeavingRepeat time.Time
 }
 
@@ -111,7 +111,7 @@
 	s.detectPause()
 	// Timeouts are processed first, so that no grant of this step starts a
 	// request whose deadline has passed.
-	s.expire()
+	s.handleTimeouts()
 	s.handle(ev)
 	s.grantAll()
 	s.announceDemand()
@@ -217,8 +217,8 @@
 		s.timers.nextDemandRefresh = s.now.Add(demandRefresh)
 		s.refreshDemand()
 	}
-	if !s.now.Before(s.timers.nextTrim) {
-		s.timers.nextTrim = s.now.Add(trimInterval)
+	if !s.now.Before(s.timers.nextForgetIdle) {
+		s.timers.nextForgetIdle = s.now.Add(forgetIdleInterval)
 		s.queues.ForgetIdle(s.now)
 	}
 	if !s.now.Before(s.timers.nextLeavingRepeat) {
--- a/coordination/scheduler/upstream.go
+++ b/coordination/scheduler/upstream.go
@@ -94,13 +94,13 @@
 	case OutcomeServed, OutcomeFailed:
 		u.outlier.RecordSuccess()
 	case OutcomeNotSent, OutcomeLost:
-		if u.outlier.RecordFailure() && s.canSpare(u) {
+		if u.outlier.RecordFailure() && s.canExclude(u) {
 			u.outlier.StartCoolDown(s.now)
 		}
 	}
 }
 
-func (s *Scheduler) canSpare(u *upstream) bool {
+func (s *Scheduler) canExclude(u *upstream) bool {
 	for _, other := range u.service.owned {
 		if other != u && s.acceptsWork(other) {
 			return true
