--- a/cmd/figstile/internal/cli/dev.go
+++ b/cmd/figstile/internal/cli/dev.go
@@ -98,7 +98,7 @@
 }
 
 func (d devCommand) runTrial(a *app, sample devfleet.Sample, fleet *devfleet.Fleet) error {
-	trial, err := fleet.Try(a.ctx, sample.Workload(d.loadDuration(defaultTrialDuration), d.Load))
+	trial, err := fleet.RunTrial(a.ctx, sample.Workload(d.loadDuration(defaultTrialDuration), d.Load))
 	if err != nil {
 		return err
 	}
@@ -130,7 +130,7 @@
 		d.waitForEnd(a.ctx)
 		return nil
 	}
-	trial, err := fleet.Try(a.ctx, d.loadDuration(defaultTrialDuration))
+	trial, err := fleet.RunTrial(a.ctx, d.loadDuration(defaultTrialDuration))
 	if err != nil {
 		return err
 	}
--- a/devfleet/edge.go
+++ b/devfleet/edge.go
@@ -33,8 +33,8 @@
 	edgeWorkerSlots = 4
 	// edgeThroughput is what two stand-in engines do, as the third leaves: four
 	// streams each at a time, of a third of a second and 300 cost units.
-	edgeThroughput = 7000
-	edgeGrace      = 5 * time.Second
+	edgeThroughput  = 7000
+	edgeGracePeriod = 5 * time.Second
 )
 
 // Services and routes of the sample.
@@ -66,16 +66,16 @@
 
 // StartEdge starts a fleet and waits until every router is ready.
 func StartEdge(ctx context.Context, log zerolog.Logger) (*EdgeFleet, error) {
-	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	f := &EdgeFleet{store: objects.New(), servers: make(map[state.Upstream]*edgeServer), cancel: cancel}
-	f.group, running = errgroup.WithContext(running)
-	if err := f.start(ctx, running, log); err != nil {
+	f.group, runCtx = errgroup.WithContext(runCtx)
+	if err := f.start(ctx, runCtx, log); err != nil {
 		return nil, errors.Join(err, f.Stop())
 	}
 	return f, nil
 }
 
-func (f *EdgeFleet) start(ctx, running context.Context, log zerolog.Logger) error {
+func (f *EdgeFleet) start(ctx, runCtx context.Context, log zerolog.Logger) error {
 	store, err := f.listen(f.store)
 	if err != nil {
 		return err
@@ -85,17 +85,17 @@
 		return err
 	}
 	for i := range edgeEngines {
-		if err := f.startServer(edgeDrafts, i, server.Options{Slots: edgeEngineSlots, Work: 30 * time.Millisecond, Events: 10, Pace: 30 * time.Millisecond}); err != nil {
+		if err := f.startServer(edgeDrafts, i, server.Options{Slots: edgeEngineSlots, AnswerDelay: 30 * time.Millisecond, EventCount: 10, EventInterval: 30 * time.Millisecond}); err != nil {
 			return err
 		}
 	}
 	for i := range edgeWorkers {
-		if err := f.startServer(edgePages, i, server.Options{Slots: edgeWorkerSlots, Work: 20 * time.Millisecond}); err != nil {
+		if err := f.startServer(edgePages, i, server.Options{Slots: edgeWorkerSlots, AnswerDelay: 20 * time.Millisecond}); err != nil {
 			return err
 		}
 	}
 	for i := range edgeRouters {
-		if err := f.startRouter(running, store, i, log); err != nil {
+		if err := f.startRouter(runCtx, store, i, log); err != nil {
 			return err
 		}
 	}
@@ -108,10 +108,10 @@
 	if err != nil {
 		return "", err
 	}
-	serving := &http.Server{Handler: handler, ReadHeaderTimeout: edgeGrace}
-	f.closers = append(f.closers, serving)
+	httpServer := &http.Server{Handler: handler, ReadHeaderTimeout: edgeGracePeriod}
+	f.closers = append(f.closers, httpServer)
 	f.group.Go(func() error {
-		if err := serving.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		return nil
@@ -121,16 +121,16 @@
 
 func (f *EdgeFleet) startServer(service state.Service, i int, options server.Options) error {
 	options.ID = state.Upstream(fmt.Sprintf("%s-%d", service, i+1))
-	one := &edgeServer{Server: server.New(options)}
-	address, err := f.listen(one)
+	started := &edgeServer{Server: server.New(options)}
+	address, err := f.listen(started)
 	if err != nil {
 		return err
 	}
-	one.entry = directory.Upstream{
+	started.entry = directory.Upstream{
 		ID: options.ID, Service: service, Address: address, DataCentre: edgeDataCentre(i), Slots: options.Slots, Born: time.Now().UnixMilli(),
 	}
-	f.servers[options.ID] = one
-	return f.register(one.entry)
+	f.servers[options.ID] = started
+	return f.register(started.entry)
 }
 
 func (f *EdgeFleet) register(entry directory.Upstream) error {
@@ -153,7 +153,7 @@
 
 func edgeDataCentre(i int) state.DataCentre { return state.DataCentre(fmt.Sprintf("dc-%d", 1+i%2)) }
 
-func (f *EdgeFleet) startRouter(running context.Context, store string, i int, log zerolog.Logger) error {
+func (f *EdgeFleet) startRouter(runCtx context.Context, store string, i int, log zerolog.Logger) error {
 	addresses, err := freeAddresses(3)
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 	settings := edge.Settings{
 		Router: state.Router(fmt.Sprintf("router-%d", i+1)), DataCentre: edgeDataCentre(i),
 		Addresses:   edge.Addresses{Callers: addresses[0], Ready: addresses[1], Peers: addresses[2]},
-		GracePeriod: edgeGrace, RetryRatio: 0.2, RetrySlack: 20, RetryWindow: 10 * time.Second,
+		GracePeriod: edgeGracePeriod, RetryRatio: 0.2, RetrySlack: 20, RetryWindow: 10 * time.Second,
 	}
 	if i > 0 {
 		settings.Seeds = []string{f.routers[0].Addresses.Peers}
@@ -172,7 +172,7 @@
 		return err
 	}
 	f.routers = append(f.routers, settings)
-	f.group.Go(func() error { return router.Run(running) })
+	f.group.Go(func() error { return router.Run(runCtx) })
 	return nil
 }
 
@@ -193,7 +193,7 @@
 
 func (f *EdgeFleet) awaitReady(ctx context.Context) error {
 	for _, settings := range f.routers {
-		for !ready(ctx, settings.Addresses.Ready) {
+		for !isReady(ctx, settings.Addresses.Ready) {
 			if err := pause.For(ctx, readyInterval); err != nil {
 				return fmt.Errorf("devfleet: %s is not ready: %w", settings.Router, err)
 			}
@@ -202,7 +202,7 @@
 	return nil
 }
 
-func ready(ctx context.Context, address string) bool {
+func isReady(ctx context.Context, address string) bool {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/", nil)
 	if err != nil {
 		return false
@@ -218,7 +218,7 @@
 // Stop ends the stand-ins, and the routers as a planned stop does.
 func (f *EdgeFleet) Stop() error {
 	f.cancel()
-	f.store.SetAway(true)
+	f.store.SetUnavailable(true)
 	for _, c := range f.closers {
 		_ = c.Close()
 	}
@@ -238,7 +238,7 @@
 		Version: 1,
 		Routes: []routing.Route{
 			route("drafts", draftsPath, routing.Stream, edgeDrafts),
-			route("held", server.HeldPath, routing.Stream, edgeDrafts),
+			route("held", server.HeldPathPrefix, routing.Stream, edgeDrafts),
 			route("publish", publishPath, routing.NonIdempotent, edgePages),
 			route("maps", mapsPath, routing.Idempotent, edgePages),
 		},
--- a/devfleet/edge_promises.go
+++ b/devfleet/edge_promises.go
@@ -7,25 +7,25 @@
 	"github.com/figstile/figstile/standin/server"
 )
 
-// revokedWithin is how long a key that was taken away may still be used.
-const revokedWithin = 4 * time.Second
+// revokeTimeout is how long a key that was taken away may still be used.
+const revokeTimeout = 4 * time.Second
 
-// check checks every promise. One that the run gave no occasion to break counts
+// verdicts checks every promise. One that the run gave no occasion to break counts
 // as broken.
-func (e edgeEvidence) check() []Verdict {
+func (e edgeEvidence) verdicts() []Verdict {
 	return []Verdict{
-		e.answersOwn(),
-		e.everyCallerAnswered(),
-		e.notRunIsTrue(),
-		e.onceOnly(),
-		e.configurationInForce(),
-		e.leavingGetsNothing(),
-		e.workEndsWithItsCaller(),
-		e.nobodyStarved(),
+		e.checkOwnAnswers(),
+		e.checkCallersAnswered(),
+		e.checkNotRun(),
+		e.checkRunsOnce(),
+		e.checkConfiguration(),
+		e.checkLeavingUpstream(),
+		e.checkWorkEndsWithCaller(),
+		e.checkStarvation(),
 	}
 }
 
-func (e edgeEvidence) answersOwn() Verdict {
+func (e edgeEvidence) checkOwnAnswers() Verdict {
 	const promise = "each answer is whole, its caller's own, and no key is passed on"
 	served := 0
 	for _, r := range e.records {
@@ -33,146 +33,146 @@
 			continue
 		}
 		served++
-		if !r.own {
-			return broken(promise, "%s through %s got another answer", r.attempt, r.router)
+		if !r.ownAnswer {
+			return brokenVerdict(promise, "%s through %s got another answer", r.attempt, r.router)
 		}
 	}
-	if e.leaked {
-		return broken(promise, "an upstream saw a caller's key")
+	if e.keyLeaked {
+		return brokenVerdict(promise, "an upstream saw a caller's key")
 	}
 	if served == 0 {
-		return broken(promise, "no answer came")
+		return brokenVerdict(promise, "no answer came")
 	}
-	return held(promise, "%d answers", served)
+	return heldVerdict(promise, "%d answers", served)
 }
 
-func (e edgeEvidence) everyCallerAnswered() Verdict {
+func (e edgeEvidence) checkCallersAnswered() Verdict {
 	const promise = "every caller who stayed got an answer or a refusal"
 	for _, r := range e.records {
-		if r.broken != "" {
-			return broken(promise, "%s through %s: %s", r.attempt, r.router, r.broken)
+		if r.failure != "" {
+			return brokenVerdict(promise, "%s through %s: %s", r.attempt, r.router, r.failure)
 		}
 	}
-	return held(promise, "%d calls", len(e.records))
+	return heldVerdict(promise, "%d calls", len(e.records))
 }
 
-// ran counts the runs of each attempt.
-func (e edgeEvidence) ran() map[string]int {
-	ran := make(map[string]int)
+// runCounts counts the runs of each attempt.
+func (e edgeEvidence) runCounts() map[string]int {
+	counts := make(map[string]int)
 	for _, runs := range e.runs {
 		for _, run := range runs {
-			ran[run.Attempt]++
+			counts[run.Attempt]++
 		}
 	}
-	return ran
+	return counts
 }
 
-func (e edgeEvidence) notRunIsTrue() Verdict {
+func (e edgeEvidence) checkNotRun() Verdict {
 	const promise = "a refusal that says that nothing ran is true"
-	ran, refused := e.ran(), 0
+	runs, refused := e.runCounts(), 0
 	for _, r := range e.records {
 		if !r.notRun() {
 			continue
 		}
 		refused++
-		if ran[r.attempt] > 0 {
-			return broken(promise, "%s was refused with %d and ran", r.attempt, r.status)
+		if runs[r.attempt] > 0 {
+			return brokenVerdict(promise, "%s was refused with %d and ran", r.attempt, r.status)
 		}
 	}
 	if refused == 0 {
-		return broken(promise, "nothing was refused")
+		return brokenVerdict(promise, "nothing was refused")
 	}
-	return held(promise, "%d refusals", refused)
+	return heldVerdict(promise, "%d refusals", refused)
 }
 
-func (e edgeEvidence) onceOnly() Verdict {
+func (e edgeEvidence) checkRunsOnce() Verdict {
 	const promise = "what must not be repeated ran at most once"
-	ran, calls := e.ran(), 0
+	runs, calls := e.runCounts(), 0
 	for _, r := range e.records {
 		if r.path != publishPath {
 			continue
 		}
 		calls++
-		if ran[r.attempt] > 1 {
-			return broken(promise, "%s ran %d times", r.attempt, ran[r.attempt])
+		if runs[r.attempt] > 1 {
+			return brokenVerdict(promise, "%s ran %d times", r.attempt, runs[r.attempt])
 		}
 	}
 	if calls == 0 {
-		return broken(promise, "no such call was made")
+		return brokenVerdict(promise, "no such call was made")
 	}
-	return held(promise, "%d calls", calls)
+	return heldVerdict(promise, "%d calls", calls)
 }
 
-func (e edgeEvidence) configurationInForce() Verdict {
+func (e edgeEvidence) checkConfiguration() Verdict {
 	const promise = "a key that is taken away is refused on every router, for good"
 	refused := 0
 	for _, r := range e.records {
-		if r.workspace != revokedWorkspace || r.began.Sub(e.revokedAt) < revokedWithin {
+		if r.workspace != revokedWorkspace || r.startedAt.Sub(e.revokedAt) < revokeTimeout {
 			continue
 		}
-		if r.status != http.StatusUnauthorized && r.broken == "" {
-			return broken(promise, "%s answered %d to %s, %s after the change", r.router, r.status, r.attempt, r.began.Sub(e.revokedAt))
+		if r.status != http.StatusUnauthorized && r.failure == "" {
+			return brokenVerdict(promise, "%s answered %d to %s, %s after the change", r.router, r.status, r.attempt, r.startedAt.Sub(e.revokedAt))
 		}
 		refused++
 	}
 	if refused == 0 {
-		return broken(promise, "no call with the key was made later")
+		return brokenVerdict(promise, "no call with the key was made later")
 	}
-	return held(promise, "%d calls with the key", refused)
+	return heldVerdict(promise, "%d calls with the key", refused)
 }
 
-func (e edgeEvidence) leavingGetsNothing() Verdict {
+func (e edgeEvidence) checkLeavingUpstream() Verdict {
 	const promise = "an upstream that leaves gets nothing new"
-	before := 0
-	for _, run := range e.runs[e.leaving] {
-		if run.Began.Sub(e.leftAt) > leaveWithin {
-			return broken(promise, "%s began %s at %s, %s later", run.Attempt, run.Workspace, e.leaving, run.Began.Sub(e.leftAt))
+	runsInTime := 0
+	for _, run := range e.runs[e.leavingUpstream] {
+		if run.StartedAt.Sub(e.leavingSince) > leaveTimeout {
+			return brokenVerdict(promise, "%s began %s at %s, %s later", run.Attempt, run.Workspace, e.leavingUpstream, run.StartedAt.Sub(e.leavingSince))
 		}
-		before++
+		runsInTime++
 	}
-	if before == 0 {
-		return broken(promise, "%s never had work", e.leaving)
+	if runsInTime == 0 {
+		return brokenVerdict(promise, "%s never had work", e.leavingUpstream)
 	}
-	return held(promise, "%d runs, none later than %s", before, leaveWithin)
+	return heldVerdict(promise, "%d runs, none later than %s", runsInTime, leaveTimeout)
 }
 
-func (e edgeEvidence) workEndsWithItsCaller() Verdict {
+func (e edgeEvidence) checkWorkEndsWithCaller() Verdict {
 	const promise = "work ends when its caller leaves"
-	left := make(map[string]bool)
+	abandoned := make(map[string]bool)
 	for _, r := range e.records {
-		if r.left && r.path == server.HeldPath {
-			left[r.attempt] = true
+		if r.callerLeft && r.path == server.HeldPathPrefix {
+			abandoned[r.attempt] = true
 		}
 	}
-	if len(left) == 0 {
-		return broken(promise, "nobody left")
+	if len(abandoned) == 0 {
+		return brokenVerdict(promise, "nobody left")
 	}
 	for id, runs := range e.runs {
 		for _, run := range runs {
-			if left[run.Attempt] && (run.Whole || !run.Ended) {
-				return broken(promise, "%s went on with %s", id, run.Attempt)
+			if abandoned[run.Attempt] && (run.Complete || !run.Ended) {
+				return brokenVerdict(promise, "%s went on with %s", id, run.Attempt)
 			}
 		}
 	}
-	return held(promise, "%d callers left", len(left))
+	return heldVerdict(promise, "%d callers left", len(abandoned))
 }
 
-// nobodyStarved looks at calls for the flood's sake: a workspace that asks for
+// checkStarvation looks at calls for the flood's sake: a workspace that asks for
 // little is served no less often than the one that floods.
-func (e edgeEvidence) nobodyStarved() Verdict {
+func (e edgeEvidence) checkStarvation() Verdict {
 	const promise = "nobody starves beside a flood"
 	asked, served := countByWorkspace(e.records)
-	flood := float64(served[floodWorkspace]) / float64(max(asked[floodWorkspace], 1))
+	floodFraction := float64(served[floodWorkspace]) / float64(max(asked[floodWorkspace], 1))
 	for ws, n := range asked {
 		if ws == floodWorkspace || ws == revokedWorkspace {
 			continue
 		}
-		if part := float64(served[ws]) / float64(n); part < leastPart || part < leastPart*flood {
-			return broken(promise, "%s got %.2f of what it asked, the flood %.2f", ws, part, flood)
+		if fraction := float64(served[ws]) / float64(n); fraction < minServedFraction || fraction < minServedFraction*floodFraction {
+			return brokenVerdict(promise, "%s got %.2f of what it asked, the flood %.2f", ws, fraction, floodFraction)
 		}
 	}
-	if asked[floodWorkspace] == 0 || flood == 1 {
-		return broken(promise, "the flood was no flood")
+	if asked[floodWorkspace] == 0 || floodFraction == 1 {
+		return brokenVerdict(promise, "the flood was no flood")
 	}
-	return held(promise, "the flood got %.2f of %d calls", flood, asked[floodWorkspace])
+	return heldVerdict(promise, "the flood got %.2f of %d calls", floodFraction, asked[floodWorkspace])
 }
--- a/devfleet/edge_promises_test.go
+++ b/devfleet/edge_promises_test.go
@@ -10,15 +10,15 @@
 	"github.com/figstile/figstile/state"
 )
 
-// soundEdge returns evidence of a run in which every promise held.
-func soundEdge() edgeEvidence {
+// validEdgeEvidence returns evidence of a run in which every promise held.
+func validEdgeEvidence() edgeEvidence {
 	call := func(ws state.Workspace, path, attempt string, status int) edgeRecord {
-		return edgeRecord{workspace: ws, path: path, attempt: attempt, router: "router-1", began: began, status: status, own: status == 200}
+		return edgeRecord{workspace: ws, path: path, attempt: attempt, router: "router-1", startedAt: runStart, status: status, ownAnswer: status == 200}
 	}
 	former := call(revokedWorkspace, mapsPath, "f1", 401)
-	former.began = began.Add(time.Minute)
-	held := call("tours", server.HeldPath, "h1", 200)
-	held.left = true
+	former.startedAt = runStart.Add(time.Minute)
+	held := call("tours", server.HeldPathPrefix, "h1", 200)
+	held.callerLeft = true
 	return edgeEvidence{
 		records: []edgeRecord{
 			call("tours", draftsPath, "t1", 200),
@@ -28,16 +28,16 @@
 			former, held,
 		},
 		runs: map[state.Upstream][]server.Run{
-			"drafts-1": {{Attempt: "t1", Began: began, Whole: true, Ended: true}, {Attempt: "h1", Began: began, Ended: true}},
-			"pages-1":  {{Attempt: "t2", Began: began, Whole: true, Ended: true}, {Attempt: "x1", Began: began, Whole: true, Ended: true}},
+			"drafts-1": {{Attempt: "t1", StartedAt: runStart, Complete: true, Ended: true}, {Attempt: "h1", StartedAt: runStart, Ended: true}},
+			"pages-1":  {{Attempt: "t2", StartedAt: runStart, Complete: true, Ended: true}, {Attempt: "x1", StartedAt: runStart, Complete: true, Ended: true}},
 		},
-		leaving: "drafts-1", leftAt: began, revokedAt: began,
+		leavingUpstream: "drafts-1", leavingSince: runStart, revokedAt: runStart,
 	}
 }
 
-func edgeFailures(e edgeEvidence) []string {
+func failedEdgePromises(e edgeEvidence) []string {
 	var failed []string
-	for _, v := range e.check() {
+	for _, v := range e.verdicts() {
 		if !v.Held {
 			failed = append(failed, v.Promise)
 		}
@@ -45,9 +45,9 @@
 	return failed
 }
 
-func TestSoundEdgeEvidenceHolds(t *testing.T) {
-	require.Empty(t, edgeFailures(soundEdge()))
-	require.Len(t, edgeFailures(edgeEvidence{}), 7, "silence shows nothing; that no call broke off is all there is")
+func TestValidEdgeEvidencePasses(t *testing.T) {
+	require.Empty(t, failedEdgePromises(validEdgeEvidence()))
+	require.Len(t, failedEdgePromises(edgeEvidence{}), 7, "silence shows nothing; that no call broke off is all there is")
 }
 
 // A broken promise must not pass unseen: each case breaks one thing in sound
@@ -57,32 +57,32 @@
 		change  func(e *edgeEvidence)
 		promise string
 	}{
-		"another's answer": {func(e *edgeEvidence) { e.records[0].own = false }, "each answer is whole, its caller's own, and no key is passed on"},
-		"a key passed on":  {func(e *edgeEvidence) { e.leaked = true }, "each answer is whole, its caller's own, and no key is passed on"},
-		"a broken call":    {func(e *edgeEvidence) { e.records[3].broken = "EOF" }, "every caller who stayed got an answer or a refusal"},
+		"another's answer": {func(e *edgeEvidence) { e.records[0].ownAnswer = false }, "each answer is whole, its caller's own, and no key is passed on"},
+		"a key passed on":  {func(e *edgeEvidence) { e.keyLeaked = true }, "each answer is whole, its caller's own, and no key is passed on"},
+		"a broken call":    {func(e *edgeEvidence) { e.records[3].failure = "EOF" }, "every caller who stayed got an answer or a refusal"},
 		"a refusal that ran": {func(e *edgeEvidence) {
-			e.runs["pages-1"] = append(e.runs["pages-1"], server.Run{Attempt: "x2", Began: began, Ended: true})
+			e.runs["pages-1"] = append(e.runs["pages-1"], server.Run{Attempt: "x2", StartedAt: runStart, Ended: true})
 		}, "a refusal that says that nothing ran is true"},
 		"a second run": {func(e *edgeEvidence) {
-			e.runs["pages-2"] = []server.Run{{Attempt: "t2", Began: began, Ended: true}}
+			e.runs["pages-2"] = []server.Run{{Attempt: "t2", StartedAt: runStart, Ended: true}}
 		}, "what must not be repeated ran at most once"},
 		"an old key": {func(e *edgeEvidence) { e.records[4].status = 503 }, "a key that is taken away is refused on every router, for good"},
 		"late work": {func(e *edgeEvidence) {
-			e.runs["drafts-1"] = append(e.runs["drafts-1"], server.Run{Attempt: "t9", Began: began.Add(time.Minute), Ended: true})
+			e.runs["drafts-1"] = append(e.runs["drafts-1"], server.Run{Attempt: "t9", StartedAt: runStart.Add(time.Minute), Ended: true})
 		}, "an upstream that leaves gets nothing new"},
 		"work for nobody":           {func(e *edgeEvidence) { e.runs["drafts-1"][1].Ended = false }, "work ends when its caller leaves"},
-		"a whole answer for nobody": {func(e *edgeEvidence) { e.runs["drafts-1"][1].Whole = true }, "work ends when its caller leaves"},
+		"a whole answer for nobody": {func(e *edgeEvidence) { e.runs["drafts-1"][1].Complete = true }, "work ends when its caller leaves"},
 		"a starved workspace": {func(e *edgeEvidence) {
 			for range 20 {
-				e.records = append(e.records, edgeRecord{workspace: "tours", path: mapsPath, attempt: "t8", began: began, status: 429})
+				e.records = append(e.records, edgeRecord{workspace: "tours", path: mapsPath, attempt: "t8", startedAt: runStart, status: 429})
 			}
 		}, "nobody starves beside a flood"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			e := soundEdge()
+			e := validEdgeEvidence()
 			c.change(&e)
-			require.Equal(t, []string{c.promise}, edgeFailures(e))
+			require.Equal(t, []string{c.promise}, failedEdgePromises(e))
 		})
 	}
 }
--- a/devfleet/edge_trial.go
+++ b/devfleet/edge_trial.go
@@ -21,21 +21,21 @@
 )
 
 const (
-	// usualCallers and floodCallers send at the same time for a workspace; a
+	// callersPerWorkspace and floodCallers send at the same time for a workspace; a
 	// usual caller pauses after each answer.
-	usualCallers = 3
-	floodCallers = 24
-	usualPause   = 60 * time.Millisecond
-	callDeadline = 8 * time.Second
-	// draftTokens is a prompt's own part; the shared one is one of a few.
-	draftTokens  = 280
-	sharedTokens = 200
-	sharedParts  = 5
-	draftOutput  = 10
-	// awayFor is how long the store is away in the middle of the trial.
-	awayFor = time.Second
-	// settleFor bounds the wait for runs whose callers left.
-	settleFor = 10 * time.Second
+	callersPerWorkspace = 3
+	floodCallers        = 24
+	callerPause         = 60 * time.Millisecond
+	callDeadline        = 8 * time.Second
+	// uniquePromptTokens is a prompt's own part; the shared one is one of a few.
+	uniquePromptTokens = 280
+	sharedPromptTokens = 200
+	sharedPromptCount  = 5
+	draftOutputTokens  = 10
+	// storeOutage is how long the store is away in the middle of the trial.
+	storeOutage = time.Second
+	// settleTimeout bounds the wait for runs whose callers left.
+	settleTimeout = 10 * time.Second
 )
 
 // edgeRecord is what came of one call.
@@ -44,14 +44,14 @@
 	path      string
 	attempt   string
 	router    state.Router
-	began     time.Time
-	took      time.Duration
+	startedAt time.Time
+	duration  time.Duration
 	status    int
-	// own is set if the answer is whole and the attempt's own.
-	own bool
-	// left is set if the caller left before the end.
-	left   bool
-	broken string
+	// ownAnswer is set if the answer is whole and the attempt's own.
+	ownAnswer bool
+	// callerLeft is set if the caller left before the end.
+	callerLeft bool
+	failure    string
 }
 
 // EdgeTrial is a load on an EdgeFleet and what came of it.
@@ -65,26 +65,26 @@
 
 // edgeEvidence is what the promises are checked on.
 type edgeEvidence struct {
-	records []edgeRecord
-	runs    map[state.Upstream][]server.Run
-	leaked  bool
-	// leaving left at leftAt, the key of a workspace went at revokedAt.
-	leaving   state.Upstream
-	leftAt    time.Time
-	revokedAt time.Time
+	records   []edgeRecord
+	runs      map[state.Upstream][]server.Run
+	keyLeaked bool
+	// leavingUpstream left at leftAt, the key of a workspace went at revokedAt.
+	leavingUpstream state.Upstream
+	leavingSince    time.Time
+	revokedAt       time.Time
 }
 
-// Try sends a load for a while: one workspace floods the others. Meanwhile an
+// RunTrial sends a load for a while: one workspace floods the others. Meanwhile an
 // engine leaves, a workspace's key is taken away, and the store is away for a
 // second. Then every promise is checked.
-func (f *EdgeFleet) Try(ctx context.Context, length time.Duration) (EdgeTrial, error) {
-	ctx, cancel := context.WithTimeout(ctx, length+callDeadline+settleFor)
+func (f *EdgeFleet) RunTrial(ctx context.Context, length time.Duration) (EdgeTrial, error) {
+	ctx, cancel := context.WithTimeout(ctx, length+callDeadline+settleTimeout)
 	defer cancel()
-	evidence := edgeEvidence{leaving: state.Upstream(fmt.Sprintf("%s-%d", edgeDrafts, 1))}
+	evidence := edgeEvidence{leavingUpstream: state.Upstream(fmt.Sprintf("%s-%d", edgeDrafts, 1))}
 	load := newEdgeLoad(f)
 	var group sync.WaitGroup
 	for _, ws := range f.config.Workspaces {
-		callers := usualCallers
+		callers := callersPerWorkspace
 		if ws.Name == floodWorkspace {
 			callers = floodCallers
 		}
@@ -92,31 +92,31 @@
 			group.Go(func() { load.callUntil(ctx, time.Now().Add(length), ws.Name) })
 		}
 	}
-	if err := f.trouble(ctx, length, &evidence); err != nil {
+	if err := f.injectFaults(ctx, length, &evidence); err != nil {
 		return EdgeTrial{}, err
 	}
 	group.Wait()
-	f.settle(ctx)
+	f.awaitRunsEnded(ctx)
 	evidence.records = load.records
 	evidence.runs = make(map[state.Upstream][]server.Run)
 	for id, s := range f.servers {
 		evidence.runs[id] = s.Runs()
-		evidence.leaked = evidence.leaked || s.Leaked()
+		evidence.keyLeaked = evidence.keyLeaked || s.ReceivedCallerKey()
 	}
-	return EdgeTrial{Records: load.records, Verdicts: evidence.check()}, nil
+	return EdgeTrial{Records: load.records, Verdicts: evidence.verdicts()}, nil
 }
 
-// trouble changes what the routers know while the load runs.
-func (f *EdgeFleet) trouble(ctx context.Context, length time.Duration, evidence *edgeEvidence) error {
+// injectFaults changes what the routers know while the load runs.
+func (f *EdgeFleet) injectFaults(ctx context.Context, length time.Duration, evidence *edgeEvidence) error {
 	if err := pause.For(ctx, length/8); err != nil {
 		return err
 	}
-	leaving := f.servers[evidence.leaving].entry
+	leaving := f.servers[evidence.leavingUpstream].entry
 	leaving.Leaving = true
 	if err := f.register(leaving); err != nil {
 		return err
 	}
-	evidence.leftAt = time.Now()
+	evidence.leavingSince = time.Now()
 	f.config.Version++
 	f.config.Workspaces = f.config.Workspaces[:len(f.config.Workspaces)-1]
 	if err := f.writeConfig(); err != nil {
@@ -126,19 +126,19 @@
 	if err := pause.For(ctx, length/2); err != nil {
 		return err
 	}
-	f.store.SetAway(true)
-	defer f.store.SetAway(false)
-	return pause.For(ctx, awayFor)
+	f.store.SetUnavailable(true)
+	defer f.store.SetUnavailable(false)
+	return pause.For(ctx, storeOutage)
 }
 
-// settle waits until no run is under way.
-func (f *EdgeFleet) settle(ctx context.Context) {
-	until := time.Now().Add(settleFor)
-	for time.Now().Before(until) && f.running() > 0 && pause.For(ctx, readyInterval) == nil {
+// awaitRunsEnded waits until no run is under way.
+func (f *EdgeFleet) awaitRunsEnded(ctx context.Context) {
+	until := time.Now().Add(settleTimeout)
+	for time.Now().Before(until) && f.runningCount() > 0 && pause.For(ctx, readyInterval) == nil {
 	}
 }
 
-func (f *EdgeFleet) running() int {
+func (f *EdgeFleet) runningCount() int {
 	n := 0
 	for _, s := range f.servers {
 		for _, run := range s.Runs() {
@@ -152,8 +152,8 @@
 
 // edgeLoad sends calls and keeps what came of them.
 type edgeLoad struct {
-	fleet *EdgeFleet
-	next  atomic.Int64
+	fleet       *EdgeFleet
+	lastAttempt atomic.Int64
 
 	mu      sync.Mutex
 	records []edgeRecord
@@ -168,7 +168,7 @@
 		l.records = append(l.records, record)
 		l.mu.Unlock()
 		if ws != floodWorkspace || record.status == http.StatusTooManyRequests {
-			_ = pause.For(ctx, usualPause)
+			_ = pause.For(ctx, callerPause)
 		}
 	}
 }
@@ -176,71 +176,71 @@
 // call makes one call of a drawn class through a drawn router.
 func (l *edgeLoad) call(ctx context.Context, ws state.Workspace) edgeRecord {
 	router := l.fleet.routers[rand.IntN(len(l.fleet.routers))]
-	paths := []string{draftsPath, draftsPath, publishPath, mapsPath, server.HeldPath}
+	paths := []string{draftsPath, draftsPath, publishPath, mapsPath, server.HeldPathPrefix}
 	record := edgeRecord{
 		workspace: ws, path: paths[rand.IntN(len(paths))], router: router.Router,
-		attempt: fmt.Sprintf("%s-%d", ws, l.next.Add(1)), began: time.Now(),
+		attempt: fmt.Sprintf("%s-%d", ws, l.lastAttempt.Add(1)), startedAt: time.Now(),
 	}
 	ctx, cancel := context.WithTimeout(ctx, callDeadline)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+router.Addresses.Callers+record.path+"x", nil)
 	if err != nil {
-		record.broken = err.Error()
+		record.failure = err.Error()
 		return record
 	}
 	request.Host, request.Close = edgeHost, true
-	platform.SetCallerHeaders(request.Header, l.describe(record))
+	platform.SetCallerHeaders(request.Header, l.callerHeaders(record))
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		record.broken = err.Error()
+		record.failure = err.Error()
 		return record
 	}
 	defer func() { _ = response.Body.Close() }()
 	record.status = response.StatusCode
-	record.read(response)
-	record.took = time.Since(record.began)
+	record.readAnswer(response)
+	record.duration = time.Since(record.startedAt)
 	return record
 }
 
-func (l *edgeLoad) describe(r edgeRecord) platform.CallerHeaders {
+func (l *edgeLoad) callerHeaders(r edgeRecord) platform.CallerHeaders {
 	call := platform.CallerHeaders{Attempt: r.attempt, Key: edgeKey(r.workspace), Deadline: callDeadline}
-	if r.path == draftsPath || r.path == server.HeldPath {
-		call.Prompt = []prefix.Part{{ID: rand.Uint64N(sharedParts), Tokens: sharedTokens}, {ID: rand.Uint64(), Tokens: draftTokens}}
-		call.MaxOutput = draftOutput
+	if r.path == draftsPath || r.path == server.HeldPathPrefix {
+		call.Prompt = []prefix.Part{{ID: rand.Uint64N(sharedPromptCount), Tokens: sharedPromptTokens}, {ID: rand.Uint64(), Tokens: uniquePromptTokens}}
+		call.MaxOutput = draftOutputTokens
 	}
 	return call
 }
 
-// read reads an answer; a held stream is left after its first event.
-func (r *edgeRecord) read(response *http.Response) {
+// readAnswer reads an answer; a held stream is left after its first event.
+func (r *edgeRecord) readAnswer(response *http.Response) {
 	signed := platform.Signature(response.Header) != ""
-	if r.path == server.HeldPath && response.StatusCode == http.StatusOK {
-		first := server.Event(r.attempt, 1)
+	if r.path == server.HeldPathPrefix && response.StatusCode == http.StatusOK {
+		first := server.EventText(r.attempt, 1)
 		text := make([]byte, len(first))
 		_, err := io.ReadFull(bufio.NewReader(response.Body), text)
-		r.left, r.own = true, err == nil && signed && string(text) == first
+		r.callerLeft, r.ownAnswer = true, err == nil && signed && string(text) == first
 		return
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		r.broken = err.Error()
+		r.failure = err.Error()
 		return
 	}
-	r.own = signed && string(body) == r.expected()
+	r.ownAnswer = signed && string(body) == r.expectedBody()
 }
 
-func (r *edgeRecord) expected() string {
+func (r *edgeRecord) expectedBody() string {
 	if r.path != draftsPath {
-		return server.Page(r.attempt)
+		return server.AnswerBody(r.attempt)
 	}
 	var events strings.Builder
-	for n := 1; n <= draftOutput; n++ {
-		events.WriteString(server.Event(r.attempt, n))
+	for n := 1; n <= draftOutputTokens; n++ {
+		events.WriteString(server.EventText(r.attempt, n))
 	}
 	return events.String()
 }
 
-func (r *edgeRecord) served() bool { return r.status == http.StatusOK && r.broken == "" }
+func (r *edgeRecord) served() bool { return r.status == http.StatusOK && r.failure == "" }
 
 // notRun says whether the answer promised that the attempt has not run.
 func (r *edgeRecord) notRun() bool {
--- a/devfleet/fleet.go
+++ b/devfleet/fleet.go
@@ -71,24 +71,24 @@
 	PlatformURL string
 	Routers     []*daemon.Daemon
 
-	engines  []*engine.Engine
-	workers  []*worker.Worker
-	ledgers  map[state.Upstream]*upstream.Ledger
-	services map[state.Upstream]state.Service
-	urls     map[state.Service][]config.Upstream
-	stops    []func()
-	routers  *errgroup.Group
-	cancel   context.CancelFunc
+	engines   []*engine.Engine
+	workers   []*worker.Worker
+	ledgers   map[state.Upstream]*upstream.Ledger
+	services  map[state.Upstream]state.Service
+	upstreams map[state.Service][]config.Upstream
+	stops     []func()
+	routers   *errgroup.Group
+	cancel    context.CancelFunc
 }
 
 // Start runs the stand-ins and routers and waits until every router has its
 // settings and sees the others.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	f := &Fleet{
-		options:  options.withDefaults(),
-		ledgers:  make(map[state.Upstream]*upstream.Ledger),
-		services: make(map[state.Upstream]state.Service),
-		urls:     make(map[state.Service][]config.Upstream),
+		options:   options.withDefaults(),
+		ledgers:   make(map[state.Upstream]*upstream.Ledger),
+		services:  make(map[state.Upstream]state.Service),
+		upstreams: make(map[state.Service][]config.Upstream),
 	}
 	if err := f.start(ctx); err != nil {
 		f.Stop()
@@ -180,7 +180,7 @@
 	f.stops = append(f.stops, stop)
 	f.ledgers[name] = s.Ledger()
 	f.services[name] = service
-	f.urls[service] = append(f.urls[service], config.Upstream{Name: name, URL: url, DataCentre: f.dataCentre(i)})
+	f.upstreams[service] = append(f.upstreams[service], config.Upstream{Name: name, URL: url, DataCentre: f.dataCentre(i)})
 	return nil
 }
 
@@ -194,14 +194,14 @@
 func (f *Fleet) configure(ctx context.Context) error {
 	sample := f.options.Sample
 	for _, team := range sample.Teams {
-		if err := f.put(ctx, config.TeamKey(team.Name), team.subtree()); err != nil {
+		if err := f.putObject(ctx, config.TeamKey(team.Name), team.subtree()); err != nil {
 			return err
 		}
 	}
-	return f.put(ctx, config.RootKey, sample.root(f.urls[sample.Engines], f.urls[sample.Workers]))
+	return f.putObject(ctx, config.RootKey, sample.root(f.upstreams[sample.Engines], f.upstreams[sample.Workers]))
 }
 
-func (f *Fleet) put(ctx context.Context, key string, value any) error {
+func (f *Fleet) putObject(ctx context.Context, key string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -257,7 +257,7 @@
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	ticker := time.NewTicker(readyInterval)
 	defer ticker.Stop()
-	for !f.ready() {
+	for !f.isReady() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -267,7 +267,7 @@
 	return nil
 }
 
-func (f *Fleet) ready() bool {
+func (f *Fleet) isReady() bool {
 	usable := 0
 	for _, router := range f.Routers {
 		status := router.Status()
@@ -296,21 +296,21 @@
 
 // Describe tells a load generator where the fleet is.
 func (f *Fleet) Describe() loadgen.Fleet {
-	described := loadgen.Fleet{StatusToken: OperatorToken}
+	description := loadgen.Fleet{StatusToken: OperatorToken}
 	for i, router := range f.Routers {
 		addresses := router.Addresses()
-		described.Routers = append(described.Routers, loadgen.Router{
+		description.Routers = append(description.Routers, loadgen.Router{
 			Name:    state.Router(fmt.Sprintf("router-%d", i+1)),
 			Callers: "http://" + addresses.Callers,
 			Admin:   "http://" + addresses.Admin,
 		})
 	}
-	for service, upstreams := range f.urls {
+	for service, upstreams := range f.upstreams {
 		for _, u := range upstreams {
-			described.Upstreams = append(described.Upstreams, loadgen.Upstream{Name: u.Name, Service: service, URL: u.URL})
+			description.Upstreams = append(description.Upstreams, loadgen.Upstream{Name: u.Name, Service: service, URL: u.URL})
 		}
 	}
-	return described
+	return description
 }
 
 // Entries returns what every upstream received.
@@ -327,7 +327,7 @@
 	return "http://" + f.Routers[i].Addresses().Admin + path
 }
 
-func authorized(request *http.Request) *http.Request {
+func withOperatorToken(request *http.Request) *http.Request {
 	request.Header.Set("Authorization", "Bearer "+OperatorToken)
 	request.Header.Set("Content-Type", "application/json")
 	return request
--- a/devfleet/fleet_test.go
+++ b/devfleet/fleet_test.go
@@ -40,15 +40,15 @@
 	require.NoError(t, err)
 	defer fleet.Stop()
 
-	res, err := loadgen.Run(ctx, loadgen.Options{Workload: sample.Workload(time.Second, Usual), Fleet: fleet.Describe()})
+	res, err := loadgen.Run(ctx, loadgen.Options{Workload: sample.Workload(time.Second, LoadUsual), Fleet: fleet.Describe()})
 	require.NoError(t, err)
 	evidence := Evidence{
 		Records:    res.Records,
 		Ledgers:    fleet.Entries(),
-		Services:   fleet.services,
+		ServiceOf:  fleet.services,
 		Repeatable: map[state.Service]bool{sample.Engines: true},
 	}
-	for _, v := range []Verdict{evidence.answersOwn(), evidence.everyCallerAnswered(), evidence.keyedOnce(), evidence.unkeyedOnce()} {
+	for _, v := range []Verdict{evidence.checkOwnAnswers(), evidence.checkCallersAnswered(), evidence.checkKeyedOnce(), evidence.checkUnkeyedOnce()} {
 		require.True(t, v.Held, "%s: %s", v.Promise, v.Checked)
 	}
 	require.Len(t, res.Records, res.Intended)
--- a/devfleet/once.go
+++ b/devfleet/once.go
@@ -26,14 +26,14 @@
 // Held tells whether every promise held.
 func (t Trial) Held() bool { return allHeld(t.Verdicts) }
 
-// Try sends a load. Meanwhile an engine leaves for a while and an operator
+// RunTrial sends a load. Meanwhile an engine leaves for a while and an operator
 // changes the settings; then every promise is checked.
-func (f *Fleet) Try(ctx context.Context, w loadgen.Workload) (Trial, error) {
-	evidence := Evidence{Services: f.services, Repeatable: map[state.Service]bool{f.options.Sample.Engines: true}}
-	seconds := time.Duration(w.Seconds * float64(time.Second))
+func (f *Fleet) RunTrial(ctx context.Context, w loadgen.Workload) (Trial, error) {
+	evidence := Evidence{ServiceOf: f.services, Repeatable: map[state.Service]bool{f.options.Sample.Engines: true}}
+	duration := time.Duration(w.Seconds * float64(time.Second))
 	var group sync.WaitGroup
-	group.Go(func() { evidence.Leaving = f.letEngineLeave(ctx, seconds/leaveAt, seconds) })
-	group.Go(func() { evidence.Change = f.changeSettings(ctx, seconds/changeAt) })
+	group.Go(func() { evidence.Leaving = f.drainFirstEngine(ctx, duration/leaveDivisor, duration) })
+	group.Go(func() { evidence.Change = f.changeSettings(ctx, duration/changeDivisor) })
 	res, err := loadgen.Run(ctx, loadgen.Options{Workload: w, Fleet: f.Describe()})
 	if err != nil {
 		return Trial{}, err
@@ -41,24 +41,24 @@
 	group.Wait()
 	evidence.Records = res.Records
 	evidence.Ledgers = f.Entries()
-	evidence.Figures = res.Services
-	evidence.Change.After = f.versions()
-	evidence.Change.Reverted = res.Reverted()
+	evidence.ServiceMetrics = res.Services
+	evidence.Change.FinalVersions = f.versions()
+	evidence.Change.RevertedRouter = res.Reverted()
 	return Trial{Result: res, Verdicts: evidence.Check()}, nil
 }
 
 // The parts of the run after which an engine leaves and settings change.
 const (
-	leaveAt  = 4
-	changeAt = 3
+	leaveDivisor  = 4
+	changeDivisor = 3
 )
 
-// letEngineLeave has the first engine ask for no new work until the end.
-func (f *Fleet) letEngineLeave(ctx context.Context, from, to time.Duration) Leaving {
+// drainFirstEngine has the first engine ask for no new work until the end.
+func (f *Fleet) drainFirstEngine(ctx context.Context, from, to time.Duration) Leaving {
 	if pause.For(ctx, from) != nil {
 		return Leaving{}
 	}
-	leaving := Leaving{Upstream: f.urls[f.options.Sample.Engines][0].Name, From: time.Now()}
+	leaving := Leaving{Upstream: f.upstreams[f.options.Sample.Engines][0].Name, From: time.Now()}
 	f.engines[0].SetDraining(true)
 	_ = pause.For(ctx, to-from)
 	leaving.To = time.Now()
@@ -75,19 +75,19 @@
 	if pause.For(ctx, after) != nil {
 		return change
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	written, err := f.createTeam(ctx)
 	if err != nil {
-		change.Problem = err.Error()
+		change.Failure = err.Error()
 		return change
 	}
-	change.Written = written
-	for !f.allHave(config.RootKey, written) && time.Since(began) <= changeWithin {
+	change.WrittenVersion = written
+	for !f.allRoutersHave(config.RootKey, written) && time.Since(startedAt) <= changeTimeout {
 		if pause.For(ctx, readyInterval) != nil {
 			break
 		}
 	}
-	change.Took = time.Since(began)
+	change.Duration = time.Since(startedAt)
 	return change
 }
 
@@ -101,7 +101,7 @@
 	if err != nil {
 		return 0, err
 	}
-	response, err := http.DefaultClient.Do(authorized(request))
+	response, err := http.DefaultClient.Do(withOperatorToken(request))
 	if err != nil {
 		return 0, err
 	}
@@ -110,15 +110,15 @@
 	if err != nil {
 		return 0, err
 	}
-	var done admin.WriteResult
+	var result admin.WriteResult
 	if response.StatusCode >= http.StatusBadRequest {
 		return 0, fmt.Errorf("devfleet: %s: %s", response.Status, text)
 	}
-	err = json.Unmarshal(text, &done)
-	return done.Version, err
+	err = json.Unmarshal(text, &result)
+	return result.Version, err
 }
 
-func (f *Fleet) allHave(key string, version uint64) bool {
+func (f *Fleet) allRoutersHave(key string, version uint64) bool {
 	for _, versions := range f.versions() {
 		if versions[key] < version {
 			return false
--- a/devfleet/print.go
+++ b/devfleet/print.go
@@ -53,11 +53,11 @@
 
 func writeVerdicts(w io.Writer, verdicts []Verdict) error {
 	for _, v := range verdicts {
-		word := "held   "
+		label := "held   "
 		if !v.Held {
-			word = "FAILED "
+			label = "FAILED "
 		}
-		if _, err := fmt.Fprintf(w, "%s %s: %s\n", word, v.Promise, v.Checked); err != nil {
+		if _, err := fmt.Fprintf(w, "%s %s: %s\n", label, v.Promise, v.Checked); err != nil {
 			return err
 		}
 	}
--- a/devfleet/promises.go
+++ b/devfleet/promises.go
@@ -14,13 +14,13 @@
 type Evidence struct {
 	Records []loadgen.Record
 	Ledgers map[state.Upstream][]upstream.Entry
-	// Services tells whose upstream each is.
-	Services map[state.Upstream]state.Service
+	// ServiceOf tells whose upstream each is.
+	ServiceOf map[state.Upstream]state.Service
 	// Repeatable services may run a request without a key twice.
-	Repeatable map[state.Service]bool
-	Figures    []loadgen.Service
-	Leaving    Leaving
-	Change     Change
+	Repeatable     map[state.Service]bool
+	ServiceMetrics []loadgen.Service
+	Leaving        Leaving
+	Change         Change
 }
 
 // Leaving is an upstream that was told to leave during the run.
@@ -32,17 +32,17 @@
 // Change is a change of settings made during the run.
 type Change struct {
 	Key string
-	// Written is the version that the operator was told; zero if the change
+	// WrittenVersion is the version that the operator was told; zero if the change
 	// was not made.
-	Written uint64
-	Problem string
-	// Took is how long it was until all routers had it.
-	Took time.Duration
-	// After are the versions in force at the end of the run.
-	After map[state.Router]map[string]uint64
-	// Reverted names a router that was seen with an older version after a
+	WrittenVersion uint64
+	Failure        string
+	// Duration is how long it was until all routers had it.
+	Duration time.Duration
+	// FinalVersions are the versions in force at the end of the run.
+	FinalVersions map[state.Router]map[string]uint64
+	// RevertedRouter names a router that was seen with an older version after a
 	// newer one.
-	Reverted string
+	RevertedRouter string
 }
 
 // Verdict is what a check found.
@@ -55,32 +55,32 @@
 
 // Limits of the promises that the deployments state as "a few seconds".
 const (
-	// leaveWithin is how long a leaving upstream may still get new work.
-	leaveWithin = 4 * time.Second
-	// changeWithin is how long a change may take to be in force everywhere.
-	changeWithin = 11 * time.Second
-	// leastPart is the part of its share below which a workspace that always
+	// leaveTimeout is how long a leaving upstream may still get new work.
+	leaveTimeout = 4 * time.Second
+	// changeTimeout is how long a change may take to be in force everywhere.
+	changeTimeout = 11 * time.Second
+	// minServedFraction is the part of its share below which a workspace that always
 	// waits starves. Sampling and unfinished requests explain less than half.
-	leastPart = 0.25
-	// reachPart keeps the fairness check meaningful in a short run, in which
+	minServedFraction = 0.25
+	// gapReachFraction keeps the fairness check meaningful in a short run, in which
 	// even a fleet that serves only one workspace stays within the bound.
-	reachPart = 0.5
+	gapReachFraction = 0.5
 )
 
 // Check checks every promise. One that the run gave no occasion to break
 // counts as broken: silence is no evidence.
 func (e Evidence) Check() []Verdict {
 	verdicts := []Verdict{
-		e.answersOwn(),
-		e.everyCallerAnswered(),
-		e.notRunIsTrue(),
-		e.keyedOnce(),
-		e.unkeyedOnce(),
-		e.settingsInForce(),
-		e.leavingGetsNothing(),
+		e.checkOwnAnswers(),
+		e.checkCallersAnswered(),
+		e.checkNotRun(),
+		e.checkKeyedOnce(),
+		e.checkUnkeyedOnce(),
+		e.checkSettings(),
+		e.checkLeavingUpstream(),
 	}
-	for _, s := range e.Figures {
-		verdicts = append(verdicts, gapWithinBound(s), nobodyStarved(s))
+	for _, s := range e.ServiceMetrics {
+		verdicts = append(verdicts, checkFairnessGap(s), checkStarvation(s))
 	}
 	return verdicts
 }
@@ -95,15 +95,15 @@
 	return len(verdicts) > 0
 }
 
-func held(promise, format string, args ...any) Verdict {
+func heldVerdict(promise, format string, args ...any) Verdict {
 	return Verdict{Promise: promise, Held: true, Checked: fmt.Sprintf(format, args...)}
 }
 
-func broken(promise, format string, args ...any) Verdict {
+func brokenVerdict(promise, format string, args ...any) Verdict {
 	return Verdict{Promise: promise, Checked: fmt.Sprintf(format, args...)}
 }
 
-func (e Evidence) answersOwn() Verdict {
+func (e Evidence) checkOwnAnswers() Verdict {
 	const promise = "each answer is whole and its caller's own"
 	served := 0
 	for _, r := range e.Records {
@@ -112,61 +112,61 @@
 		}
 		served++
 		if !r.Own {
-			return broken(promise, "%s of %s through %s got another answer, body %.12s", r.Class, r.Workspace, r.Router, r.Digest)
+			return brokenVerdict(promise, "%s of %s through %s got another answer, body %.12s", r.Class, r.Workspace, r.Router, r.Digest)
 		}
 	}
 	if served == 0 {
-		return broken(promise, "no answer came")
+		return brokenVerdict(promise, "no answer came")
 	}
-	return held(promise, "%d answers", served)
+	return heldVerdict(promise, "%d answers", served)
 }
 
-func (e Evidence) everyCallerAnswered() Verdict {
+func (e Evidence) checkCallersAnswered() Verdict {
 	const promise = "every caller who stayed got an answer or a refusal"
 	for _, r := range e.Records {
 		if !r.Left && r.Broken != "" {
-			return broken(promise, "%s of %s through %s: %s", r.Class, r.Workspace, r.Router, r.Broken)
+			return brokenVerdict(promise, "%s of %s through %s: %s", r.Class, r.Workspace, r.Router, r.Broken)
 		}
 		if !r.Left && r.Status != 200 && r.Ran == "" {
-			return broken(promise, "%s of %s through %s: status %d says not whether it ran", r.Class, r.Workspace, r.Router, r.Status)
+			return brokenVerdict(promise, "%s of %s through %s: status %d says not whether it ran", r.Class, r.Workspace, r.Router, r.Status)
 		}
 	}
 	if len(e.Records) == 0 {
-		return broken(promise, "no request was sent")
+		return brokenVerdict(promise, "no request was sent")
 	}
-	return held(promise, "%d requests", len(e.Records))
+	return heldVerdict(promise, "%d requests", len(e.Records))
 }
 
-// notRunIsTrue looks at bodies all of whose senders were told "not run": a
+// checkNotRun looks at bodies all of whose senders were told "not run": a
 // request sent twice may have run for the other sender.
-func (e Evidence) notRunIsTrue() Verdict {
+func (e Evidence) checkNotRun() Verdict {
 	const promise = "what is told not to have run did not run"
-	told := make(map[string]bool)
-	ran := make(map[string]bool)
+	reportedNotRun := make(map[string]bool)
+	mayHaveRun := make(map[string]bool)
 	for _, r := range e.Records {
-		told[r.Digest] = told[r.Digest] || r.Ran == result.RanNo.String()
-		ran[r.Digest] = ran[r.Digest] || r.Ran != result.RanNo.String()
+		reportedNotRun[r.Digest] = reportedNotRun[r.Digest] || r.Ran == result.RanNo.String()
+		mayHaveRun[r.Digest] = mayHaveRun[r.Digest] || r.Ran != result.RanNo.String()
 	}
 	refused := 0
-	for digest := range told {
-		if told[digest] && !ran[digest] {
+	for digest := range reportedNotRun {
+		if reportedNotRun[digest] && !mayHaveRun[digest] {
 			refused++
 		}
 	}
 	for name, entries := range e.Ledgers {
 		for _, entry := range entries {
-			if told[entry.Digest] && !ran[entry.Digest] && !entry.Started.IsZero() {
-				return broken(promise, "%s started body %.12s, attempt %s", name, entry.Digest, entry.Attempt)
+			if reportedNotRun[entry.Digest] && !mayHaveRun[entry.Digest] && !entry.Started.IsZero() {
+				return brokenVerdict(promise, "%s started body %.12s, attempt %s", name, entry.Digest, entry.Attempt)
 			}
 		}
 	}
 	if refused == 0 {
-		return broken(promise, "no request was refused")
+		return brokenVerdict(promise, "no request was refused")
 	}
-	return held(promise, "%d refused bodies against %d ledgers", refused, len(e.Ledgers))
+	return heldVerdict(promise, "%d refused bodies against %d ledgers", refused, len(e.Ledgers))
 }
 
-func (e Evidence) keyedOnce() Verdict {
+func (e Evidence) checkKeyedOnce() Verdict {
 	const promise = "a request with an idempotency key runs at most once"
 	type key struct {
 		service state.Service
@@ -178,30 +178,30 @@
 			if entry.IdempotencyKey == "" || entry.Started.IsZero() {
 				continue
 			}
-			k := key{e.Services[name], entry.IdempotencyKey}
+			k := key{e.ServiceOf[name], entry.IdempotencyKey}
 			starts[k]++
 			if starts[k] > 1 {
-				return broken(promise, "%s ran key %s again", name, k.key)
+				return brokenVerdict(promise, "%s ran key %s again", name, k.key)
 			}
 		}
 	}
-	again := 0
+	resent := 0
 	for _, r := range e.Records {
 		if r.Again {
-			again++
+			resent++
 		}
 	}
-	if len(starts) == 0 || again == 0 {
-		return broken(promise, "%d keys ran and %d requests were sent again: nothing to tell from", len(starts), again)
+	if len(starts) == 0 || resent == 0 {
+		return brokenVerdict(promise, "%d keys ran and %d requests were sent again: nothing to tell from", len(starts), resent)
 	}
-	return held(promise, "%d keys, %d requests sent again", len(starts), again)
+	return heldVerdict(promise, "%d keys, %d requests sent again", len(starts), resent)
 }
 
-func (e Evidence) unkeyedOnce() Verdict {
+func (e Evidence) checkUnkeyedOnce() Verdict {
 	const promise = "a request without a key runs at most once where it may not be repeated"
 	starts := make(map[string]int)
 	for name, entries := range e.Ledgers {
-		if e.Repeatable[e.Services[name]] {
+		if e.Repeatable[e.ServiceOf[name]] {
 			continue
 		}
 		for _, entry := range entries {
@@ -210,80 +210,80 @@
 			}
 			starts[entry.Digest]++
 			if starts[entry.Digest] > 1 {
-				return broken(promise, "%s ran body %.12s again", name, entry.Digest)
+				return brokenVerdict(promise, "%s ran body %.12s again", name, entry.Digest)
 			}
 		}
 	}
 	if len(starts) == 0 {
-		return broken(promise, "none ran")
+		return brokenVerdict(promise, "none ran")
 	}
-	return held(promise, "%d requests", len(starts))
+	return heldVerdict(promise, "%d requests", len(starts))
 }
 
-func (e Evidence) settingsInForce() Verdict {
+func (e Evidence) checkSettings() Verdict {
 	const promise = "an accepted change is in force everywhere and stays"
-	c := e.Change
-	if c.Written == 0 {
-		return broken(promise, "the change was not made: %s", c.Problem)
+	change := e.Change
+	if change.WrittenVersion == 0 {
+		return brokenVerdict(promise, "the change was not made: %s", change.Failure)
 	}
-	if len(c.After) == 0 {
-		return broken(promise, "no router was asked")
+	if len(change.FinalVersions) == 0 {
+		return brokenVerdict(promise, "no router was asked")
 	}
-	if c.Reverted != "" {
-		return broken(promise, "%s", c.Reverted)
+	if change.RevertedRouter != "" {
+		return brokenVerdict(promise, "%s", change.RevertedRouter)
 	}
-	if c.Took > changeWithin {
-		return broken(promise, "it took %s", c.Took.Round(time.Millisecond))
+	if change.Duration > changeTimeout {
+		return brokenVerdict(promise, "it took %s", change.Duration.Round(time.Millisecond))
 	}
-	for router, versions := range c.After {
-		if versions[c.Key] < c.Written {
-			return broken(promise, "%s has %s at version %d, written was %d", router, c.Key, versions[c.Key], c.Written)
+	for router, versions := range change.FinalVersions {
+		if versions[change.Key] < change.WrittenVersion {
+			return brokenVerdict(promise, "%s has %s at version %d, written was %d", router, change.Key, versions[change.Key], change.WrittenVersion)
 		}
 	}
-	return held(promise, "%d routers with %s at version %d after %s", len(c.After), c.Key, c.Written, c.Took.Round(time.Millisecond))
+	return heldVerdict(promise, "%d routers with %s at version %d after %s", len(change.FinalVersions), change.Key, change.WrittenVersion, change.Duration.Round(time.Millisecond))
 }
 
-func (e Evidence) leavingGetsNothing() Verdict {
+func (e Evidence) checkLeavingUpstream() Verdict {
 	const promise = "a leaving upstream gets no new work after a few seconds"
-	l := e.Leaving
-	deadline := l.From.Add(leaveWithin)
-	if l.Upstream == "" || !deadline.Before(l.To) {
-		return broken(promise, "no upstream left for longer than %s", leaveWithin)
+	leaving := e.Leaving
+	deadline := leaving.From.Add(leaveTimeout)
+	if leaving.Upstream == "" || !deadline.Before(leaving.To) {
+		return brokenVerdict(promise, "no upstream left for longer than %s", leaveTimeout)
 	}
-	before := 0
-	for _, entry := range e.Ledgers[l.Upstream] {
-		if entry.Received.After(deadline) && entry.Received.Before(l.To) {
-			return broken(promise, "%s got attempt %s after %s", l.Upstream, entry.Attempt, entry.Received.Sub(l.From).Round(time.Millisecond))
+	earlierRequests := 0
+	for _, entry := range e.Ledgers[leaving.Upstream] {
+		if entry.Received.After(deadline) && entry.Received.Before(leaving.To) {
+			return brokenVerdict(promise, "%s got attempt %s after %s", leaving.Upstream, entry.Attempt, entry.Received.Sub(leaving.From).Round(time.Millisecond))
 		}
-		if entry.Received.Before(l.From) {
-			before++
+		if entry.Received.Before(leaving.From) {
+			earlierRequests++
 		}
 	}
-	if before == 0 {
-		return broken(promise, "%s got no work before it left", l.Upstream)
+	if earlierRequests == 0 {
+		return brokenVerdict(promise, "%s got no work before it left", leaving.Upstream)
 	}
-	return held(promise, "%s, with %d requests before", l.Upstream, before)
+	return heldVerdict(promise, "%s, with %d requests before", leaving.Upstream, earlierRequests)
 }
 
-func gapWithinBound(s loadgen.Service) Verdict {
+func checkFairnessGap(s loadgen.Service) Verdict {
 	promise := fmt.Sprintf("the fairness gap of %s stays within its bound", s.Name)
-	limit := min(s.Bound, reachPart*s.Reach)
+	limit := min(s.Bound, gapReachFraction*s.Reach)
 	if s.BusySamples == 0 {
-		return broken(promise, "no work waited")
+		return brokenVerdict(promise, "no work waited")
 	}
 	if s.Gap > limit {
-		return broken(promise, "gap %.1f, limit %.1f (bound %.1f)", s.Gap, limit, s.Bound)
+		return brokenVerdict(promise, "gap %.1f, limit %.1f (bound %.1f)", s.Gap, limit, s.Bound)
 	}
-	return held(promise, "gap %.1f, limit %.1f (bound %.1f; serving one workspace only would show %.1f)", s.Gap, limit, s.Bound, s.Reach)
+	return heldVerdict(promise, "gap %.1f, limit %.1f (bound %.1f; serving one workspace only would show %.1f)", s.Gap, limit, s.Bound, s.Reach)
 }
 
-func nobodyStarved(s loadgen.Service) Verdict {
+func checkStarvation(s loadgen.Service) Verdict {
 	promise := fmt.Sprintf("no workspace starves on %s", s.Name)
 	if s.Least.Workspace == "" {
-		return broken(promise, "no workspace waited long enough to tell")
+		return brokenVerdict(promise, "no workspace waited long enough to tell")
 	}
-	if s.Least.Part < leastPart {
-		return broken(promise, "%s got %.2f of its share in the %.1f s that it waited", s.Least.Workspace, s.Least.Part, s.Least.Seconds)
+	if s.Least.Part < minServedFraction {
+		return brokenVerdict(promise, "%s got %.2f of its share in the %.1f s that it waited", s.Least.Workspace, s.Least.Part, s.Least.Seconds)
 	}
-	return held(promise, "the least is %s with %.2f of its share", s.Least.Workspace, s.Least.Part)
+	return heldVerdict(promise, "the least is %s with %.2f of its share", s.Least.Workspace, s.Least.Part)
 }
--- a/devfleet/promises_test.go
+++ b/devfleet/promises_test.go
@@ -12,11 +12,11 @@
 	"github.com/figstile/figstile/state"
 )
 
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var runStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// sound returns evidence of a run in which every promise held.
-func sound() Evidence {
-	started := upstream.Entry{Received: began, Started: began}
+// validEvidence returns evidence of a run in which every promise held.
+func validEvidence() Evidence {
+	started := upstream.Entry{Received: runStart, Started: runStart}
 	page, booking := started, started
 	page.Digest = "page"
 	booking.Digest, booking.IdempotencyKey = "booking", "key"
@@ -27,19 +27,19 @@
 			{Digest: "booking", Key: "key", Again: true, Status: 409, Whole: true, Ran: "yes"},
 			{Digest: "refused", Status: 503, Whole: true, Ran: "no"},
 		},
-		Ledgers:    map[state.Upstream][]upstream.Entry{"worker-1": {page, booking}, "engine-1": {{Received: began}}},
-		Services:   map[state.Upstream]state.Service{"worker-1": "kiosco-web", "engine-1": "redaccion-figstile"},
+		Ledgers:    map[state.Upstream][]upstream.Entry{"worker-1": {page, booking}, "engine-1": {{Received: runStart}}},
+		ServiceOf:  map[state.Upstream]state.Service{"worker-1": "kiosco-web", "engine-1": "redaccion-figstile"},
 		Repeatable: map[state.Service]bool{"redaccion-figstile": true},
-		Figures: []loadgen.Service{{
+		ServiceMetrics: []loadgen.Service{{
 			Name: "kiosco-web", Gap: 5, Bound: 10, Reach: 100, BusySamples: 9,
 			Least: loadgen.Portion{Workspace: "laredo", Part: 0.9, Seconds: 5},
 		}},
-		Leaving: Leaving{Upstream: "engine-1", From: began.Add(time.Second), To: began.Add(time.Minute)},
-		Change:  Change{Key: "config/root", Written: 7, After: map[state.Router]map[string]uint64{"router-1": {"config/root": 7}}},
+		Leaving: Leaving{Upstream: "engine-1", From: runStart.Add(time.Second), To: runStart.Add(time.Minute)},
+		Change:  Change{Key: "config/root", WrittenVersion: 7, FinalVersions: map[state.Router]map[string]uint64{"router-1": {"config/root": 7}}},
 	}
 }
 
-func failures(e Evidence) []string {
+func failedPromises(e Evidence) []string {
 	var failed []string
 	for _, v := range e.Check() {
 		if !v.Held {
@@ -49,8 +49,8 @@
 	return failed
 }
 
-func TestSoundEvidenceHolds(t *testing.T) {
-	require.Empty(t, failures(sound()))
+func TestValidEvidencePasses(t *testing.T) {
+	require.Empty(t, failedPromises(validEvidence()))
 	require.False(t, Trial{}.Held(), "a trial without checks shows nothing")
 }
 
@@ -64,39 +64,39 @@
 		"crossed answer":   {"whole and its caller's own", func(e *Evidence) { e.Records[0].Own = false }},
 		"broken answer":    {"got an answer or a refusal", func(e *Evidence) { e.Records[3].Broken = "EOF" }},
 		"untold outcome":   {"got an answer or a refusal", func(e *Evidence) { e.Records[2].Ran = "" }},
-		"untrue not run":   {"did not run", func(e *Evidence) { e.start("engine-1", upstream.Entry{Digest: "refused"}) }},
+		"untrue not run":   {"did not run", func(e *Evidence) { e.addStarted("engine-1", upstream.Entry{Digest: "refused"}) }},
 		"nothing refused":  {"did not run", func(e *Evidence) { e.Records = e.Records[:3] }},
-		"second booking":   {"at most once", func(e *Evidence) { e.start("worker-1", upstream.Entry{IdempotencyKey: "key"}) }},
+		"second booking":   {"at most once", func(e *Evidence) { e.addStarted("worker-1", upstream.Entry{IdempotencyKey: "key"}) }},
 		"nothing resent":   {"at most once", func(e *Evidence) { e.Records[2].Again = false }},
-		"second page":      {"may not be repeated", func(e *Evidence) { e.start("worker-1", upstream.Entry{Digest: "page"}) }},
-		"change refused":   {"in force everywhere", func(e *Evidence) { e.Change.Written = 0 }},
-		"router behind":    {"in force everywhere", func(e *Evidence) { e.Change.After["router-1"]["config/root"] = 6 }},
-		"slow change":      {"in force everywhere", func(e *Evidence) { e.Change.Took = changeWithin + 1 }},
-		"reverted":         {"in force everywhere", func(e *Evidence) { e.Change.Reverted = "router-1 went back" }},
-		"work for leaver":  {"leaving upstream", func(e *Evidence) { e.receive("engine-1", began.Add(30*time.Second)) }},
+		"second page":      {"may not be repeated", func(e *Evidence) { e.addStarted("worker-1", upstream.Entry{Digest: "page"}) }},
+		"change refused":   {"in force everywhere", func(e *Evidence) { e.Change.WrittenVersion = 0 }},
+		"router behind":    {"in force everywhere", func(e *Evidence) { e.Change.FinalVersions["router-1"]["config/root"] = 6 }},
+		"slow change":      {"in force everywhere", func(e *Evidence) { e.Change.Duration = changeTimeout + 1 }},
+		"reverted":         {"in force everywhere", func(e *Evidence) { e.Change.RevertedRouter = "router-1 went back" }},
+		"work for leaver":  {"leaving upstream", func(e *Evidence) { e.addReceived("engine-1", runStart.Add(30*time.Second)) }},
 		"nothing left":     {"leaving upstream", func(e *Evidence) { e.Leaving = Leaving{} }},
-		"gap above bound":  {"stays within its bound", func(e *Evidence) { e.Figures[0].Gap = 10.1 }},
-		"gap of short run": {"stays within its bound", func(e *Evidence) { e.Figures[0].Reach = 9 }},
-		"nothing waited":   {"stays within its bound", func(e *Evidence) { e.Figures[0].BusySamples = 0 }},
-		"starved":          {"no workspace starves", func(e *Evidence) { e.Figures[0].Least.Part = 0.2 }},
-		"nobody to starve": {"no workspace starves", func(e *Evidence) { e.Figures[0].Least = loadgen.Portion{} }},
+		"gap above bound":  {"stays within its bound", func(e *Evidence) { e.ServiceMetrics[0].Gap = 10.1 }},
+		"gap of short run": {"stays within its bound", func(e *Evidence) { e.ServiceMetrics[0].Reach = 9 }},
+		"nothing waited":   {"stays within its bound", func(e *Evidence) { e.ServiceMetrics[0].BusySamples = 0 }},
+		"starved":          {"no workspace starves", func(e *Evidence) { e.ServiceMetrics[0].Least.Part = 0.2 }},
+		"nobody to starve": {"no workspace starves", func(e *Evidence) { e.ServiceMetrics[0].Least = loadgen.Portion{} }},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			e := sound()
+			e := validEvidence()
 			c.breaks(&e)
-			failed := failures(e)
+			failed := failedPromises(e)
 			require.Len(t, failed, 1)
 			require.Contains(t, failed[0], c.promise)
 		})
 	}
 }
 
-func (e *Evidence) start(name state.Upstream, entry upstream.Entry) {
-	entry.Received, entry.Started = began, began
+func (e *Evidence) addStarted(name state.Upstream, entry upstream.Entry) {
+	entry.Received, entry.Started = runStart, runStart
 	e.Ledgers[name] = append(slices.Clone(e.Ledgers[name]), entry)
 }
 
-func (e *Evidence) receive(name state.Upstream, at time.Time) {
+func (e *Evidence) addReceived(name state.Upstream, at time.Time) {
 	e.Ledgers[name] = append(slices.Clone(e.Ledgers[name]), upstream.Entry{Received: at})
 }
--- a/devfleet/sample.go
+++ b/devfleet/sample.go
@@ -27,11 +27,11 @@
 type Team struct {
 	Name       state.Team
 	Share      float64
-	Workspaces []Tenant
+	Workspaces []Workspace
 }
 
-// Tenant is one workspace.
-type Tenant struct {
+// Workspace is one workspace.
+type Workspace struct {
 	Name   state.Workspace
 	Weight float64
 	// Large workspaces ask for more than their share all the time.
@@ -86,10 +86,10 @@
 		Page:        "page",
 		Booking:     "publication",
 		Teams: []Team{
-			{Name: "costa", Share: 3, Workspaces: tenants("laredo", "castro", "santona", "colindres")},
-			{Name: "valle", Share: 2, Workspaces: tenants("ramales", "ampuero", "rasines", "limpias")},
-			{Name: "archivo", Share: 2, Workspaces: tenants("archivo", "traducciones", "eventos", "fotos")},
-			{Name: "kioscos", Share: 3, Workspaces: tenants("estaciones", "oficinas", "puertos", "playas")},
+			{Name: "costa", Share: 3, Workspaces: newWorkspaces("laredo", "castro", "santona", "colindres")},
+			{Name: "valle", Share: 2, Workspaces: newWorkspaces("ramales", "ampuero", "rasines", "limpias")},
+			{Name: "archivo", Share: 2, Workspaces: newWorkspaces("archivo", "traducciones", "eventos", "fotos")},
+			{Name: "kioscos", Share: 3, Workspaces: newWorkspaces("estaciones", "oficinas", "puertos", "playas")},
 		},
 	}
 }
@@ -106,21 +106,21 @@
 		Page:        "lookup",
 		Booking:     "seat-hold",
 		Teams: []Team{
-			{Name: "custodia", Share: 4, Workspaces: tenants("expedientes", "consentimientos", "entregas", "archivo-legal")},
-			{Name: "apoderados", Share: 3, Workspaces: tenants("chat", "avisos", "familias", "reclamos")},
-			{Name: "aeropuertos", Share: 2, Workspaces: tenants("scl", "ccp", "pmc", "anf")},
-			{Name: "escoltas", Share: 1, Workspaces: tenants("turnos", "puertas", "relevos", "ensayos")},
+			{Name: "custodia", Share: 4, Workspaces: newWorkspaces("expedientes", "consentimientos", "entregas", "archivo-legal")},
+			{Name: "apoderados", Share: 3, Workspaces: newWorkspaces("chat", "avisos", "familias", "reclamos")},
+			{Name: "aeropuertos", Share: 2, Workspaces: newWorkspaces("scl", "ccp", "pmc", "anf")},
+			{Name: "escoltas", Share: 1, Workspaces: newWorkspaces("turnos", "puertas", "relevos", "ensayos")},
 		},
 	}
 }
 
-// tenants are a team's workspaces; the first is large.
-func tenants(names ...state.Workspace) []Tenant {
-	var found []Tenant
+// newWorkspaces are a team's workspaces; the first is large.
+func newWorkspaces(names ...state.Workspace) []Workspace {
+	var workspaces []Workspace
 	for i, name := range names {
-		found = append(found, Tenant{Name: name, Weight: 1, Large: i == 0})
+		workspaces = append(workspaces, Workspace{Name: name, Weight: 1, Large: i == 0})
 	}
-	return found
+	return workspaces
 }
 
 // Token returns the token that callers of a workspace use in a sample.
@@ -129,7 +129,7 @@
 // OperatorToken is the operators' token of every sample.
 const OperatorToken = "operator-token"
 
-func digest(token string) string { return config.DigestOf(token).String() }
+func tokenDigest(token string) string { return config.DigestOf(token).String() }
 
 // subtree returns a team's object.
 func (t Team) subtree() config.Subtree {
@@ -138,7 +138,7 @@
 		s.Workspaces = append(s.Workspaces, config.Workspace{
 			Name:   w.Name,
 			Weight: w.Weight,
-			Tokens: []string{digest(Token(w.Name))},
+			Tokens: []string{tokenDigest(Token(w.Name))},
 		})
 	}
 	return s
@@ -147,7 +147,7 @@
 // root returns the operators' object for the upstreams at these addresses.
 func (s Sample) root(engines, workers []config.Upstream) config.Root {
 	root := config.Root{
-		OperatorTokens: []string{digest(OperatorToken)},
+		OperatorTokens: []string{tokenDigest(OperatorToken)},
 		Services: []config.Service{
 			{Name: s.Engines, Kind: config.KindEngine, Repeatable: true, Upstreams: engines},
 			{Name: s.Workers, Kind: config.KindWorker, Upstreams: workers},
@@ -157,14 +157,14 @@
 		root.Teams = append(root.Teams, config.TeamShare{
 			Name:   t.Name,
 			Share:  t.Share,
-			Tokens: []string{digest(string(t.Name) + "-team-token")},
+			Tokens: []string{tokenDigest(string(t.Name) + "-team-token")},
 		})
 	}
 	return root
 }
 
-// share returns a workspace's part of the whole.
-func (s Sample) share(team Team, tenant Tenant) float64 {
+// workspaceShare returns a workspace's part of the whole.
+func (s Sample) workspaceShare(team Team, workspace Workspace) float64 {
 	teams, weights := 0.0, 0.0
 	for _, t := range s.Teams {
 		teams += t.Share
@@ -172,5 +172,5 @@
 	for _, w := range team.Workspaces {
 		weights += w.Weight
 	}
-	return team.Share / teams * tenant.Weight / weights
+	return team.Share / teams * workspace.Weight / weights
 }
--- a/devfleet/workload.go
+++ b/devfleet/workload.go
@@ -13,21 +13,21 @@
 
 // The loads.
 const (
-	// Idle asks for next to nothing and shows what routers exchange anyway.
-	Idle Load = "idle"
-	// Usual keeps about two thirds of all slots busy.
-	Usual Load = "usual"
-	// Rush has four large workspaces that together ask for more than there
+	// LoadIdle asks for next to nothing and shows what routers exchange anyway.
+	LoadIdle Load = "idle"
+	// LoadUsual keeps about two thirds of all slots busy.
+	LoadUsual Load = "usual"
+	// LoadRush has four large workspaces that together ask for more than there
 	// is, and small ones that ask for less than their share.
-	Rush Load = "rush"
-	// Saturated has every workspace ask for about twice its share.
-	Saturated Load = "saturated"
-	// Flood is Saturated with one workspace that asks for 16 times as much.
-	Flood Load = "flood"
+	LoadRush Load = "rush"
+	// LoadSaturated has every workspace ask for about twice its share.
+	LoadSaturated Load = "saturated"
+	// LoadFlood is Saturated with one workspace that asks for 16 times as much.
+	LoadFlood Load = "flood"
 )
 
 // Loads lists the loads.
-func Loads() []Load { return []Load{Idle, Usual, Rush, Saturated, Flood} }
+func Loads() []Load { return []Load{LoadIdle, LoadUsual, LoadRush, LoadSaturated, LoadFlood} }
 
 // rates are a workspace's requests a second.
 type rates struct {
@@ -37,34 +37,34 @@
 // The engines of a sample write about 85 drafts a second and its workers
 // answer about 280 pages; a workspace's share is a sixteenth, more or less.
 var (
-	idle       = rates{pages: 0.02}
-	usualLarge = rates{drafts: 8, blurbs: 10, pages: 30, bookings: 1}
-	usualSmall = rates{drafts: 1, blurbs: 2, pages: 6, bookings: 1}
-	rushLarge  = rates{drafts: 14, blurbs: 30, urgent: 3, pages: 80, bookings: 2}
-	rushSmall  = rates{drafts: 1.5, blurbs: 4, pages: 6, bookings: 2}
-	greedy     = rates{drafts: 10, pages: 30, bookings: 2}
-	flooding   = rates{drafts: 160, pages: 480, bookings: 2}
+	idleRates       = rates{pages: 0.02}
+	usualLargeRates = rates{drafts: 8, blurbs: 10, pages: 30, bookings: 1}
+	usualSmallRates = rates{drafts: 1, blurbs: 2, pages: 6, bookings: 1}
+	rushLargeRates  = rates{drafts: 14, blurbs: 30, urgent: 3, pages: 80, bookings: 2}
+	rushSmallRates  = rates{drafts: 1.5, blurbs: 4, pages: 6, bookings: 2}
+	saturatedRates  = rates{drafts: 10, pages: 30, bookings: 2}
+	floodRates      = rates{drafts: 160, pages: 480, bookings: 2}
 )
 
 // burstSize is how many blurbs of a small workspace arrive at once.
 const burstSize = 8
 
-func (l Load) rates(t Tenant, first bool) rates {
+func (l Load) rates(t Workspace, first bool) rates {
 	switch {
-	case l == Idle:
-		return idle
-	case l == Flood && first:
-		return flooding
-	case l == Flood || l == Saturated:
-		return greedy
-	case l == Usual && t.Large:
-		return usualLarge
-	case l == Usual:
-		return usualSmall
+	case l == LoadIdle:
+		return idleRates
+	case l == LoadFlood && first:
+		return floodRates
+	case l == LoadFlood || l == LoadSaturated:
+		return saturatedRates
+	case l == LoadUsual && t.Large:
+		return usualLargeRates
+	case l == LoadUsual:
+		return usualSmallRates
 	case t.Large:
-		return rushLarge
+		return rushLargeRates
 	default:
-		return rushSmall
+		return rushSmallRates
 	}
 }
 
@@ -77,12 +77,12 @@
 		Classes: s.classes(),
 	}
 	for _, team := range s.Teams {
-		for _, tenant := range team.Workspaces {
+		for _, workspace := range team.Workspaces {
 			w.Workspaces = append(w.Workspaces, loadgen.Workspace{
-				Name:     tenant.Name,
-				Token:    Token(tenant.Name),
-				Share:    s.share(team, tenant),
-				Arrivals: s.arrivals(load.rates(tenant, len(w.Workspaces) == 0), load == Rush && !tenant.Large),
+				Name:     workspace.Name,
+				Token:    Token(workspace.Name),
+				Share:    s.workspaceShare(team, workspace),
+				Arrivals: s.arrivals(load.rates(workspace, len(w.Workspaces) == 0), load == LoadRush && !workspace.Large),
 			})
 		}
 	}
--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -18,7 +18,7 @@
 
 	mu    sync.Mutex
 	isCut bool
-	open  map[net.Conn]struct{}
+	conns map[net.Conn]struct{}
 }
 
 // newForwarder forwards to the address of an http URL.
@@ -29,9 +29,9 @@
 	f := &forwarder{
 		Listener: listener,
 		target:   strings.TrimPrefix(baseURL, "http://"),
-		open:     make(map[net.Conn]struct{}),
+		conns:    make(map[net.Conn]struct{}),
 	}
-	go f.run()
+	go f.acceptLoop()
 	t.Cleanup(func() {
 		f.cut()
 		f.Close()
@@ -41,7 +41,7 @@
 
 func (f *forwarder) url() string { return "http://" + f.Addr().String() }
 
-func (f *forwarder) run() {
+func (f *forwarder) acceptLoop() {
 	for {
 		conn, err := f.Accept()
 		if err != nil {
@@ -58,10 +58,10 @@
 		return
 	}
 	defer out.Close()
-	if !f.keep(conn, out) {
+	if !f.track(conn, out) {
 		return
 	}
-	defer f.forget(conn, out)
+	defer f.untrack(conn, out)
 	go func() {
 		_, _ = io.Copy(out, conn)
 		out.Close()
@@ -69,22 +69,22 @@
 	_, _ = io.Copy(conn, out)
 }
 
-func (f *forwarder) keep(conns ...net.Conn) bool {
+func (f *forwarder) track(conns ...net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range conns {
 		if !f.isCut {
-			f.open[c] = struct{}{}
+			f.conns[c] = struct{}{}
 		}
 	}
 	return !f.isCut
 }
 
-func (f *forwarder) forget(conns ...net.Conn) {
+func (f *forwarder) untrack(conns ...net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range conns {
-		delete(f.open, c)
+		delete(f.conns, c)
 	}
 }
 
@@ -92,7 +92,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isCut = true
-	for c := range f.open {
+	for c := range f.conns {
 		c.Close()
 	}
 }
--- a/e2e/edge_fakes_test.go
+++ b/e2e/edge_fakes_test.go
@@ -29,7 +29,7 @@
 	s := &objectStore{Store: objects.New()}
 	s.server = httptest.NewServer(s)
 	t.Cleanup(func() {
-		s.SetAway(true)
+		s.SetUnavailable(true)
 		s.server.Close()
 	})
 	return s
@@ -68,13 +68,13 @@
 	server *httptest.Server
 	// release ends the streams under way, one for each value.
 	release chan struct{}
-	// begun gets a value for each stream that sent its first event.
-	begun chan struct{}
+	// started gets a value for each stream that sent its first event.
+	started chan struct{}
 }
 
 func startEdgeEngine(t *testing.T, s *objectStore, id string) *edgeEngine {
 	t.Helper()
-	e := &edgeEngine{release: make(chan struct{}, 16), begun: make(chan struct{}, 16)}
+	e := &edgeEngine{release: make(chan struct{}, 16), started: make(chan struct{}, 16)}
 	e.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Attempt-Id", r.Header.Get("Attempt-Id"))
 		if r.Header.Get("Target-Instance") != id {
@@ -91,7 +91,7 @@
 			return
 		}
 		if r.URL.Path == heldPage {
-			e.begun <- struct{}{}
+			e.started <- struct{}{}
 			<-e.release
 			fmt.Fprint(w, "page")
 			return
@@ -99,7 +99,7 @@
 		w.Header().Set("Content-Type", "text/event-stream")
 		fmt.Fprint(w, "id: 1\ndata: a\n\n")
 		w.(http.Flusher).Flush()
-		e.begun <- struct{}{}
+		e.started <- struct{}{}
 		<-e.release
 		fmt.Fprint(w, "id: 2\ndata: b\n\n")
 	}))
@@ -114,8 +114,8 @@
 // edgeRouter is one daemon on the platform's settings.
 type edgeRouter struct {
 	*process
-	name                  string
-	callers, ready, peers string
+	name                                     string
+	callerAddress, readyAddress, peerAddress string
 	// settings is the path of the settings file.
 	settings string
 }
@@ -145,14 +145,14 @@
 	t.Helper()
 	addresses := freeAddresses(t, index, 3)
 	r := &edgeRouter{
-		name:    fmt.Sprintf("edge-%d", index),
-		callers: addresses[0],
-		ready:   addresses[1],
-		peers:   addresses[2],
+		name:          fmt.Sprintf("edge-%d", index),
+		callerAddress: addresses[0],
+		readyAddress:  addresses[1],
+		peerAddress:   addresses[2],
 	}
 	settings := map[string]any{
 		"NodeName": r.name, "Zone": fmt.Sprintf("z%d", 1+index%2),
-		"ListenAddrs": map[string]string{"Frontend": r.callers, "Ready": r.ready, "ControlPlane": r.peers},
+		"ListenAddrs": map[string]string{"Frontend": r.callerAddress, "Ready": r.readyAddress, "ControlPlane": r.peerAddress},
 		"SeedNodes":   seeds,
 		"Limits":      map[string]any{"CpuQuota": 1, "MemoryMb": 284, "MaxFds": 4100},
 		"Bounds":      map[string]any{"GracePeriodS": 8, "DrainTimeoutMs": 2000, "RetryBudgetRatio": 0.2, "RetryWindowS": 10, "BudgetSlack": 56},
@@ -197,7 +197,7 @@
 }
 
 func (r *edgeRouter) isReady() bool {
-	response, err := http.Get("http://" + r.ready + "/readiness")
+	response, err := http.Get("http://" + r.readyAddress + "/readiness")
 	if err != nil {
 		return false
 	}
@@ -205,10 +205,10 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// get sends a request with a key; it never reuses a connection.
-func (r *edgeRouter) get(t *testing.T, path, key string) (*http.Response, error) {
+// post sends a request with a key; it never reuses a connection.
+func (r *edgeRouter) post(t *testing.T, path, key string) (*http.Response, error) {
 	t.Helper()
-	request, err := http.NewRequest(http.MethodPost, "http://"+r.callers+path, nil)
+	request, err := http.NewRequest(http.MethodPost, "http://"+r.callerAddress+path, nil)
 	require.NoError(t, err)
 	request.Host = "h.example"
 	request.Header.Set("Authorization", "Bearer "+key)
@@ -219,9 +219,9 @@
 	return http.DefaultClient.Do(request)
 }
 
-func (r *edgeRouter) status(t *testing.T, path, key string) int {
+func (r *edgeRouter) postStatus(t *testing.T, path, key string) int {
 	t.Helper()
-	response, err := r.get(t, path, key)
+	response, err := r.post(t, path, key)
 	if err != nil {
 		return 0
 	}
--- a/e2e/edge_test.go
+++ b/e2e/edge_test.go
@@ -20,11 +20,11 @@
 	s.put(edge.KindConfig, "main", edgeConfig(1, "k1"))
 	e := startEdgeEngine(t, s, "i-1")
 	first := startEdgeRouter(t, s, 0)
-	second := startEdgeRouter(t, s, 1, first.peers)
+	second := startEdgeRouter(t, s, 1, first.peerAddress)
 	routers := []*edgeRouter{first, second}
 	for _, r := range routers {
 		r.awaitReady(t)
-		await(t, func() bool { return r.status(t, "/pages/now", "k1") == http.StatusOK })
+		await(t, func() bool { return r.postStatus(t, "/pages/now", "k1") == http.StatusOK })
 	}
 	return s, e, routers
 }
@@ -32,7 +32,7 @@
 func TestEdgeServesByRouteAndKey(t *testing.T) {
 	_, _, routers := startEdgeFleet(t)
 	for _, r := range routers {
-		response, err := r.get(t, "/pages/now", "k1")
+		response, err := r.post(t, "/pages/now", "k1")
 		require.NoError(t, err)
 		body, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
@@ -40,19 +40,19 @@
 		require.Equal(t, "page", string(body))
 		require.Equal(t, "sig-i-1", response.Header.Get("Server-Signature"))
 		require.Equal(t, "a1", response.Header.Get("Attempt-Id"))
-		require.Equal(t, http.StatusUnauthorized, r.status(t, "/pages/now", "wrong"))
-		require.Equal(t, http.StatusNotFound, r.status(t, "/none/", "k1"))
+		require.Equal(t, http.StatusUnauthorized, r.postStatus(t, "/pages/now", "wrong"))
+		require.Equal(t, http.StatusNotFound, r.postStatus(t, "/none/", "k1"))
 	}
 }
 
 // An operator revokes a key. From then on no router takes it, whichever of
 // them reads the store.
-func TestEdgeTakesChangesEverywhere(t *testing.T) {
+func TestEdgeAppliesChangesOnEveryRouter(t *testing.T) {
 	s, _, routers := startEdgeFleet(t)
 	s.put(edge.KindConfig, "main", edgeConfig(2, "k2"))
 	for _, r := range routers {
-		await(t, func() bool { return r.status(t, "/pages/now", "k1") == http.StatusUnauthorized })
-		require.Equal(t, http.StatusOK, r.status(t, "/pages/now", "k2"))
+		await(t, func() bool { return r.postStatus(t, "/pages/now", "k1") == http.StatusUnauthorized })
+		require.Equal(t, http.StatusOK, r.postStatus(t, "/pages/now", "k2"))
 	}
 }
 
@@ -60,24 +60,24 @@
 // configuration and the list of upstreams from a peer and serves.
 func TestEdgeStartsWithoutTheStore(t *testing.T) {
 	s, _, routers := startEdgeFleet(t)
-	s.SetAway(true)
-	late := startEdgeRouter(t, s, 2, routers[0].peers)
-	late.awaitReady(t)
-	await(t, func() bool { return late.status(t, "/pages/now", "k1") == http.StatusOK })
+	s.SetUnavailable(true)
+	lateRouter := startEdgeRouter(t, s, 2, routers[0].peerAddress)
+	lateRouter.awaitReady(t)
+	await(t, func() bool { return lateRouter.postStatus(t, "/pages/now", "k1") == http.StatusOK })
 	for _, r := range routers {
-		require.Equal(t, http.StatusOK, r.status(t, "/pages/now", "k1"))
+		require.Equal(t, http.StatusOK, r.postStatus(t, "/pages/now", "k1"))
 	}
 }
 
 // A router is stopped while a caller reads a stream. The stream ends whole,
 // the router says that it is not ready meanwhile, and exits with code 0.
-func TestEdgeStopCutsNothingOff(t *testing.T) {
+func TestEdgeStopCompletesStreams(t *testing.T) {
 	_, e, routers := startEdgeFleet(t)
 	r := routers[0]
-	response, err := r.get(t, "/guides/x", "k1")
+	response, err := r.post(t, "/guides/x", "k1")
 	require.NoError(t, err)
 	defer response.Body.Close()
-	<-e.begun
+	<-e.started
 	r.terminate()
 	await(t, func() bool { return !r.isReady() })
 	e.release <- struct{}{}
@@ -92,8 +92,8 @@
 func TestEdgeReloadsAtHangup(t *testing.T) {
 	_, _, routers := startEdgeFleet(t)
 	require.NoError(t, routers[0].cmd.Process.Signal(syscall.SIGHUP))
-	routers[0].find(t, "seeds")
-	require.Equal(t, http.StatusOK, routers[0].status(t, "/pages/now", "k1"))
+	routers[0].awaitValue(t, "seeds")
+	require.Equal(t, http.StatusOK, routers[0].postStatus(t, "/pages/now", "k1"))
 }
 
 // A router dies without a word while its peer reads the store through it or
@@ -102,13 +102,13 @@
 	s, _, routers := startEdgeFleet(t)
 	routers[0].kill()
 	s.put(edge.KindConfig, "main", edgeConfig(3, "k3"))
-	await(t, func() bool { return routers[1].status(t, "/pages/now", "k3") == http.StatusOK })
+	await(t, func() bool { return routers[1].postStatus(t, "/pages/now", "k3") == http.StatusOK })
 }
 
 // A newcomer tries the routers on the users' platform with nothing but this
 // repository: one command starts them on stand-ins, floods them, takes an
 // engine, a key and the store away, and checks what callers and upstreams saw.
-func TestDevOnThePlatformKeepsEveryPromise(t *testing.T) {
+func TestDevPlatformTrialHoldsEveryPromise(t *testing.T) {
 	out, err := exec.Command(cliBinary, "dev", "--platform", "--once").CombinedOutput()
 	require.NoError(t, err, string(out))
 	require.Equal(t, 8, strings.Count(string(out), "held    "), string(out))
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// flight is a set of requests under way.
-type flight struct {
+// requestGroup is a set of requests under way.
+type requestGroup struct {
 	wg      sync.WaitGroup
 	mu      sync.Mutex
 	answers []answer
@@ -22,7 +22,7 @@
 }
 
 // send starts a request without waiting for its answer.
-func (f *flight) send(ctx context.Context, r *router, workspace, path, body string, header ...string) {
+func (f *requestGroup) send(ctx context.Context, r *router, workspace, path, body string, header ...string) {
 	f.wg.Add(1)
 	go func() {
 		defer f.wg.Done()
@@ -34,14 +34,14 @@
 	}()
 }
 
-// land waits for all answers.
-func (f *flight) land() []answer {
+// wait waits for all answers.
+func (f *requestGroup) wait() []answer {
 	f.wg.Wait()
 	return f.answers
 }
 
-// running counts the requests that an upstream has started and not ended.
-func running(t *testing.T, baseURL string) int {
+// runningCount counts the requests that an upstream has started and not ended.
+func runningCount(t *testing.T, baseURL string) int {
 	t.Helper()
 	count := 0
 	for _, e := range ledger(t, baseURL) {
@@ -52,9 +52,9 @@
 	return count
 }
 
-// written counts the running requests of which an upstream has generated that
+// runningWithTokens counts the running requests of which an upstream has generated that
 // many tokens.
-func written(t *testing.T, baseURL string, tokens int) int {
+func runningWithTokens(t *testing.T, baseURL string, tokens int) int {
 	t.Helper()
 	count := 0
 	for _, e := range ledger(t, baseURL) {
@@ -69,28 +69,28 @@
 // The platform asks the router to stop; a careless one would close its
 // sockets and the guide would be lost. Two routers of different data centres
 // are stopped at once, and then the last one of a data centre.
-func TestPlannedStopCutsNothingOff(t *testing.T) {
+func TestPlannedStopCompletesRequests(t *testing.T) {
 	f := startStandardFleet(t)
-	var guides flight
+	var drafts requestGroup
 	for i := range 12 {
-		guides.send(t.Context(), f.all[i%4], "laredo", drafts, guide(i, 300))
+		drafts.send(t.Context(), f.routerList[i%4], "laredo", draftPath, draftBody(i, 300))
 	}
 	eventually(t, "guides are being written", func() bool {
-		return running(t, f.engines[0])+running(t, f.engines[1]) == 8
+		return runningCount(t, f.engineURLs[0])+runningCount(t, f.engineURLs[1]) == 8
 	})
 
-	f.all[0].terminate()
-	f.all[2].terminate()
-	<-f.all[0].done
-	<-f.all[2].done
-	f.all[1].terminate()
-	<-f.all[1].done
+	f.routerList[0].terminate()
+	f.routerList[2].terminate()
+	<-f.routerList[0].done
+	<-f.routerList[2].done
+	f.routerList[1].terminate()
+	<-f.routerList[1].done
 
-	for _, got := range guides.land() {
+	for _, got := range drafts.wait() {
 		require.NoError(t, got.err)
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
-	got := call(t, f.all[3], "castro", drafts, guide(100, 5))
+	got := call(t, f.routerList[3], "castro", draftPath, draftBody(100, 5))
 	require.Equal(t, http.StatusOK, got.status, got.body)
 }
 
@@ -99,22 +99,22 @@
 // way until its health check has seen the change.
 func TestDrainingRouterRefusesAtOnce(t *testing.T) {
 	f := startStandardFleet(t)
-	var guides flight
-	guides.send(t.Context(), f.all[0], "laredo", drafts, guide(1, 400))
+	var drafts requestGroup
+	drafts.send(t.Context(), f.routerList[0], "laredo", draftPath, draftBody(1, 400))
 	eventually(t, "the guide is being written", func() bool {
-		return running(t, f.engines[0])+running(t, f.engines[1]) == 1
+		return runningCount(t, f.engineURLs[0])+runningCount(t, f.engineURLs[1]) == 1
 	})
-	out, code := f.cli(f.all[0], operatorToken, "drain")
+	out, code := f.runCLI(f.routerList[0], operatorToken, "drain")
 	require.Zero(t, code, out)
 	var got answer
 	eventually(t, "new work is refused", func() bool {
-		got = call(t, f.all[0], "castro", "/kiosco-web/late", `{"busy_ms":1}`)
+		got = call(t, f.routerList[0], "castro", "/kiosco-web/late", `{"busy_ms":1}`)
 		return got.code == int(result.Draining)
 	})
 	require.Equal(t, "no", got.ran)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
-	require.NoError(t, guides.land()[0].err)
-	<-f.all[0].done
+	require.NoError(t, drafts.wait()[0].err)
+	<-f.routerList[0].done
 }
 
 // An engine is killed while it writes. The caller has part of the answer and
@@ -122,16 +122,16 @@
 // end, and nobody is told that it did not run.
 func TestUpstreamKilledMidAnswer(t *testing.T) {
 	f := startStandardFleet(t)
-	var guides flight
+	var drafts requestGroup
 	for i := range 8 {
-		guides.send(t.Context(), f.all[i%4], "laredo", drafts, guide(i, 4000))
+		drafts.send(t.Context(), f.routerList[i%4], "laredo", draftPath, draftBody(i, 4000))
 	}
 	eventually(t, "all callers have part of their answer", func() bool {
-		return written(t, f.engines[0], 100) == 4 && written(t, f.engines[1], 100) == 4
+		return runningWithTokens(t, f.engineURLs[0], 100) == 4 && runningWithTokens(t, f.engineURLs[1], 100) == 4
 	})
-	crash(f.engines[0])
+	crash(f.engineURLs[0])
 	broken := 0
-	for _, got := range guides.land() {
+	for _, got := range drafts.wait() {
 		if got.err != nil {
 			broken++
 			require.NotContains(t, got.body, "[DONE]")
@@ -157,12 +157,12 @@
 	f := startStandardFleet(t)
 	for round := range 5 {
 		key := fmt.Sprintf("booking-%d", round)
-		var bookings flight
-		for _, r := range f.all {
+		var bookings requestGroup
+		for _, r := range f.routerList {
 			bookings.send(t.Context(), r, "laredo", "/kiosco-web/book", fmt.Sprintf(`{"busy_ms":20,"seat":%d}`, round), "Idempotency-Key", key)
 		}
 		served := 0
-		for _, got := range bookings.land() {
+		for _, got := range bookings.wait() {
 			if got.code == int(result.OK) {
 				served++
 				continue
@@ -170,7 +170,7 @@
 			require.Contains(t, []int{int(result.KeyInProgress), int(result.KeyCompleted)}, got.code, got.body)
 		}
 		require.Equal(t, 1, served)
-		require.Equal(t, 1, startedWithKey(t, f.worker, key))
+		require.Equal(t, 1, startedWithKey(t, f.workerURL, key))
 	}
 }
 
@@ -189,38 +189,38 @@
 // run; the caller hears so at once and is told when to come back. Work without
 // a key goes on, and so does a booking whose key this router issued itself. A
 // router that starts cold takes its settings from its peers.
-func TestPlatformAway(t *testing.T) {
+func TestPlatformUnavailable(t *testing.T) {
 	f := startStandardFleet(t)
 	f.platform.kill()
 
-	got := call(t, f.all[0], "laredo", "/kiosco-web/book", `{"busy_ms":1,"seat":1}`, "Idempotency-Key", "away")
+	got := call(t, f.routerList[0], "laredo", "/kiosco-web/book", `{"busy_ms":1,"seat":1}`, "Idempotency-Key", "away")
 	require.Equal(t, int(result.ClaimUnavailable), got.code, got.body)
 	require.Equal(t, "no", got.ran)
 	require.NotEmpty(t, got.header.Get("Retry-After"))
-	require.Zero(t, startedWithKey(t, f.worker, "away"))
+	require.Zero(t, startedWithKey(t, f.workerURL, "away"))
 
-	got = call(t, f.all[1], "laredo", drafts, guide(1, 5))
+	got = call(t, f.routerList[1], "laredo", draftPath, draftBody(1, 5))
 	require.Equal(t, http.StatusOK, got.status, got.body)
 
-	issued := issueKey(t, f.all[2], "castro")
-	got = call(t, f.all[2], "castro", "/kiosco-web/book", `{"busy_ms":1,"seat":2}`, "Idempotency-Key", issued)
+	issued := issueKey(t, f.routerList[2], "castro")
+	got = call(t, f.routerList[2], "castro", "/kiosco-web/book", `{"busy_ms":1,"seat":2}`, "Idempotency-Key", issued)
 	require.Equal(t, http.StatusOK, got.status, got.body)
-	got = call(t, f.all[2], "castro", "/kiosco-web/book", `{"busy_ms":1,"seat":2}`, "Idempotency-Key", issued)
+	got = call(t, f.routerList[2], "castro", "/kiosco-web/book", `{"busy_ms":1,"seat":2}`, "Idempotency-Key", issued)
 	require.Equal(t, int(result.KeyCompleted), got.code, got.body)
-	got = call(t, f.all[3], "castro", "/kiosco-web/book", `{"busy_ms":1,"seat":2}`, "Idempotency-Key", issued)
+	got = call(t, f.routerList[3], "castro", "/kiosco-web/book", `{"busy_ms":1,"seat":2}`, "Idempotency-Key", issued)
 	require.NotEqual(t, int(result.OK), got.code, "a key of another router must not run here")
-	require.Equal(t, 1, startedWithKey(t, f.worker, issued))
+	require.Equal(t, 1, startedWithKey(t, f.workerURL, issued))
 
-	cold := f.startRouter("router-5", "sala-castro")
-	f.awaitReady(cold)
-	got = call(t, cold, "castro", drafts, guide(2, 5))
+	newRouter := f.startRouter("router-5", "sala-castro")
+	f.awaitReady(newRouter)
+	got = call(t, newRouter, "castro", draftPath, draftBody(2, 5))
 	require.Equal(t, http.StatusOK, got.status, got.body)
 }
 
 func issueKey(t *testing.T, r *router, workspace string) string {
 	t.Helper()
 	var issued struct{ Key string }
-	getJSON(t, "http://"+r.callers+"/figstile/v1/keys", &issued, "Authorization", "Bearer "+workspace+"-token")
+	getJSON(t, "http://"+r.callerAddress+"/figstile/v1/keys", &issued, "Authorization", "Bearer "+workspace+"-token")
 	require.NotEmpty(t, issued.Key)
 	return issued.Key
 }
@@ -230,23 +230,23 @@
 // engine after the other.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	f := startStandardFleet(t)
-	for _, url := range f.engines {
+	for _, url := range f.engineURLs {
 		setFaults(t, url, upstream.Faults{CrashMarker: "poison"})
 	}
-	poison := strings.Replace(guide(1, 5), "guide", "poison", 1)
+	poison := strings.Replace(draftBody(1, 5), "guide", "poison", 1)
 	var got answer
 	eventually(t, "the request is refused for good", func() bool {
-		got = call(t, f.all[0], "laredo", drafts, poison)
+		got = call(t, f.routerList[0], "laredo", draftPath, poison)
 		return got.code == int(result.Quarantined)
 	})
 	require.Equal(t, "no", got.ran)
-	for _, r := range f.all {
+	for _, r := range f.routerList {
 		eventually(t, r.name+" refuses it too", func() bool {
-			return call(t, r, "laredo", drafts, poison).code == int(result.Quarantined)
+			return call(t, r, "laredo", draftPath, poison).code == int(result.Quarantined)
 		})
 	}
 	crashes := 0
-	for _, url := range f.engines {
+	for _, url := range f.engineURLs {
 		for _, e := range ledger(t, url) {
 			if e.Outcome == upstream.Crashed {
 				crashes++
@@ -254,7 +254,7 @@
 		}
 	}
 	require.LessOrEqual(t, crashes, 2)
-	other := call(t, f.all[1], "castro", drafts, guide(2, 5))
+	other := call(t, f.routerList[1], "castro", draftPath, draftBody(2, 5))
 	require.Equal(t, http.StatusOK, other.status, other.body)
 }
 
@@ -263,18 +263,18 @@
 // it wakes it must not act on what it believed before.
 func TestFrozenRouter(t *testing.T) {
 	f := startStandardFleet(t)
-	f.all[0].freeze()
-	var guides flight
+	f.routerList[0].freeze()
+	var drafts requestGroup
 	for i := range 24 {
-		guides.send(t.Context(), f.all[1+i%3], "laredo", drafts, guide(i, 20))
+		drafts.send(t.Context(), f.routerList[1+i%3], "laredo", draftPath, draftBody(i, 20))
 	}
-	for _, got := range guides.land() {
+	for _, got := range drafts.wait() {
 		require.NoError(t, got.err)
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
-	f.all[0].thaw()
+	f.routerList[0].thaw()
 	eventually(t, "the woken router serves", func() bool {
-		return call(t, f.all[0], "castro", drafts, guide(1000, 5)).status == http.StatusOK
+		return call(t, f.routerList[0], "castro", draftPath, draftBody(1000, 5)).status == http.StatusOK
 	})
 }
 
@@ -283,15 +283,15 @@
 // the next owner uses the slots.
 func TestKilledRouter(t *testing.T) {
 	f := startStandardFleet(t)
-	var guides flight
+	var drafts requestGroup
 	for i := range 16 {
-		guides.send(t.Context(), f.all[1+i%3], "laredo", drafts, guide(i, 200))
+		drafts.send(t.Context(), f.routerList[1+i%3], "laredo", draftPath, draftBody(i, 200))
 	}
 	eventually(t, "all slots are busy", func() bool {
-		return running(t, f.engines[0])+running(t, f.engines[1]) == 8
+		return runningCount(t, f.engineURLs[0])+runningCount(t, f.engineURLs[1]) == 8
 	})
-	f.all[0].kill()
-	for _, got := range guides.land() {
+	f.routerList[0].kill()
+	for _, got := range drafts.wait() {
 		require.NoError(t, got.err)
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
@@ -302,9 +302,9 @@
 // none, while what it runs is finished.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	f := startStandardFleet(t)
-	send(t, http.MethodPut, f.engines[0]+"/drain", map[string]bool{"draining": true})
+	send(t, http.MethodPut, f.engineURLs[0]+"/drain", map[string]bool{"draining": true})
 	eventually(t, "the owner has seen it", func() bool {
-		for _, r := range f.all {
+		for _, r := range f.routerList {
 			for _, u := range status(t, r).Owned {
 				if u.Name == "engine-1" && u.Leaving {
 					return true
@@ -313,22 +313,22 @@
 		}
 		return false
 	})
-	before := len(ledger(t, f.engines[0]))
-	var guides flight
+	before := len(ledger(t, f.engineURLs[0]))
+	var drafts requestGroup
 	for i := range 24 {
-		guides.send(t.Context(), f.all[i%4], "laredo", drafts, guide(i, 20))
+		drafts.send(t.Context(), f.routerList[i%4], "laredo", draftPath, draftBody(i, 20))
 	}
-	for _, got := range guides.land() {
+	for _, got := range drafts.wait() {
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
-	require.Len(t, ledger(t, f.engines[0]), before)
+	require.Len(t, ledger(t, f.engineURLs[0]), before)
 }
 
 // Two operators change the same object at the same moment. One wins; the other
 // is told that it lost and to whom, and no change is half made.
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentOperatorChangesConflict(t *testing.T) {
 	f := startStandardFleet(t)
-	before := status(t, f.all[0]).Versions["config/teams/valle"]
+	before := status(t, f.routerList[0]).Versions["config/teams/valle"]
 	type outcome struct {
 		out  string
 		code int
@@ -336,7 +336,7 @@
 	outcomes := make(chan outcome, 2)
 	for i, weight := range []string{"3", "4"} {
 		go func() {
-			out, code := f.cli(f.all[i], operatorToken, "workspace", "set-weight", "ramales", weight, "--expect", fmt.Sprint(before))
+			out, code := f.runCLI(f.routerList[i], operatorToken, "workspace", "set-weight", "ramales", weight, "--expect", fmt.Sprint(before))
 			outcomes <- outcome{out, code}
 		}()
 	}
@@ -347,20 +347,20 @@
 // A caller leaves while its guide is being written. The engine must be told
 // to stop, or it goes on writing for nobody, and the workspace is charged for
 // what was written.
-func TestCallerLeaves(t *testing.T) {
+func TestWorkStopsWhenCallerLeaves(t *testing.T) {
 	f := startStandardFleet(t)
-	ctx, leave := context.WithCancel(t.Context())
-	var guides flight
-	guides.send(ctx, f.all[0], "laredo", drafts, guide(1, 100000))
+	ctx, cancel := context.WithCancel(t.Context())
+	var drafts requestGroup
+	drafts.send(ctx, f.routerList[0], "laredo", draftPath, draftBody(1, 100000))
 	eventually(t, "the guide is being written", func() bool {
-		return running(t, f.engines[0])+running(t, f.engines[1]) == 1
+		return runningCount(t, f.engineURLs[0])+runningCount(t, f.engineURLs[1]) == 1
 	})
-	leave()
-	guides.land()
+	cancel()
+	drafts.wait()
 	eventually(t, "the engine stopped", func() bool {
-		return running(t, f.engines[0])+running(t, f.engines[1]) == 0
+		return runningCount(t, f.engineURLs[0])+runningCount(t, f.engineURLs[1]) == 0
 	})
 	eventually(t, "the work is charged", func() bool {
-		return charged(status(t, f.all[3]), "redaccion-figstile", "laredo") > 0
+		return chargedCost(status(t, f.routerList[3]), "redaccion-figstile", "laredo") > 0
 	})
 }
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -53,11 +53,11 @@
 	platform    *process
 	platformURL string
 	routers     map[string]*router
-	seed        string
+	seedAddress string
 	root        config.Root
-	record      *recording
-	// secrets are added to the environment of the next routers.
-	secrets []string
+	recording   *recording
+	// extraEnv are added to the environment of the next routers.
+	extraEnv []string
 	// links are the data centres' ways to the platform.
 	links map[string]*forwarder
 }
@@ -65,20 +65,20 @@
 // router is a figstiled process with its addresses.
 type router struct {
 	*process
-	fleet   *fleet
-	callers string
-	admin   string
-	peers   string
+	fleet         *fleet
+	callerAddress string
+	adminAddress  string
+	peerAddress   string
 }
 
 func newFleet(t *testing.T) *fleet {
-	f := &fleet{t: t, routers: make(map[string]*router), record: newRecording(t), links: make(map[string]*forwarder)}
-	f.platform, f.platformURL = f.standIn("platform", "platform", nil)
+	f := &fleet{t: t, routers: make(map[string]*router), recording: newRecording(t), links: make(map[string]*forwarder)}
+	f.platform, f.platformURL = f.startStandIn("platform", "platform", nil)
 	f.root.OperatorTokens = []string{config.DigestOf(operatorToken).String()}
 	return f
 }
 
-func (f *fleet) standIn(name, role string, options any) (*process, string) {
+func (f *fleet) startStandIn(name, role string, options any) (*process, string) {
 	encoded, err := json.Marshal(options)
 	require.NoError(f.t, err)
 	self, err := os.Executable()
@@ -86,15 +86,15 @@
 	cmd := exec.Command(self)
 	cmd.Env = append(os.Environ(), roleVariable+"="+role, optionsVariable+"="+string(encoded))
 	p := start(f.t, name, cmd)
-	return p, p.find(f.t, "listening")
+	return p, p.awaitValue(f.t, "listening")
 }
 
-// service adds a service to the settings; configure writes them.
-func (f *fleet) service(s config.Service) { f.root.Services = append(f.root.Services, s) }
+// addService adds a service to the settings; configure writes them.
+func (f *fleet) addService(s config.Service) { f.root.Services = append(f.root.Services, s) }
 
-// team adds a team with one workspace per name; a caller's token is the
+// addTeam adds a team with one workspace per name; a caller's token is the
 // workspace's name followed by "-token".
-func (f *fleet) team(name string, share float64, workspaces ...string) {
+func (f *fleet) addTeam(name string, share float64, workspaces ...string) {
 	f.root.Teams = append(f.root.Teams, config.TeamShare{
 		Name:   state.Team(name),
 		Share:  share,
@@ -108,14 +108,14 @@
 			Tokens: []string{config.DigestOf(ws + "-token").String()},
 		})
 	}
-	f.put(config.TeamKey(state.Team(name)), subtree)
+	f.putObject(config.TeamKey(state.Team(name)), subtree)
 }
 
-// configure writes the root straight to the platform, as the first one must
+// writeRoot writes the root straight to the platform, as the first one must
 // be: no router serves operators before there is an operator's token.
-func (f *fleet) configure() { f.put("config/root", f.root) }
+func (f *fleet) writeRoot() { f.putObject("config/root", f.root) }
 
-func (f *fleet) put(key string, value any) {
+func (f *fleet) putObject(key string, value any) {
 	body, err := json.Marshal(value)
 	require.NoError(f.t, err)
 	_, err = objectstore.NewClient(objectstore.ClientOptions{BaseURL: f.platformURL}).Put(f.t.Context(), key, body, 0)
@@ -129,33 +129,33 @@
 	}
 	args := []string{
 		"--router", name, "--data-centre", dc, "--platform", f.links[dc].url(),
-		"--trace-dir", f.record.dir,
+		"--trace-dir", f.recording.dir,
 		"--listen", "127.0.0.1:0", "--admin-listen", "127.0.0.1:0", "--peer-listen", "127.0.0.1:0",
 	}
-	if f.seed != "" {
-		args = append(args, "--peers", f.seed)
+	if f.seedAddress != "" {
+		args = append(args, "--peers", f.seedAddress)
 	}
 	cmd := exec.Command(daemonBinary, append(args, extra...)...)
 	cmd.Env = append(os.Environ(), "FIGSTILE_FLEET_TOKEN=fleet-token", "FIGSTILE_PEERS=")
-	cmd.Env = append(cmd.Env, f.secrets...)
+	cmd.Env = append(cmd.Env, f.extraEnv...)
 	p := start(f.t, name, cmd)
 	r := &router{
-		process: p,
-		fleet:   f,
-		callers: p.find(f.t, "callers"),
-		admin:   p.find(f.t, "admin"),
-		peers:   p.find(f.t, "peers"),
+		process:       p,
+		fleet:         f,
+		callerAddress: p.awaitValue(f.t, "callers"),
+		adminAddress:  p.awaitValue(f.t, "admin"),
+		peerAddress:   p.awaitValue(f.t, "peers"),
 	}
-	if f.seed == "" {
-		f.seed = r.peers
+	if f.seedAddress == "" {
+		f.seedAddress = r.peerAddress
 	}
 	f.routers[name] = r
 	return r
 }
 
-// cli runs figstile against a router and returns its output and exit code.
-func (f *fleet) cli(r *router, token string, args ...string) (string, int) {
-	cmd := exec.Command(cliBinary, append(args, "--server", "http://"+r.admin)...)
+// runCLI runs figstile against a router and returns its output and exit code.
+func (f *fleet) runCLI(r *router, token string, args ...string) (string, int) {
+	cmd := exec.Command(cliBinary, append(args, "--server", "http://"+r.adminAddress)...)
 	cmd.Env = append(os.Environ(), "FIGSTILE_TOKEN="+token)
 	out, err := cmd.CombinedOutput()
 	if err == nil {
@@ -187,7 +187,7 @@
 
 // tryCall is call for goroutines and for routers that may be gone.
 func tryCall(ctx context.Context, r *router, workspace, path, body string, header ...string) (answer, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.callers+path, struct{ io.Reader }{strings.NewReader(body)})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.callerAddress+path, struct{ io.Reader }{strings.NewReader(body)})
 	if err != nil {
 		return answer{}, err
 	}
@@ -206,20 +206,20 @@
 	got := answer{status: resp.StatusCode, header: resp.Header}
 	raw, err := io.ReadAll(resp.Body)
 	got.body, got.err = string(raw), err
-	got.ran = first(resp.Header.Get("Figstile-Ran"), resp.Trailer.Get("Figstile-Ran"))
-	got.code, _ = strconv.Atoi(first(resp.Header.Get("Figstile-Result"), resp.Trailer.Get("Figstile-Result")))
-	r.fleet.record.caller(r, workspace, path, body, sent, req.Header.Get("Idempotency-Key"), got)
+	got.ran = firstNonEmpty(resp.Header.Get("Figstile-Ran"), resp.Trailer.Get("Figstile-Ran"))
+	got.code, _ = strconv.Atoi(firstNonEmpty(resp.Header.Get("Figstile-Result"), resp.Trailer.Get("Figstile-Result")))
+	r.fleet.recording.recordCaller(r, workspace, path, body, sent, req.Header.Get("Idempotency-Key"), got)
 	return got, nil
 }
 
-func first(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-func do(t *testing.T, req *http.Request) (int, string) {
+func doRequest(t *testing.T, req *http.Request) (int, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
@@ -244,7 +244,7 @@
 	for i := 0; i+1 < len(header); i += 2 {
 		req.Header.Set(header[i], header[i+1])
 	}
-	status, body := do(t, req)
+	status, body := doRequest(t, req)
 	require.Equal(t, http.StatusOK, status, body)
 	require.NoError(t, json.Unmarshal([]byte(body), into), body)
 }
@@ -254,13 +254,13 @@
 const waitTimeout = 30 * time.Second
 
 // eventually waits for a condition.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	gaveUp := time.After(waitTimeout)
+	timeout := time.After(waitTimeout)
 	for !holds() {
 		select {
-		case <-gaveUp:
-			t.Fatalf("gave up waiting until %s", what)
+		case <-timeout:
+			t.Fatalf("gave up waiting until %s", condition)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
--- a/e2e/orders_test.go
+++ b/e2e/orders_test.go
@@ -23,48 +23,48 @@
 	"github.com/stretchr/testify/require"
 )
 
-// want has an operator change what the first engine shall hold.
-func (f *fleet) want(r *router, models ...state.Model) {
+// setWantedModels has an operator change what the first engine shall hold.
+func (f *fleet) setWantedModels(r *router, models ...state.Model) {
 	f.t.Helper()
 	f.root.Services[0].Upstreams[0].WantedModels = models
 	file := writeJSON(f.t, f.root)
-	out, code := f.cli(r, operatorToken, "config", "apply", "root", file, "--force")
+	out, code := f.runCLI(r, operatorToken, "config", "apply", "root", file, "--force")
 	require.Zero(f.t, code, out)
 }
 
-// awaitHeld waits until an engine holds exactly these models, in this order.
-func awaitHeld(t *testing.T, baseURL string, models ...state.Model) {
+// awaitModels waits until an engine holds exactly these models, in this order.
+func awaitModels(t *testing.T, baseURL string, models ...state.Model) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("the engine holds %v", models), func() bool {
-		return fmt.Sprint(received(t, baseURL).Models) == fmt.Sprint(models)
+		return fmt.Sprint(receivedOrders(t, baseURL).Models) == fmt.Sprint(models)
 	})
 }
 
-func received(t *testing.T, baseURL string) engine.OrdersAnswer {
+func receivedOrders(t *testing.T, baseURL string) engine.OrdersAnswer {
 	t.Helper()
 	var answer engine.OrdersAnswer
 	getJSON(t, baseURL+"/orders", &answer)
 	return answer
 }
 
-// loaded lists the models of the applied loads, and refused those of others;
+// loadOrders lists the models of the applied loads, and refused those of others;
 // an order of another kind fails the test.
-func loaded(t *testing.T, baseURL string) (applied, refused []state.Model) {
+func loadOrders(t *testing.T, baseURL string) (applied, rejected []state.Model) {
 	t.Helper()
-	for _, o := range received(t, baseURL).Orders {
+	for _, o := range receivedOrders(t, baseURL).Orders {
 		require.Equal(t, engine.LoadModel, o.Action, "%+v", o)
 		if o.Applied {
 			applied = append(applied, o.Model)
 		} else {
-			refused = append(refused, o.Model)
+			rejected = append(rejected, o.Model)
 		}
 	}
-	return applied, refused
+	return applied, rejected
 }
 
-// lease reads an upstream's lease object past the routers; the zero value if
+// readLease reads an upstream's lease object past the routers; the zero value if
 // there is none.
-func (f *fleet) lease(upstream state.Upstream) (fencing.Lease, objectstore.Version) {
+func (f *fleet) readLease(upstream state.Upstream) (fencing.Lease, objectstore.Version) {
 	f.t.Helper()
 	client := objectstore.NewClient(objectstore.ClientOptions{BaseURL: f.platformURL})
 	object, err := client.Get(f.t.Context(), orders.LeaseKey(upstream))
@@ -77,11 +77,11 @@
 	return lease, object.Version
 }
 
-// awaitReleased waits until a lease was taken and given back.
-func (f *fleet) awaitReleased(upstream state.Upstream) {
+// awaitLeaseReleased waits until a lease was taken and given back.
+func (f *fleet) awaitLeaseReleased(upstream state.Upstream) {
 	f.t.Helper()
 	eventually(f.t, "the lease is released", func() bool {
-		lease, version := f.lease(upstream)
+		lease, version := f.readLease(upstream)
 		return version > 0 && lease.Holder == ""
 	})
 }
@@ -92,21 +92,21 @@
 // on. With the platform back the model is loaded again.
 func TestOperatorChangesWantedModels(t *testing.T) {
 	f := startStandardFleet(t)
-	f.want(f.all[2], "guide:v1")
-	awaitHeld(t, f.engines[0], "guide:v1")
-	f.awaitReleased("engine-1")
-
-	send(t, http.MethodPost, f.platformURL+"/v1/faults", platform.Faults{Outage: platform.Refuse})
-	crash(f.engines[0])
-	eventually(t, "the owner has missed the platform", func() bool { return f.logged("lease-store-away") })
-	for _, got := range f.guides(24) {
+	f.setWantedModels(f.routerList[2], "guide:v1")
+	awaitModels(t, f.engineURLs[0], "guide:v1")
+	f.awaitLeaseReleased("engine-1")
+
+	send(t, http.MethodPost, f.platformURL+"/v1/faults", platform.Faults{Outage: platform.OutageRefuse})
+	crash(f.engineURLs[0])
+	eventually(t, "the owner has missed the platform", func() bool { return f.anyLogged("lease-store-away") })
+	for _, got := range f.sendDrafts(24) {
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
-	require.Len(t, received(t, f.engines[0]).Orders, 1, "no order without a lease")
+	require.Len(t, receivedOrders(t, f.engineURLs[0]).Orders, 1, "no order without a lease")
 	send(t, http.MethodPost, f.platformURL+"/v1/faults", platform.Faults{})
-	awaitHeld(t, f.engines[0], "guide:v1")
-	eventually(t, "the owner has found the platform", func() bool { return f.logged("lease-store-back") })
-	require.Empty(t, received(t, f.engines[1]).Orders, "an engine without a wish is left as it is")
+	awaitModels(t, f.engineURLs[0], "guide:v1")
+	eventually(t, "the owner has found the platform", func() bool { return f.anyLogged("lease-store-back") })
+	require.Empty(t, receivedOrders(t, f.engineURLs[1]).Orders, "an engine without a wish is left as it is")
 }
 
 // The engine's owner is stopped as a VM is replaced. Its successor must bring
@@ -114,18 +114,18 @@
 // behind that would hold the successor up.
 func TestOwnerOfOrdersStops(t *testing.T) {
 	f := startStandardFleet(t)
-	f.want(f.all[2], "guide:v1")
-	awaitHeld(t, f.engines[0], "guide:v1")
-	owner := f.owner("engine-1")
+	f.setWantedModels(f.routerList[2], "guide:v1")
+	awaitModels(t, f.engineURLs[0], "guide:v1")
+	owner := f.awaitOwner("engine-1")
 	owner.terminate()
 	<-owner.done
-	lease, _ := f.lease("engine-1")
+	lease, _ := f.readLease("engine-1")
 	require.Empty(t, lease.Holder)
-	f.want(f.all[2], "guide:v1", "guide:v2")
-	awaitHeld(t, f.engines[0], "guide:v1", "guide:v2")
+	f.setWantedModels(f.routerList[2], "guide:v1", "guide:v2")
+	awaitModels(t, f.engineURLs[0], "guide:v1", "guide:v2")
 }
 
-func (f *fleet) logged(event string) bool {
+func (f *fleet) anyLogged(event string) bool {
 	for _, r := range f.routers {
 		if strings.Contains(r.lines.text(), "event="+event) {
 			return true
@@ -134,8 +134,8 @@
 	return false
 }
 
-// owner waits until a router that answers owns an upstream.
-func (f *fleet) owner(upstream state.Upstream) *router {
+// awaitOwner waits until a router that answers owns an upstream.
+func (f *fleet) awaitOwner(upstream state.Upstream) *router {
 	f.t.Helper()
 	var owner *router
 	eventually(f.t, "the upstream has an owner", func() bool {
@@ -156,21 +156,21 @@
 type holdingListener struct {
 	net.Listener
 
-	mu    sync.Mutex
-	holds bool
-	held  []*heldConn
+	mu        sync.Mutex
+	holding   bool
+	heldConns []*heldConn
 }
 
 // heldConn reads nothing until it is let go.
 type heldConn struct {
 	net.Conn
-	once sync.Once
-	free chan struct{}
+	once     sync.Once
+	released chan struct{}
 }
 
 // Read waits until the connection is let go.
 func (c *heldConn) Read(p []byte) (int, error) {
-	<-c.free
+	<-c.released
 	return c.Conn.Read(p)
 }
 
@@ -182,29 +182,29 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.holds {
+	if !l.holding {
 		return conn, nil
 	}
-	c := &heldConn{Conn: conn, free: make(chan struct{})}
-	l.held = append(l.held, c)
+	c := &heldConn{Conn: conn, released: make(chan struct{})}
+	l.heldConns = append(l.heldConns, c)
 	return c, nil
 }
 
-func (l *holdingListener) hold(holds bool) {
+func (l *holdingListener) setHolding(holding bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.holds = holds
+	l.holding = holding
 }
 
 func (l *holdingListener) connections() []*heldConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]*heldConn(nil), l.held...)
+	return append([]*heldConn(nil), l.heldConns...)
 }
 
-func letGo(conns []*heldConn) {
+func releaseConns(conns []*heldConn) {
 	for _, c := range conns {
-		c.once.Do(func() { close(c.free) })
+		c.once.Do(func() { close(c.released) })
 	}
 }
 
@@ -212,22 +212,22 @@
 // reached over TLS through a listener that can hold connections up.
 type orderFleet struct {
 	*fleet
-	engine string
-	gate   *holdingListener
+	engineURL string
+	listener  *holdingListener
 }
 
-func startOrderFleet(t *testing.T, ignores bool) *orderFleet {
+func startOrderFleet(t *testing.T, ignoresFencing bool) *orderFleet {
 	f := &orderFleet{fleet: newFleet(t)}
-	_, f.engine = f.standIn("engine-1", "engine", engineOptions{Name: "engine-1", Slots: 4, Ignore: ignores})
-	f.service(config.Service{
+	_, f.engineURL = f.startStandIn("engine-1", "engine", engineOptions{Name: "engine-1", Slots: 4, Ignore: ignoresFencing})
+	f.addService(config.Service{
 		Name: "redaccion-figstile", Kind: config.KindEngine, Repeatable: true,
 		Models: []state.Model{"guide:v1", "guide:v2", "guide:v3", "guide:v4"},
 		Upstreams: []config.Upstream{{
-			Name: "engine-1", URL: f.openGate(), DataCentre: "sala-laredo", ChecksFencing: !ignores,
+			Name: "engine-1", URL: f.serveEngineOverTLS(), DataCentre: "sala-laredo", ChecksFencing: !ignoresFencing,
 		}},
 	})
-	f.team("costa", 1, "laredo")
-	f.configure()
+	f.addTeam("costa", 1, "laredo")
+	f.writeRoot()
 	f.startRouter("router-1", "sala-laredo")
 	f.startRouter("router-2", "sala-laredo")
 	for _, r := range f.routers {
@@ -236,39 +236,39 @@
 	return f
 }
 
-// openGate serves the engine over TLS and has the routers trust it.
-func (f *orderFleet) openGate() string {
+// serveEngineOverTLS serves the engine over TLS and has the routers trust it.
+func (f *orderFleet) serveEngineOverTLS() string {
 	a := newAuthority(f.t)
 	certPEM, keyPEM := a.issue(f.t, "engine-1")
 	pair, err := tls.X509KeyPair([]byte(certPEM), []byte(keyPEM))
 	require.NoError(f.t, err)
 	trusted := filepath.Join(f.t.TempDir(), "trusted.pem")
 	require.NoError(f.t, os.WriteFile(trusted, []byte(a.pem), 0o600))
-	f.secrets = append(f.secrets, "SSL_CERT_FILE="+trusted)
+	f.extraEnv = append(f.extraEnv, "SSL_CERT_FILE="+trusted)
 
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(f.t, err)
-	f.gate = &holdingListener{Listener: plain}
-	secured := tls.NewListener(f.gate, &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12})
-	way := &forwarder{
+	f.listener = &holdingListener{Listener: plain}
+	secured := tls.NewListener(f.listener, &tls.Config{Certificates: []tls.Certificate{pair}, MinVersion: tls.VersionTLS12})
+	proxy := &forwarder{
 		Listener: secured,
-		target:   strings.TrimPrefix(f.engine, "http://"),
-		open:     make(map[net.Conn]struct{}),
+		target:   strings.TrimPrefix(f.engineURL, "http://"),
+		conns:    make(map[net.Conn]struct{}),
 	}
-	go forwardSecured(way)
+	go forwardTLS(proxy)
 	f.t.Cleanup(func() {
-		way.Close()
-		letGo(f.gate.connections())
-		way.cut()
+		proxy.Close()
+		releaseConns(f.listener.connections())
+		proxy.cut()
 	})
 	return "https://" + plain.Addr().String()
 }
 
-// forwardSecured goes to the engine only once a connection stands, as the
+// forwardTLS goes to the engine only once a connection stands, as the
 // engine cuts one that says nothing for long.
-func forwardSecured(way *forwarder) {
+func forwardTLS(proxy *forwarder) {
 	for {
-		conn, err := way.Accept()
+		conn, err := proxy.Accept()
 		if err != nil {
 			return
 		}
@@ -277,12 +277,12 @@
 				conn.Close()
 				return
 			}
-			way.forward(conn)
+			proxy.forward(conn)
 		}()
 	}
 }
 
-func (f *orderFleet) other(r *router) *router {
+func (f *orderFleet) otherRouter(r *router) *router {
 	for _, candidate := range f.routers {
 		if candidate != r {
 			return candidate
@@ -297,18 +297,18 @@
 // are polls of the load and are let go, as no order is given without a report.
 func (f *orderFleet) awaitHeldOrder(holder *router) {
 	f.t.Helper()
-	var taken objectstore.Version
+	var leaseVersion objectstore.Version
 	eventually(f.t, "an order is held up", func() bool {
-		polls := f.gate.connections()
-		lease, version := f.lease("engine-1")
+		polls := f.listener.connections()
+		lease, version := f.readLease("engine-1")
 		if lease.Holder != state.Router(holder.name) {
-			letGo(polls)
+			releaseConns(polls)
 			return false
 		}
-		if taken == 0 {
-			taken = version
+		if leaseVersion == 0 {
+			leaseVersion = version
 		}
-		return version > taken
+		return version > leaseVersion
 	})
 }
 
@@ -318,21 +318,21 @@
 	f.t.Helper()
 	eventually(f.t, successor.name+" owns the engine", func() bool { return len(status(f.t, successor).Owned) == 1 })
 	eventually(f.t, "another router has had the lease", func() bool {
-		lease, _ := f.lease("engine-1")
+		lease, _ := f.readLease("engine-1")
 		return lease.Number > number
 	})
 }
 
-// outcomes lists what became of a router's orders, by its own log.
-func (r *router) outcomes() []string {
+// orderOutcomes lists what became of a router's orders, by its own log.
+func (r *router) orderOutcomes() []string {
 	var found []string
-	for _, match := range orderOutcome.FindAllStringSubmatch(r.lines.text(), -1) {
+	for _, match := range orderOutcomePattern.FindAllStringSubmatch(r.lines.text(), -1) {
 		found = append(found, match[1])
 	}
 	return found
 }
 
-var orderOutcome = regexp.MustCompile(`event=order .*outcome=(\w+)`)
+var orderOutcomePattern = regexp.MustCompile(`event=order .*outcome=(\w+)`)
 
 // An operator wants "guide:v2" on an engine. The owner takes the lease and is
 // frozen while the order's connection is still being made. The operator thinks
@@ -340,7 +340,7 @@
 // of the lease and has it loaded. The frozen owner resumes with its order in
 // hand, its lease and its settings out of date. If the order were applied the
 // engine would load what nobody wants any more.
-func TestFrozenOwnerGivesNoStaleOrder(t *testing.T) {
+func TestFrozenOwnerAppliesNoStaleOrder(t *testing.T) {
 	for name, c := range map[string]struct {
 		ignores bool
 		outcome string
@@ -352,33 +352,33 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := startOrderFleet(t, c.ignores)
-			owner := f.owner("engine-1")
-			other := f.other(owner)
-			f.want(other, "guide:v1")
-			awaitHeld(t, f.engine, "guide:v1")
-			f.awaitReleased("engine-1")
-
-			f.gate.hold(true)
-			f.want(other, "guide:v1", "guide:v2")
+			owner := f.awaitOwner("engine-1")
+			other := f.otherRouter(owner)
+			f.setWantedModels(other, "guide:v1")
+			awaitModels(t, f.engineURL, "guide:v1")
+			f.awaitLeaseReleased("engine-1")
+
+			f.listener.setHolding(true)
+			f.setWantedModels(other, "guide:v1", "guide:v2")
 			f.awaitHeldOrder(owner)
 			owner.freeze()
-			f.gate.hold(false)
-			held, _ := f.lease("engine-1")
-			f.want(other, "guide:v1", "guide:v3")
-			f.awaitTakeover(other, held.Number)
-			awaitHeld(t, f.engine, "guide:v1", "guide:v3")
-			f.awaitReleased("engine-1")
-
-			letGo(f.gate.connections())
+			f.listener.setHolding(false)
+			heldLease, _ := f.readLease("engine-1")
+			f.setWantedModels(other, "guide:v1", "guide:v3")
+			f.awaitTakeover(other, heldLease.Number)
+			awaitModels(t, f.engineURL, "guide:v1", "guide:v3")
+			f.awaitLeaseReleased("engine-1")
+
+			releaseConns(f.listener.connections())
 			owner.thaw()
-			eventually(t, "the held-up order has ended", func() bool { return len(owner.outcomes()) == 2 })
-			f.want(other, "guide:v1", "guide:v3", "guide:v4")
-			awaitHeld(t, f.engine, "guide:v1", "guide:v3", "guide:v4")
+			eventually(t, "the held-up order has ended", func() bool { return len(owner.orderOutcomes()) == 2 })
+			f.setWantedModels(other, "guide:v1", "guide:v3", "guide:v4")
+			awaitModels(t, f.engineURL, "guide:v1", "guide:v3", "guide:v4")
 
-			applied, refused := loaded(t, f.engine)
+			applied, refused := loadOrders(t, f.engineURL)
 			require.Equal(t, []state.Model{"guide:v1", "guide:v3", "guide:v4"}, applied)
 			require.Equal(t, c.refused, refused)
-			require.Equal(t, c.outcome, owner.outcomes()[1])
+			require.Equal(t, c.outcome, owner.orderOutcomes()[1])
 		})
 	}
 }
--- a/e2e/partition_test.go
+++ b/e2e/partition_test.go
@@ -21,24 +21,24 @@
 	f := startStandardFleet(t)
 	f.links["sala-laredo"].cut()
 
-	before := status(t, f.all[0]).Versions["config/root"]
-	out, code := f.cli(f.all[2], operatorToken, "team", "set-share", "valle", "5")
+	before := status(t, f.routerList[0]).Versions["config/root"]
+	out, code := f.runCLI(f.routerList[2], operatorToken, "team", "set-share", "valle", "5")
 	require.Zero(t, code, out)
-	for _, r := range f.all {
+	for _, r := range f.routerList {
 		eventually(t, r.name+" has the new share", func() bool {
 			return status(t, r).Versions["config/root"] > before
 		})
 	}
-	out, code = f.cli(f.all[0], operatorToken, "team", "set-share", "valle", "6")
+	out, code = f.runCLI(f.routerList[0], operatorToken, "team", "set-share", "valle", "6")
 	require.Equal(t, 5, code, "the platform is away for this router: %s", out)
 
-	key := issueKey(t, f.all[0], "laredo")
-	got := call(t, f.all[0], "laredo", "/kiosco-web/book", `{"busy_ms":1,"seat":1}`, "Idempotency-Key", key)
+	key := issueKey(t, f.routerList[0], "laredo")
+	got := call(t, f.routerList[0], "laredo", "/kiosco-web/book", `{"busy_ms":1,"seat":1}`, "Idempotency-Key", key)
 	require.Equal(t, http.StatusOK, got.status, got.body)
 
 	f.links["sala-laredo"].heal()
 	eventually(t, "the cut-off router writes again", func() bool {
-		_, code := f.cli(f.all[0], operatorToken, "team", "set-share", "valle", "6")
+		_, code := f.runCLI(f.routerList[0], operatorToken, "team", "set-share", "valle", "6")
 		return code == 0
 	})
 }
@@ -54,10 +54,10 @@
 		key := fmt.Sprintf("lost-%d", i)
 		body := fmt.Sprintf(`{"busy_ms":1,"seat":%d}`, i)
 		var codes []int
-		for _, r := range f.all {
+		for _, r := range f.routerList {
 			codes = append(codes, call(t, r, "laredo", "/kiosco-web/book", body, "Idempotency-Key", key).code)
 		}
-		require.Equal(t, 1, startedWithKey(t, f.worker, key), "codes %v", codes)
+		require.Equal(t, 1, startedWithKey(t, f.workerURL, key), "codes %v", codes)
 		require.Contains(t, codes, int(result.OK))
 	}
 }
@@ -67,17 +67,17 @@
 func TestStalePlatformReads(t *testing.T) {
 	f := startStandardFleet(t)
 	send(t, http.MethodPost, f.platformURL+"/v1/faults", platform.Faults{StaleReads: true})
-	stale := status(t, f.all[0]).Versions["config/root"]
-	out, code := f.cli(f.all[0], operatorToken, "team", "set-share", "valle", "7")
+	staleVersion := status(t, f.routerList[0]).Versions["config/root"]
+	out, code := f.runCLI(f.routerList[0], operatorToken, "team", "set-share", "valle", "7")
 	require.Contains(t, []int{0, 6}, code, out)
 	eventually(t, "the writer has the new share", func() bool {
-		return status(t, f.all[0]).Versions["config/root"] > stale
+		return status(t, f.routerList[0]).Versions["config/root"] > staleVersion
 	})
 	f.links["sala-laredo"].cut()
 	f.links["sala-laredo"].heal()
-	for _, r := range f.all {
+	for _, r := range f.routerList {
 		eventually(t, r.name+" has the new share", func() bool {
-			return status(t, r).Versions["config/root"] > stale
+			return status(t, r).Versions["config/root"] > staleVersion
 		})
 	}
 }
@@ -85,22 +85,22 @@
 // One workspace sends as much as it can, more than its queue holds. The little
 // that another asks for must not wait behind it, and what is too much for the
 // queue is refused at once with a time to come back.
-func TestFloodStarvesNobody(t *testing.T) {
+func TestFloodStarvesNoWorkspace(t *testing.T) {
 	f := startStandardFleet(t)
-	var flood flight
+	var flood requestGroup
 	for i := range 1200 {
-		flood.send(t.Context(), f.all[i%4], "laredo", drafts, guide(i, 10))
+		flood.send(t.Context(), f.routerList[i%4], "laredo", draftPath, draftBody(i, 10))
 	}
-	eventually(t, "the flood is queued", func() bool { return status(t, f.all[0]).Waiting > 100 })
+	eventually(t, "the flood is queued", func() bool { return status(t, f.routerList[0]).Waiting > 100 })
 	for i := range 10 {
-		got := call(t, f.all[0], "ramales", drafts, guide(10_000+i, 10))
+		got := call(t, f.routerList[0], "ramales", draftPath, draftBody(10_000+i, 10))
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
-	flooding := status(t, f.all[0]).Waiting
-	require.Positive(t, flooding, "ten small requests were served while the flood still waited")
+	stillWaiting := status(t, f.routerList[0]).Waiting
+	require.Positive(t, stillWaiting, "ten small requests were served while the flood still waited")
 
 	var codes []int
-	for _, got := range flood.land() {
+	for _, got := range flood.wait() {
 		codes = append(codes, got.code)
 		if got.code == int(result.QueueFull) {
 			require.Equal(t, "no", got.ran)
@@ -116,8 +116,8 @@
 // and, as guides are repeatable, tries once more elsewhere.
 func TestCrossedAnswers(t *testing.T) {
 	f := startStandardFleet(t)
-	setFaults(t, f.engines[0], upstream.Faults{Cross: 4})
-	for _, got := range f.guides(24) {
+	setFaults(t, f.engineURLs[0], upstream.Faults{CrossAnswers: 4})
+	for _, got := range f.sendDrafts(24) {
 		require.NoError(t, got.err)
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
@@ -127,11 +127,11 @@
 // broken connection, not an answer that seems to end.
 func TestTruncatedAnswers(t *testing.T) {
 	f := startStandardFleet(t)
-	for _, url := range f.engines {
-		setFaults(t, url, upstream.Faults{Truncate: 2})
+	for _, url := range f.engineURLs {
+		setFaults(t, url, upstream.Faults{TruncateAnswers: 2})
 	}
 	broken := 0
-	for _, got := range f.guides(24) {
+	for _, got := range f.sendDrafts(24) {
 		if got.err != nil {
 			broken++
 			require.NotContains(t, got.body, "[DONE]")
@@ -140,27 +140,27 @@
 	require.Equal(t, 4, broken)
 }
 
-// guides sends short drafts through all routers and waits for the answers.
-func (f *standardFleet) guides(count int) []answer {
-	var sent flight
+// sendDrafts sends short drafts through all routers and waits for the answers.
+func (f *standardFleet) sendDrafts(count int) []answer {
+	var sent requestGroup
 	for i := range count {
-		sent.send(f.t.Context(), f.all[i%len(f.all)], "laredo", drafts, guide(i, 10))
+		sent.send(f.t.Context(), f.routerList[i%len(f.routerList)], "laredo", draftPath, draftBody(i, 10))
 	}
-	return sent.land()
+	return sent.wait()
 }
 
 // Every slot is busy and one router has all the work. The upstreams that other
 // routers own must not idle: grants travel to where the work waits.
-func TestOneRouterHasAllTheWork(t *testing.T) {
+func TestOneRouterUsesAllUpstreams(t *testing.T) {
 	f := startStandardFleet(t)
-	var guides flight
+	var drafts requestGroup
 	for i := range 40 {
-		guides.send(t.Context(), f.all[3], "laredo", drafts, guide(i, 400))
+		drafts.send(t.Context(), f.routerList[3], "laredo", draftPath, draftBody(i, 400))
 	}
 	eventually(t, "all slots of both engines are busy", func() bool {
-		return running(t, f.engines[0]) == 4 && running(t, f.engines[1]) == 4
+		return runningCount(t, f.engineURLs[0]) == 4 && runningCount(t, f.engineURLs[1]) == 4
 	})
-	for _, got := range guides.land() {
+	for _, got := range drafts.wait() {
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
 }
@@ -169,17 +169,17 @@
 // workspaces. Without a bound on the whole it would be killed for want of
 // memory and everybody would lose their answers; it must refuse what is too
 // much, at once and truthfully, and serve what it took.
-func TestRouterHoldsNoMoreThanItsLimit(t *testing.T) {
+func TestRouterRefusesBeyondItsQueueLimit(t *testing.T) {
 	const limit = 20
 	f := startStandardFleet(t)
 	small := f.startRouter("router-5", "sala-laredo", "--max-queued", strconv.Itoa(limit))
 	f.awaitReady(small)
-	var flood flight
+	var flood requestGroup
 	for i := range 300 {
-		flood.send(t.Context(), small, []string{"laredo", "castro", "ramales"}[i%3], drafts, guide(i, 50))
+		flood.send(t.Context(), small, []string{"laredo", "castro", "ramales"}[i%3], draftPath, draftBody(i, 50))
 	}
 	served, refused := 0, 0
-	for _, got := range flood.land() {
+	for _, got := range flood.wait() {
 		if got.code == int(result.OK) {
 			served++
 			continue
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -21,53 +21,53 @@
 // centre, one worker and one platform.
 type standardFleet struct {
 	*fleet
-	engines [2]string
-	worker  string
-	all     []*router
+	engineURLs [2]string
+	workerURL  string
+	routerList []*router
 }
 
 func startStandardFleet(t *testing.T) *standardFleet {
 	f := &standardFleet{fleet: newFleet(t)}
-	_, f.engines[0] = f.standIn("engine-1", "engine", engineOptions{Name: "engine-1", Slots: 4, TokenMillis: 1})
-	_, f.engines[1] = f.standIn("engine-2", "engine", engineOptions{Name: "engine-2", Slots: 4, TokenMillis: 1})
-	_, f.worker = f.standIn("worker-1", "worker", workerOptions{Name: "worker-1", Slots: 2})
-	f.service(config.Service{
+	_, f.engineURLs[0] = f.startStandIn("engine-1", "engine", engineOptions{Name: "engine-1", Slots: 4, TokenMillis: 1})
+	_, f.engineURLs[1] = f.startStandIn("engine-2", "engine", engineOptions{Name: "engine-2", Slots: 4, TokenMillis: 1})
+	_, f.workerURL = f.startStandIn("worker-1", "worker", workerOptions{Name: "worker-1", Slots: 2})
+	f.addService(config.Service{
 		Name: "redaccion-figstile", Kind: config.KindEngine, Repeatable: true,
 		Upstreams: []config.Upstream{
-			{Name: "engine-1", URL: f.engines[0], DataCentre: "sala-laredo"},
-			{Name: "engine-2", URL: f.engines[1], DataCentre: "sala-castro"},
+			{Name: "engine-1", URL: f.engineURLs[0], DataCentre: "sala-laredo"},
+			{Name: "engine-2", URL: f.engineURLs[1], DataCentre: "sala-castro"},
 		},
 	})
-	f.service(config.Service{
+	f.addService(config.Service{
 		Name: "kiosco-web", Kind: config.KindWorker,
-		Upstreams: []config.Upstream{{Name: "worker-1", URL: f.worker, DataCentre: "sala-laredo"}},
+		Upstreams: []config.Upstream{{Name: "worker-1", URL: f.workerURL, DataCentre: "sala-laredo"}},
 	})
-	f.team("costa", 2, "laredo", "castro")
-	f.team("valle", 1, "ramales")
-	f.configure()
+	f.addTeam("costa", 2, "laredo", "castro")
+	f.addTeam("valle", 1, "ramales")
+	f.writeRoot()
 	for i, dc := range []string{"sala-laredo", "sala-laredo", "sala-castro", "sala-castro"} {
-		f.all = append(f.all, f.startRouter(fmt.Sprintf("router-%d", i+1), dc))
+		f.routerList = append(f.routerList, f.startRouter(fmt.Sprintf("router-%d", i+1), dc))
 	}
-	for _, r := range f.all {
+	for _, r := range f.routerList {
 		f.awaitReady(r)
 	}
-	t.Cleanup(func() { f.record.check(t, f) })
+	t.Cleanup(func() { f.recording.replayAndCheck(t, f) })
 	return f
 }
 
-// drafts is the path of the drafting engines.
-const drafts = "/redaccion-figstile/v1/chat/completions"
+// draftPath is the path of the drafting engines.
+const draftPath = "/redaccion-figstile/v1/chat/completions"
 
-// guide is the body of a draft of some tokens; the number makes it unlike any
+// draftBody is the body of a draft of some tokens; the number makes it unlike any
 // other.
-func guide(number, tokens int) string {
+func draftBody(number, tokens int) string {
 	return fmt.Sprintf(`{"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"guide %d"}]}`, tokens, number)
 }
 
 // awaitReady waits until a router has settings and sees the whole fleet.
 func (f *fleet) awaitReady(r *router) {
 	eventually(f.t, r.name+" is ready", func() bool {
-		resp, err := http.Get("http://" + r.admin + "/readyz")
+		resp, err := http.Get("http://" + r.adminAddress + "/readyz")
 		if err != nil {
 			return false
 		}
@@ -79,12 +79,12 @@
 func status(t *testing.T, r *router) daemon.Status {
 	t.Helper()
 	var s daemon.Status
-	getJSON(t, "http://"+r.admin+"/status", &s, "Authorization", "Bearer "+operatorToken)
+	getJSON(t, "http://"+r.adminAddress+"/status", &s, "Authorization", "Bearer "+operatorToken)
 	return s
 }
 
-// charged sums a workspace's cost over what a router knows of the fleet.
-func charged(s daemon.Status, service state.Service, ws state.Workspace) state.Cost {
+// chargedCost sums a workspace's cost over what a router knows of the fleet.
+func chargedCost(s daemon.Status, service state.Service, ws state.Workspace) state.Cost {
 	for _, svc := range s.Services {
 		if svc.Name != service {
 			continue
@@ -103,8 +103,8 @@
 func TestWholePath(t *testing.T) {
 	f := startStandardFleet(t)
 
-	for i, r := range f.all {
-		got := call(t, r, "laredo", drafts, guide(i, 6))
+	for i, r := range f.routerList {
+		got := call(t, r, "laredo", draftPath, draftBody(i, 6))
 		require.Equal(t, http.StatusOK, got.status, got.body)
 		require.NoError(t, got.err)
 		require.True(t, strings.HasSuffix(strings.TrimSpace(got.body), "data: [DONE]"), got.body)
@@ -112,26 +112,26 @@
 		require.Equal(t, int(result.OK), got.code)
 		require.Equal(t, "yes", got.ran)
 	}
-	served := len(ledger(t, f.engines[0])) + len(ledger(t, f.engines[1]))
-	require.Equal(t, len(f.all), served, "each request ran once")
+	served := len(ledger(t, f.engineURLs[0])) + len(ledger(t, f.engineURLs[1]))
+	require.Equal(t, len(f.routerList), served, "each request ran once")
 
-	got := call(t, f.all[2], "ramales", "/kiosco-web/pages/map", `{"busy_ms":1}`)
+	got := call(t, f.routerList[2], "ramales", "/kiosco-web/pages/map", `{"busy_ms":1}`)
 	require.Equal(t, http.StatusOK, got.status, got.body)
-	require.Len(t, ledger(t, f.worker), 1)
+	require.Len(t, ledger(t, f.workerURL), 1)
 
-	for _, r := range f.all {
+	for _, r := range f.routerList {
 		eventually(t, r.name+" knows the charges", func() bool {
 			s := status(t, r)
-			return charged(s, "redaccion-figstile", "laredo") >= 4*6*state.CostUnit &&
-				charged(s, "kiosco-web", "ramales") > 0
+			return chargedCost(s, "redaccion-figstile", "laredo") >= 4*6*state.CostUnit &&
+				chargedCost(s, "kiosco-web", "ramales") > 0
 		})
 	}
 
 	for _, name := range []string{"queue_wait", "first_token", "between_tokens", "request"} {
-		require.Regexp(t, `figstile_`+name+`_seconds_count\{class="[a-z]*",data_centre="sala-laredo",router="router-1",workspace="laredo"\} [1-9]`, scrape(t, f.all[0]))
+		require.Regexp(t, `figstile_`+name+`_seconds_count\{class="[a-z]*",data_centre="sala-laredo",router="router-1",workspace="laredo"\} [1-9]`, scrape(t, f.routerList[0]))
 	}
 
-	got = call(t, f.all[0], "nobody", drafts, `{}`)
+	got = call(t, f.routerList[0], "nobody", draftPath, `{}`)
 	require.Equal(t, http.StatusUnauthorized, got.status, got.body)
 	require.Equal(t, "no", got.ran)
 	require.Equal(t, int(result.Unauthorized), got.code)
@@ -143,9 +143,9 @@
 	t.Helper()
 	var page string
 	eventually(t, "metrics are reported", func() bool {
-		req, err := http.NewRequest(http.MethodGet, "http://"+r.admin+"/metrics", nil)
+		req, err := http.NewRequest(http.MethodGet, "http://"+r.adminAddress+"/metrics", nil)
 		require.NoError(t, err)
-		_, page = do(t, req)
+		_, page = doRequest(t, req)
 		return strings.Contains(page, "figstile_request_seconds_count")
 	})
 	return page
@@ -155,20 +155,20 @@
 // new version in force on all.
 func TestOperatorChangesShare(t *testing.T) {
 	f := startStandardFleet(t)
-	before := status(t, f.all[3]).Versions["config/root"]
-	out, code := f.cli(f.all[1], operatorToken, "team", "set-share", "valle", "2")
+	before := status(t, f.routerList[3]).Versions["config/root"]
+	out, code := f.runCLI(f.routerList[1], operatorToken, "team", "set-share", "valle", "2")
 	require.Zero(t, code, out)
-	for _, r := range f.all {
+	for _, r := range f.routerList {
 		eventually(t, r.name+" has the new share", func() bool {
 			return status(t, r).Versions["config/root"] > before
 		})
 	}
-	out, code = f.cli(f.all[0], operatorToken, "config", "get", "config/root", "--output", "json")
+	out, code = f.runCLI(f.routerList[0], operatorToken, "config", "get", "config/root", "--output", "json")
 	require.Zero(t, code, out)
 	require.True(t, json.Valid([]byte(out)), out)
 	require.Contains(t, out, strconv.Itoa(2))
 
-	out, code = f.cli(f.all[0], "valle-"+teamToken, "team", "set-share", "valle", "9")
+	out, code = f.runCLI(f.routerList[0], "valle-"+teamToken, "team", "set-share", "valle", "9")
 	require.NotZero(t, code, "a team must not widen its own share: %s", out)
 }
 
@@ -177,14 +177,14 @@
 // token counts no longer once there is an operator's of its own.
 func TestFirstSettings(t *testing.T) {
 	f := newFleet(t)
-	_, url := f.standIn("worker-1", "worker", workerOptions{Name: "worker-1", Slots: 2})
-	f.secrets = []string{"FIGSTILE_BOOTSTRAP_TOKEN=first-token"}
+	_, url := f.startStandIn("worker-1", "worker", workerOptions{Name: "worker-1", Slots: 2})
+	f.extraEnv = []string{"FIGSTILE_BOOTSTRAP_TOKEN=first-token"}
 	r := f.startRouter("router-1", "sala-laredo")
 	got := call(t, r, "laredo", "/kiosco-web/page", `{}`)
 	require.Equal(t, int(result.NotReady), got.code, got.body)
 
 	f.root.Teams = []config.TeamShare{{Name: "costa", Share: 1}}
-	f.service(config.Service{
+	f.addService(config.Service{
 		Name: "kiosco-web", Kind: config.KindWorker,
 		Upstreams: []config.Upstream{{Name: "worker-1", URL: url, DataCentre: "sala-laredo"}},
 	})
@@ -192,15 +192,15 @@
 		{Name: "laredo", Weight: 1, Tokens: []string{config.DigestOf("laredo-token").String()}},
 	}}
 	for key, value := range map[string]any{"root": f.root, "teams/costa": subtree} {
-		out, code := f.cli(r, "wrong-token", "config", "apply", key, writeJSON(t, value), "--create")
+		out, code := f.runCLI(r, "wrong-token", "config", "apply", key, writeJSON(t, value), "--create")
 		require.Equal(t, 5, code, "a router without settings cannot tell whose token it is: %s", out)
 	}
-	out, code := f.cli(r, "first-token", "config", "apply", "root", writeJSON(t, f.root), "--create")
+	out, code := f.runCLI(r, "first-token", "config", "apply", "root", writeJSON(t, f.root), "--create")
 	require.Zero(t, code, out)
-	out, code = f.cli(r, operatorToken, "config", "apply", "teams/costa", writeJSON(t, subtree), "--create")
+	out, code = f.runCLI(r, operatorToken, "config", "apply", "teams/costa", writeJSON(t, subtree), "--create")
 	require.Zero(t, code, out)
 	f.awaitReady(r)
-	out, code = f.cli(r, "first-token", "status")
+	out, code = f.runCLI(r, "first-token", "status")
 	require.Equal(t, 3, code, out)
 	got = call(t, r, "laredo", "/kiosco-web/page", `{"busy_ms":1}`)
 	require.Equal(t, http.StatusOK, got.status, got.body)
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -142,10 +142,10 @@
 // terminate asks for a graceful stop.
 func (p *process) terminate() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// find waits for a line with the key and returns its value.
-func (p *process) find(t *testing.T, key string) string {
+// awaitValue waits for a line with the key and returns its value.
+func (p *process) awaitValue(t *testing.T, key string) string {
 	t.Helper()
-	value, ok := p.lines.find(key + "=")
+	value, ok := p.lines.awaitValue(key + "=")
 	if !ok {
 		t.Fatalf("%s ended without printing %s=:\n%s", p.name, key, p.lines.text())
 	}
@@ -186,7 +186,7 @@
 	return b.buf.String()
 }
 
-func (b *lineBuffer) find(prefix string) (string, bool) {
+func (b *lineBuffer) awaitValue(prefix string) (string, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for {
--- a/e2e/record_test.go
+++ b/e2e/record_test.go
@@ -33,8 +33,8 @@
 
 func newRecording(t *testing.T) *recording {
 	dir := t.TempDir()
-	if kept := os.Getenv("FIGSTILE_TEST_KEEP"); kept != "" {
-		dir = filepath.Join(kept, t.Name())
+	if keepDir := os.Getenv("FIGSTILE_TEST_KEEP"); keepDir != "" {
+		dir = filepath.Join(keepDir, t.Name())
 		require.NoError(t, os.MkdirAll(dir, 0o755))
 	}
 	file, err := os.Create(filepath.Join(dir, "callers.jsonl"))
@@ -42,7 +42,7 @@
 	return &recording{dir: dir, file: file, callers: trace.NewRecorder(file, "", 0)}
 }
 
-func (rec *recording) caller(r *router, workspace, path, body string, sent time.Time, key string, got answer) {
+func (rec *recording) recordCaller(r *router, workspace, path, body string, sent time.Time, key string, got answer) {
 	service, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	rec.callers.Record(trace.CallerRecord{
 		Router:       state.Router(r.name),
@@ -52,14 +52,14 @@
 		Repeatable:   key == "" && service == "redaccion-figstile",
 		Sent:         sent,
 		Result:       result.Code(got.code),
-		Ran:          ranOf(got.ran),
+		Ran:          parseRan(got.ran),
 		BodyDigest:   upstream.Digest([]byte(body)),
 		AnswerDigest: answerDigest(service, got),
 		AnswerWhole:  got.err == nil && got.status == http.StatusOK,
 	})
 }
 
-func ranOf(header string) result.Ran {
+func parseRan(header string) result.Ran {
 	switch header {
 	case "no":
 		return result.RanNo
@@ -79,13 +79,13 @@
 	resp := &http.Response{StatusCode: got.status, Header: got.header, Body: io.NopCloser(strings.NewReader(got.body))}
 	if service == "kiosco-web" {
 		read, err := worker.Read(resp)
-		return digestOf(read.Digest, err)
+		return digestOrError(read.Digest, err)
 	}
 	read, err := engine.Read(resp)
-	return digestOf(read.Text, err)
+	return digestOrError(read.Text, err)
 }
 
-func digestOf(content string, err error) string {
+func digestOrError(content string, err error) string {
 	if err != nil {
 		return "unreadable: " + err.Error()
 	}
@@ -93,9 +93,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// check ends the routers, adds the upstreams' ledgers and runs the operators'
+// replayAndCheck ends the routers, adds the upstreams' ledgers and runs the operators'
 // replay over the whole directory.
-func (rec *recording) check(t *testing.T, f *standardFleet) {
+func (rec *recording) replayAndCheck(t *testing.T, f *standardFleet) {
 	for _, r := range f.routers {
 		r.thaw()
 		r.terminate()
@@ -103,10 +103,10 @@
 	for _, r := range f.routers {
 		<-r.done
 	}
-	for i, url := range f.engines {
-		rec.ledger(t, state.Upstream("engine-"+strconv.Itoa(i+1)), url, "redaccion-figstile")
+	for i, url := range f.engineURLs {
+		rec.recordLedger(t, state.Upstream("engine-"+strconv.Itoa(i+1)), url, "redaccion-figstile")
 	}
-	rec.ledger(t, "worker-1", f.worker, "kiosco-web")
+	rec.recordLedger(t, "worker-1", f.workerURL, "kiosco-web")
 	require.NoError(t, rec.callers.Close())
 	require.NoError(t, rec.file.Close())
 	out, err := exec.Command(cliBinary, "replay", rec.dir).CombinedOutput()
@@ -114,7 +114,7 @@
 	t.Logf("%s", out)
 }
 
-func (rec *recording) ledger(t *testing.T, name state.Upstream, url string, service state.Service) {
+func (rec *recording) recordLedger(t *testing.T, name state.Upstream, url string, service state.Service) {
 	for _, e := range ledger(t, url) {
 		if e.Started.IsZero() {
 			continue
@@ -129,19 +129,19 @@
 			AnswerDigest: ledgerDigest(service, e),
 			Received:     e.Received,
 			Started:      e.Started,
-			Finished:     finished(e),
+			Finished:     finishTime(e),
 		})
 	}
 }
 
 func ledgerDigest(service state.Service, e upstream.Entry) string {
 	if service == "kiosco-web" {
-		return digestOf(e.Digest, nil)
+		return digestOrError(e.Digest, nil)
 	}
-	return digestOf(engine.Answer(e.Digest, e.Units), nil)
+	return digestOrError(engine.AnswerText(e.Digest, e.Units), nil)
 }
 
-func finished(e upstream.Entry) time.Time {
+func finishTime(e upstream.Entry) time.Time {
 	if e.Outcome != upstream.Finished {
 		return time.Time{}
 	}
@@ -175,6 +175,6 @@
 	require.NoError(t, err)
 	req, err := http.NewRequest(method, url, strings.NewReader(string(encoded)))
 	require.NoError(t, err)
-	status, answer := do(t, req)
+	status, answer := doRequest(t, req)
 	require.Less(t, status, http.StatusMultipleChoices, answer)
 }
--- a/e2e/soak_proxy_test.go
+++ b/e2e/soak_proxy_test.go
@@ -17,14 +17,14 @@
 	linkGood linkFault = iota
 	// linkSilent passes nothing on and resets nothing.
 	linkSilent
-	// linkMute passes what the caller sends and keeps what comes back.
-	linkMute
+	// linkNoReplies passes what the caller sends and keeps what comes back.
+	linkNoReplies
 	// linkSlow holds each read back for a while.
 	linkSlow
 )
 
-// slowBy is the delay of a slow link.
-const slowBy = 40 * time.Millisecond
+// slowLinkDelay is the delay of a slow link.
+const slowLinkDelay = 40 * time.Millisecond
 
 // faultyLink is a loopback proxy whose connections can be made to fail.
 type faultyLink struct {
@@ -37,7 +37,7 @@
 	// changes counts the faults that began or ended.
 	changes int
 	conns   map[net.Conn]bool
-	done    bool
+	closed  bool
 }
 
 func startLink(t *testing.T, target string) *faultyLink {
@@ -64,26 +64,26 @@
 }
 
 func (l *faultyLink) serve(conn net.Conn) {
-	back, err := net.Dial("tcp", l.target)
+	targetConn, err := net.Dial("tcp", l.target)
 	if err != nil {
 		l.drop(conn)
 		return
 	}
 	l.mu.Lock()
-	l.conns[conn], l.conns[back] = true, true
+	l.conns[conn], l.conns[targetConn] = true, true
 	l.mu.Unlock()
-	go l.pump(back, conn, linkSilent)
-	l.pump(conn, back, linkSilent, linkMute)
+	go l.pump(targetConn, conn, linkSilent)
+	l.pump(conn, targetConn, linkSilent, linkNoReplies)
 }
 
 // pump copies until either end fails; it stands still under the given faults.
-func (l *faultyLink) pump(to, from net.Conn, stopped ...linkFault) {
+func (l *faultyLink) pump(to, from net.Conn, blocking ...linkFault) {
 	defer l.drop(to)
 	defer l.drop(from)
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
-		if !l.wait(stopped) {
+		if !l.awaitUnblocked(blocking) {
 			return
 		}
 		if _, failed := to.Write(buffer[:n]); failed != nil || err != nil {
@@ -96,19 +96,19 @@
 	}
 }
 
-// wait holds a read back while the link fails; false means that it is closed.
-func (l *faultyLink) wait(stopped []linkFault) bool {
+// awaitUnblocked holds a read back while the link fails; false means that it is closed.
+func (l *faultyLink) awaitUnblocked(blocking []linkFault) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.fault == linkSlow {
 		l.mu.Unlock()
-		time.Sleep(slowBy)
+		time.Sleep(slowLinkDelay)
 		l.mu.Lock()
 	}
-	for !l.done && l.isAmong(stopped) {
+	for !l.closed && l.isAmong(blocking) {
 		l.cond.Wait()
 	}
-	return !l.done
+	return !l.closed
 }
 
 func (l *faultyLink) isAmong(faults []linkFault) bool {
@@ -120,7 +120,7 @@
 	return false
 }
 
-func (l *faultyLink) set(fault linkFault) {
+func (l *faultyLink) setFault(fault linkFault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fault = fault
@@ -157,7 +157,7 @@
 func (l *faultyLink) close() {
 	_ = l.listener.Close()
 	l.mu.Lock()
-	l.done = true
+	l.closed = true
 	l.cond.Broadcast()
 	l.mu.Unlock()
 	l.reset()
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -26,13 +26,13 @@
 	soakEngines = 3
 	// soakCallers send requests one after the other, to any router.
 	soakCallers = 12
-	// soakKeepers send requests to each router on connections that they keep.
-	soakKeepers = 2
+	// soakKeptConnections send requests to each router on connections that they keep.
+	soakKeptConnections = 2
 	// soakPause is the longest time between two requests of one caller.
 	soakPause = 10 * time.Millisecond
-	// soakPage is how long an engine takes for a page, so that some are under
+	// soakPageTime is how long an engine takes for a page, so that some are under
 	// way at any time.
-	soakPage = 50 * time.Millisecond
+	soakPageTime = 50 * time.Millisecond
 	// soakEvents is the length of a stream.
 	soakEvents = 6
 	// soakSteps is the number of faults in a short run; FIGSTILE_SOAK_STEPS
@@ -45,8 +45,8 @@
 // soakKinds are the routes of the requests.
 var soakKinds = []string{"pages", "guides"}
 
-// keptSeeds have failed once; each line names the cause.
-var keptSeeds = []uint64{}
+// regressionSeeds have failed once; each line names the cause.
+var regressionSeeds = []uint64{}
 
 // TestSoak runs real routers under a random series of faults from outside, and
 // checks from what callers and engines see: what must not be repeated runs at
@@ -56,7 +56,7 @@
 // once the faults are over every router serves. FIGSTILE_SOAK_SEED names a seed, FIGSTILE_SOAK_RUNS
 // how many more are drawn.
 func TestSoak(t *testing.T) {
-	seeds := append([]uint64{1}, keptSeeds...)
+	seeds := append([]uint64{1}, regressionSeeds...)
 	if text := os.Getenv("FIGSTILE_SOAK_SEED"); text != "" {
 		seed, err := strconv.ParseUint(text, 10, 64)
 		require.NoError(t, err)
@@ -72,21 +72,21 @@
 }
 
 type soak struct {
-	t       *testing.T
-	draw    *rand.Rand
-	store   *objectStore
-	links   []*faultyLink
-	stores  []*faultyLink
-	routers []*edgeRouter
-	ledger  *soakLedger
-	version int
+	t           *testing.T
+	rng         *rand.Rand
+	store       *objectStore
+	engineLinks []*faultyLink
+	storeLinks  []*faultyLink
+	routers     []*edgeRouter
+	ledger      *soakLedger
+	version     int
 
-	mu    sync.Mutex
-	lives map[*edgeRouter]*soakLife
+	mu        sync.Mutex
+	instances map[*edgeRouter]*soakInstance
 }
 
 func newSoak(t *testing.T, seed uint64) *soak {
-	s := &soak{t: t, draw: rand.New(rand.NewPCG(seed, 3)), store: startObjectStore(t), ledger: newSoakLedger(), version: 1, lives: make(map[*edgeRouter]*soakLife)}
+	s := &soak{t: t, rng: rand.New(rand.NewPCG(seed, 3)), store: startObjectStore(t), ledger: newSoakLedger(), version: 1, instances: make(map[*edgeRouter]*soakInstance)}
 	s.store.put(edge.KindConfig, "main", edgeConfig(s.version, "k1"))
 	for i := range soakEngines {
 		s.addEngine(fmt.Sprintf("i-%d", i))
@@ -94,11 +94,11 @@
 	var seeds []string
 	for i := range soakRouters {
 		link := startLink(t, s.store.address())
-		s.stores = append(s.stores, link)
+		s.storeLinks = append(s.storeLinks, link)
 		r := startEdgeRouterAt(t, link.address(), i, seeds...)
 		s.routers = append(s.routers, r)
-		s.setLife(r, &soakLife{process: r.process})
-		seeds = append(seeds, r.peers)
+		s.setInstance(r, &soakInstance{process: r.process})
+		seeds = append(seeds, r.peerAddress)
 	}
 	for _, r := range s.routers {
 		r.awaitReady(t)
@@ -111,7 +111,7 @@
 	server := httptest.NewServer(s.ledger.engine(id))
 	s.t.Cleanup(server.Close)
 	link := startLink(s.t, server.Listener.Addr().String())
-	s.links = append(s.links, link)
+	s.engineLinks = append(s.engineLinks, link)
 	s.store.put(edge.KindUpstream, id, map[string]any{
 		"Service": "engines", "Address": link.address(), "Zone": "z1", "BatchSlots": 8, "State": "ready", "born": 1,
 	})
@@ -121,17 +121,17 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var callers sync.WaitGroup
 	for i := range soakCallers {
-		callers.Go(func() { s.call(ctx, i) })
+		callers.Go(func() { s.runCaller(ctx, i) })
 	}
-	for i := range soakKeepers * soakRouters {
-		callers.Go(func() { s.keep(ctx, s.routers[i%soakRouters], uint64(i)) })
+	for i := range soakKeptConnections * soakRouters {
+		callers.Go(func() { s.sendOnKeptConnections(ctx, s.routers[i%soakRouters], uint64(i)) })
 	}
 	steps := soakSteps
 	if n, err := strconv.Atoi(os.Getenv("FIGSTILE_SOAK_STEPS")); err == nil {
 		steps = n
 	}
 	for range steps {
-		s.step()
+		s.runFault()
 	}
 	s.heal()
 	stop()
@@ -139,72 +139,72 @@
 	s.ledger.check(s.t)
 }
 
-// step lets one fault begin, hold for a while and, mostly, end. Every third one
+// runFault lets one fault begin, hold for a while and, mostly, end. Every third one
 // is left to overlap with the next.
-func (s *soak) step() {
-	undo := s.fault()
-	time.Sleep(time.Duration(100+s.draw.IntN(500)) * time.Millisecond)
-	if s.draw.IntN(3) > 0 {
+func (s *soak) runFault() {
+	undo := s.startFault()
+	time.Sleep(time.Duration(100+s.rng.IntN(500)) * time.Millisecond)
+	if s.rng.IntN(3) > 0 {
 		undo()
 	}
 }
 
-func (s *soak) fault() (undo func()) {
-	link := s.links[s.draw.IntN(len(s.links))]
-	store := s.stores[s.draw.IntN(len(s.stores))]
-	first := s.draw.IntN(len(s.routers))
-	router, other := s.routers[first], s.routers[(first+1)%len(s.routers)]
-	kind := s.draw.IntN(13)
+func (s *soak) startFault() (undo func()) {
+	link := s.engineLinks[s.rng.IntN(len(s.engineLinks))]
+	store := s.storeLinks[s.rng.IntN(len(s.storeLinks))]
+	index := s.rng.IntN(len(s.routers))
+	router, nextRouter := s.routers[index], s.routers[(index+1)%len(s.routers)]
+	kind := s.rng.IntN(13)
 	s.t.Logf("fault %d at %s", kind, router.name)
 	switch kind {
 	case 0:
-		s.spoil(router)
+		s.markDisrupted(router)
 		router.freeze()
 		return router.thaw
 	case 1:
-		s.spoil(router)
+		s.markDisrupted(router)
 		router.kill()
 		s.launch(router)
 	case 2:
 		s.replace(router)
 	case 3:
-		link.set(linkFault(1 + s.draw.IntN(3)))
-		return func() { link.set(linkGood) }
+		link.setFault(linkFault(1 + s.rng.IntN(3)))
+		return func() { link.setFault(linkGood) }
 	case 4:
 		link.reset()
 	case 5:
-		store.set(linkFault(1 + s.draw.IntN(3)))
-		return func() { store.set(linkGood) }
+		store.setFault(linkFault(1 + s.rng.IntN(3)))
+		return func() { store.setFault(linkGood) }
 	case 6:
 		store.reset()
 	case 7:
-		s.store.SetAway(true)
-		return func() { s.store.SetAway(false) }
+		s.store.SetUnavailable(true)
+		return func() { s.store.SetUnavailable(false) }
 	case 8:
 		s.version++
 		s.store.put(edge.KindConfig, "main", edgeConfig(s.version, "k1", fmt.Sprintf("k%d", s.version)))
 	case 9:
-		s.replace(router, other)
+		s.replace(router, nextRouter)
 	case 10:
 		s.replace(router)
-		s.replace(other)
+		s.replace(nextRouter)
 	case 11:
 		s.replace(router)
-		await(s.t, func() bool { return takesConnections(router.callers) })
+		await(s.t, func() bool { return acceptsConnections(router.callerAddress) })
 		s.replace(router)
 	case 12:
 		s.beginStop(router)
-		s.pause()
+		s.randomPause()
 		s.hangup(router)
-		s.pause()
+		s.randomPause()
 		router.terminate()
 		s.endStop(router)
 	}
 	return func() {}
 }
 
-// pause lets a part of a stop pass.
-func (s *soak) pause() { time.Sleep(time.Duration(s.draw.IntN(2000)) * time.Millisecond) }
+// randomPause lets a part of a stop pass.
+func (s *soak) randomPause() { time.Sleep(time.Duration(s.rng.IntN(2000)) * time.Millisecond) }
 
 // replace stops routers at once as planned and starts them again.
 func (s *soak) replace(routers ...*edgeRouter) {
@@ -231,30 +231,30 @@
 
 // heal ends all faults and waits until every router serves.
 func (s *soak) heal() {
-	s.store.SetAway(false)
-	for _, link := range append(s.links, s.stores...) {
-		link.set(linkGood)
+	s.store.SetUnavailable(false)
+	for _, link := range append(s.engineLinks, s.storeLinks...) {
+		link.setFault(linkGood)
 	}
 	for _, r := range s.routers {
 		r.thaw()
 		r.awaitReady(s.t)
-		await(s.t, func() bool { return s.one(r, "pages", s.ledger.id(), time.Second) == http.StatusOK })
+		await(s.t, func() bool { return s.send(r, "pages", s.ledger.id(), time.Second) == http.StatusOK })
 	}
 }
 
-// call sends requests until the context ends.
-func (s *soak) call(ctx context.Context, caller int) {
-	draw := rand.New(rand.NewPCG(uint64(caller), 5))
+// runCaller sends requests until the context ends.
+func (s *soak) runCaller(ctx context.Context, caller int) {
+	rng := rand.New(rand.NewPCG(uint64(caller), 5))
 	for ctx.Err() == nil {
-		kind := soakKinds[draw.IntN(2)]
-		s.one(s.routers[draw.IntN(len(s.routers))], kind, s.ledger.id(), soakTimeout)
+		kind := soakKinds[rng.IntN(2)]
+		s.send(s.routers[rng.IntN(len(s.routers))], kind, s.ledger.id(), soakTimeout)
 		time.Sleep(soakPause)
 	}
 }
 
-// one sends a request, records what its caller saw and returns the status, 0
+// send sends a request, records what its caller saw and returns the status, 0
 // without an answer.
-func (s *soak) one(r *edgeRouter, kind, id string, timeout time.Duration) int {
+func (s *soak) send(r *edgeRouter, kind, id string, timeout time.Duration) int {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	request, err := soakRequest(ctx, r, kind, id, timeout)
@@ -268,12 +268,12 @@
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	s.ledger.saw(id, kind, response.StatusCode, string(body), err == nil)
+	s.ledger.recordAnswer(id, kind, response.StatusCode, string(body), err == nil)
 	return response.StatusCode
 }
 
 func soakRequest(ctx context.Context, r *edgeRouter, kind, id string, timeout time.Duration) (*http.Request, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.callers+"/"+kind+"/"+id, strings.NewReader(id))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.callerAddress+"/"+kind+"/"+id, strings.NewReader(id))
 	if err != nil {
 		return nil, err
 	}
@@ -286,26 +286,26 @@
 
 // soakLedger knows what ran and what callers were told.
 type soakLedger struct {
-	mu   sync.Mutex
-	next int
-	runs map[string]int
-	// once are the requests that must run once at most.
-	once   map[string]bool
-	notRun map[string]bool
-	faults []string
-	lost   []lost
-	whole  int
+	mu     sync.Mutex
+	lastID int
+	runs   map[string]int
+	// atMostOnce are the requests that must run once at most.
+	atMostOnce   map[string]bool
+	notRun       map[string]bool
+	violations   []string
+	unanswered   []unansweredRequest
+	wholeAnswers int
 }
 
 func newSoakLedger() *soakLedger {
-	return &soakLedger{runs: make(map[string]int), once: make(map[string]bool), notRun: make(map[string]bool)}
+	return &soakLedger{runs: make(map[string]int), atMostOnce: make(map[string]bool), notRun: make(map[string]bool)}
 }
 
 func (l *soakLedger) id() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.next++
-	return fmt.Sprintf("q%d", l.next)
+	l.lastID++
+	return fmt.Sprintf("q%d", l.lastID)
 }
 
 // engine runs requests: a page names its request, a stream goes on after the
@@ -324,11 +324,11 @@
 		}
 		l.mu.Lock()
 		l.runs[attempt]++
-		l.once[attempt] = strings.HasPrefix(r.URL.Path, "/pages/")
+		l.atMostOnce[attempt] = strings.HasPrefix(r.URL.Path, "/pages/")
 		l.mu.Unlock()
 		w.Header().Set("Server-Signature", "sig-"+id)
 		if strings.HasPrefix(r.URL.Path, "/pages/") {
-			time.Sleep(soakPage)
+			time.Sleep(soakPageTime)
 			fmt.Fprintf(w, "page of %s", body)
 			return
 		}
@@ -341,8 +341,8 @@
 	})
 }
 
-// saw judges one answer.
-func (l *soakLedger) saw(id, kind string, status int, body string, whole bool) {
+// recordAnswer judges one answer.
+func (l *soakLedger) recordAnswer(id, kind string, status int, body string, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -350,11 +350,11 @@
 		l.notRun[id] = true
 	case status != http.StatusOK || !whole:
 	case kind == "pages" && body != "page of "+id:
-		l.faults = append(l.faults, fmt.Sprintf("%s got %q", id, body))
+		l.violations = append(l.violations, fmt.Sprintf("%s got %q", id, body))
 	case kind == "guides" && !isWholeStream(body, id):
-		l.faults = append(l.faults, fmt.Sprintf("%s got the stream %q", id, body))
+		l.violations = append(l.violations, fmt.Sprintf("%s got the stream %q", id, body))
 	default:
-		l.whole++
+		l.wholeAnswers++
 	}
 }
 
@@ -380,20 +380,20 @@
 func (l *soakLedger) check(t *testing.T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	require.Empty(t, l.faults)
-	require.Positive(t, l.whole)
+	require.Empty(t, l.violations)
+	require.Positive(t, l.wholeAnswers)
 	for id := range l.notRun {
 		require.Zero(t, l.runs[id], "%s was told that it did not run", id)
 	}
 	for id, n := range l.runs {
-		require.False(t, l.once[id] && n > 1, "%s must run once at most and ran %d times", id, n)
+		require.False(t, l.atMostOnce[id] && n > 1, "%s must run once at most and ran %d times", id, n)
 	}
 	unread := 0
-	for _, request := range l.lost {
-		if !request.life.spoilt {
+	for _, request := range l.unanswered {
+		if !request.instance.disrupted {
 			unread++
 		}
-		require.False(t, l.isRouters(request), "%s was read at a planned stop and got no answer", request.id)
+		require.False(t, l.isRouterFault(request), "%s was read at a planned stop and got no answer", request.id)
 	}
-	t.Logf("%d requests, %d whole answers, %d told not run, %d without an answer, of which %d no router had read", l.next, l.whole, len(l.notRun), len(l.lost), unread)
+	t.Logf("%d requests, %d whole answers, %d told not run, %d without an answer, of which %d no router had read", l.lastID, l.wholeAnswers, len(l.notRun), len(l.unanswered), unread)
 }
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -17,23 +17,23 @@
 // closes a connection whose next request it has read, and calls no handler. On
 // a day with two stops of each router 25 tries ended so from 3.0 s after a
 // SIGTERM on, beside 5 that were refused with 2005.
-func TestEdgeAnswersRequestsUntilItIsGone(t *testing.T) {
+func TestStoppingEdgeAnswersPartlyReadRequest(t *testing.T) {
 	_, e, routers := startEdgeFleet(t)
 	r := routers[0]
-	held := make(chan int, 1)
-	go func() { held <- r.status(t, heldPage, "k1") }()
-	<-e.begun
-	slow, err := net.Dial("tcp", r.callers)
+	heldStatus := make(chan int, 1)
+	go func() { heldStatus <- r.postStatus(t, heldPage, "k1") }()
+	<-e.started
+	slowConn, err := net.Dial("tcp", r.callerAddress)
 	require.NoError(t, err)
-	defer slow.Close()
-	_, err = fmt.Fprint(slow, "GET /pages/now HTTP/1.1\r\nHost: h.example\r\n")
+	defer slowConn.Close()
+	_, err = fmt.Fprint(slowConn, "GET /pages/now HTTP/1.1\r\nHost: h.example\r\n")
 	require.NoError(t, err)
 
 	r.terminate()
-	await(t, func() bool { return !takesConnections(r.callers) })
-	_, err = fmt.Fprint(slow, "Authorization: Bearer k1\r\nAttempt-Id: a1\r\n\r\n")
+	await(t, func() bool { return !acceptsConnections(r.callerAddress) })
+	_, err = fmt.Fprint(slowConn, "Authorization: Bearer k1\r\nAttempt-Id: a1\r\n\r\n")
 	require.NoError(t, err)
-	answer, err := http.ReadResponse(bufio.NewReader(slow), nil)
+	answer, err := http.ReadResponse(bufio.NewReader(slowConn), nil)
 	require.NoError(t, err)
 	defer answer.Body.Close()
 	require.Equal(t, http.StatusServiceUnavailable, answer.StatusCode)
@@ -41,12 +41,12 @@
 	require.True(t, answer.Close)
 
 	e.release <- struct{}{}
-	require.Equal(t, http.StatusOK, <-held)
+	require.Equal(t, http.StatusOK, <-heldStatus)
 	<-r.done
 	require.NoError(t, r.err)
 }
 
-func takesConnections(address string) bool {
+func acceptsConnections(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
@@ -60,25 +60,25 @@
 // last milliseconds, so that its exit code told of a failure and its last log
 // lines were missing: it had stopped to listen for signals before it had written
 // them.
-func TestStopTakesFurtherSignals(t *testing.T) {
+func TestStopIgnoresFurtherSignals(t *testing.T) {
 	_, e, routers := startEdgeFleet(t)
 	r := routers[0]
-	held := make(chan int, 1)
-	go func() { held <- r.status(t, heldPage, "k1") }()
-	<-e.begun
+	heldStatus := make(chan int, 1)
+	go func() { heldStatus <- r.postStatus(t, heldPage, "k1") }()
+	<-e.started
 	r.terminate()
-	await(t, func() bool { return !takesConnections(r.callers) })
+	await(t, func() bool { return !acceptsConnections(r.callerAddress) })
 	e.release <- struct{}{}
-	askUntilGone(t, r.process)
-	require.Equal(t, http.StatusOK, <-held)
+	terminateUntilExit(t, r.process)
+	require.Equal(t, http.StatusOK, <-heldStatus)
 
 	f := newFleet(t)
-	f.configure()
-	askUntilGone(t, f.startRouter("router-1", "sala-laredo").process)
+	f.writeRoot()
+	terminateUntilExit(t, f.startRouter("router-1", "sala-laredo").process)
 }
 
-// askUntilGone asks a router to stop without a pause.
-func askUntilGone(t *testing.T, p *process) {
+// terminateUntilExit asks a router to stop without a pause.
+func terminateUntilExit(t *testing.T, p *process) {
 	t.Helper()
 	for {
 		select {
--- a/e2e/tls_test.go
+++ b/e2e/tls_test.go
@@ -70,9 +70,9 @@
 	return string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}))
 }
 
-// peerSecrets is the environment of a router with certificates of an
+// certificateEnv is the environment of a router with certificates of an
 // authority.
-func peerSecrets(t *testing.T, a *authority) []string {
+func certificateEnv(t *testing.T, a *authority) []string {
 	cert, key := a.issue(t, "figstile")
 	return []string{
 		"FIGSTILE_PEER_CERT=" + cert, "FIGSTILE_PEER_KEY=" + key, "FIGSTILE_PEER_CA=" + a.pem,
@@ -84,36 +84,36 @@
 // it were believed it could give away slots and rewrite settings; it must not
 // become a peer, while routers with certificates do. Callers are served over
 // TLS, and no secret stands in a log.
-func TestStrangersAreNoPeers(t *testing.T) {
+func TestUntrustedRoutersDoNotBecomePeers(t *testing.T) {
 	f := newFleet(t)
-	f.team("costa", 1, "laredo")
-	f.configure()
-	fleetAuthority, strangerAuthority := newAuthority(t), newAuthority(t)
-	f.secrets = peerSecrets(t, fleetAuthority)
-	one := f.startRouter("router-1", "sala-laredo")
-	two := f.startRouter("router-2", "sala-castro")
-	f.secrets = peerSecrets(t, strangerAuthority)
-	stranger := f.startRouter("stranger", "sala-castro")
-	f.secrets = nil
-	plain := f.startRouter("plain", "sala-castro")
+	f.addTeam("costa", 1, "laredo")
+	f.writeRoot()
+	fleetAuthority, untrustedAuthority := newAuthority(t), newAuthority(t)
+	f.extraEnv = certificateEnv(t, fleetAuthority)
+	first := f.startRouter("router-1", "sala-laredo")
+	second := f.startRouter("router-2", "sala-castro")
+	f.extraEnv = certificateEnv(t, untrustedAuthority)
+	untrusted := f.startRouter("stranger", "sala-castro")
+	f.extraEnv = nil
+	withoutTLS := f.startRouter("plain", "sala-castro")
 
 	eventually(t, "the two routers see each other", func() bool {
-		return strings.Contains(one.lines.text(), "peer session opened") && strings.Contains(two.lines.text(), "peer session opened")
+		return strings.Contains(first.lines.text(), "peer session opened") && strings.Contains(second.lines.text(), "peer session opened")
 	})
 	eventually(t, "the strangers were turned away", func() bool {
-		return strings.Count(one.lines.text()+two.lines.text(), "handshake") >= 2
+		return strings.Count(first.lines.text()+second.lines.text(), "handshake") >= 2
 	})
-	for _, r := range []*router{stranger, plain} {
+	for _, r := range []*router{untrusted, withoutTLS} {
 		require.NotContains(t, r.lines.text(), "peer session opened")
 	}
-	for _, r := range []*router{one, two, stranger} {
+	for _, r := range []*router{first, second, untrusted} {
 		require.NotContains(t, r.lines.text(), "PRIVATE KEY")
 	}
 
 	pool := x509.NewCertPool()
 	require.True(t, pool.AppendCertsFromPEM([]byte(fleetAuthority.pem)))
 	client := &http.Client{Transport: &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool}}}
-	resp, err := client.Get("https://" + one.callers + "/kiosco-web/page")
+	resp, err := client.Get("https://" + first.callerAddress + "/kiosco-web/page")
 	require.NoError(t, err)
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
--- a/loadgen/send.go
+++ b/loadgen/send.go
@@ -136,7 +136,7 @@
 	if err != nil {
 		return err
 	}
-	s.record.Own = answer.Belongs([]byte(s.call.Body))
+	s.record.Own = answer.BelongsTo([]byte(s.call.Body))
 	weights := config.CostWeights{}.WithDefaults(config.KindEngine)
 	s.settle(weights.InputToken*float64(answer.Usage.PromptTokens) + weights.OutputToken*float64(answer.Usage.CompletionTokens))
 	return nil
--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -61,8 +61,8 @@
 // reader can tell whose answer it holds.
 func Token(digest string, i int) string { return fmt.Sprintf("%.8s-%d ", digest, i) }
 
-// Answer returns the whole answer to a body with this digest.
-func Answer(digest string, tokens int) string {
+// AnswerText returns the whole answer to a body with this digest.
+func AnswerText(digest string, tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
 		text.WriteString(Token(digest, i))
@@ -71,31 +71,31 @@
 }
 
 // plan reads a chat completion.
-func (e *Engine) plan(job *upstream.Job) (upstream.Work, *upstream.Refusal) {
+func (e *Engine) plan(job *upstream.Job) (upstream.Work, *upstream.Rejection) {
 	var req request
 	if err := json.Unmarshal(job.Body, &req); err != nil {
-		return nil, &upstream.Refusal{Status: http.StatusBadRequest, Message: err.Error()}
+		return nil, &upstream.Rejection{Status: http.StatusBadRequest, Message: err.Error()}
 	}
-	if req.Model != "" && !e.Holds(req.Model) {
-		return nil, &upstream.Refusal{Status: http.StatusNotFound, Message: "model is not loaded"}
+	if req.Model != "" && !e.HasModel(req.Model) {
+		return nil, &upstream.Rejection{Status: http.StatusNotFound, Message: "model is not loaded"}
 	}
 	g := generation{engine: e, req: req}
-	g.tokens, g.finish = e.length(req, job.Header)
+	g.tokens, g.finishReason = e.outputLength(req, job.Header)
 	if req.Stream {
-		return g.stream, nil
+		return g.writeStream, nil
 	}
-	return g.whole, nil
+	return g.writeWhole, nil
 }
 
-// length chooses the output length and the reason for stopping there.
-func (e *Engine) length(req request, header http.Header) (tokens int, finish string) {
-	natural := req.Tokens
+// outputLength chooses the output length and the reason for stopping there.
+func (e *Engine) outputLength(req request, header http.Header) (tokens int, finishReason string) {
+	naturalLength := req.Tokens
 	if n, err := strconv.Atoi(header.Get(HeaderTokens)); err == nil {
-		natural = n
+		naturalLength = n
 	}
 	switch {
-	case natural > 0 && (req.MaxTokens <= 0 || natural <= req.MaxTokens):
-		return natural, "stop"
+	case naturalLength > 0 && (req.MaxTokens <= 0 || naturalLength <= req.MaxTokens):
+		return naturalLength, "stop"
 	case req.MaxTokens > 0:
 		return req.MaxTokens, "length"
 	default:
@@ -105,10 +105,10 @@
 
 // generation is one completion being written.
 type generation struct {
-	engine *Engine
-	req    request
-	tokens int
-	finish string
+	engine       *Engine
+	req          request
+	tokens       int
+	finishReason string
 }
 
 func (g generation) usage() *Usage {
@@ -120,17 +120,17 @@
 	return &Usage{PromptTokens: prompt, CompletionTokens: g.tokens, TotalTokens: prompt + g.tokens}
 }
 
-func (g generation) frame(job *upstream.Job, object string, c choice) completion {
+func (g generation) newCompletion(job *upstream.Job, object string, c choice) completion {
 	return completion{
-		ID:      "chatcmpl-" + job.Answers().Attempt,
+		ID:      "chatcmpl-" + job.AnswerEntry().Attempt,
 		Object:  object,
 		Model:   g.req.Model,
 		Choices: []choice{c},
 	}
 }
 
-// whole generates every token and then answers at once.
-func (g generation) whole(w http.ResponseWriter, job *upstream.Job) error {
+// writeWhole generates every token and then answers at once.
+func (g generation) writeWhole(w http.ResponseWriter, job *upstream.Job) error {
 	if err := job.Sleep(g.engine.opts.PrefillDelay); err != nil {
 		return err
 	}
@@ -138,19 +138,19 @@
 		if err := job.Sleep(g.engine.opts.TokenDelay); err != nil {
 			return err
 		}
-		job.Add(1)
+		job.AddUnits(1)
 	}
-	text := Answer(job.Answers().Digest, g.tokens)
-	answer := g.frame(job, "chat.completion", choice{
+	text := AnswerText(job.AnswerEntry().Digest, g.tokens)
+	answer := g.newCompletion(job, "chat.completion", choice{
 		Message:      &message{Role: "assistant", Content: text},
-		FinishReason: &g.finish,
+		FinishReason: &g.finishReason,
 	})
 	answer.Usage = g.usage()
 	return job.WriteAnswer(w, answer)
 }
 
-// stream sends each token as it is generated.
-func (g generation) stream(w http.ResponseWriter, job *upstream.Job) error {
+// writeStream sends each token as it is generated.
+func (g generation) writeStream(w http.ResponseWriter, job *upstream.Job) error {
 	if err := job.Sleep(g.engine.opts.PrefillDelay); err != nil {
 		return err
 	}
@@ -160,7 +160,7 @@
 			return err
 		}
 	}
-	last := g.frame(job, chunkObject, choice{Delta: &message{}, FinishReason: &g.finish})
+	last := g.newCompletion(job, chunkObject, choice{Delta: &message{}, FinishReason: &g.finishReason})
 	last.Usage = g.usage()
 	if err := sendEvent(w, last); err != nil {
 		return err
@@ -172,22 +172,22 @@
 const (
 	streamType  = "text/event-stream"
 	chunkObject = "chat.completion.chunk"
-	doneMark    = "[DONE]"
+	doneMarker  = "[DONE]"
 )
 
 func (g generation) streamToken(w http.ResponseWriter, job *upstream.Job, i int) error {
 	if err := job.Sleep(g.engine.opts.TokenDelay); err != nil {
 		return err
 	}
-	if job.Cut && i >= g.tokens/2 {
+	if job.TruncateAnswer && i >= g.tokens/2 {
 		return upstream.ErrTruncated
 	}
-	job.Add(1)
-	delta := &message{Content: Token(job.Answers().Digest, i)}
+	job.AddUnits(1)
+	delta := &message{Content: Token(job.AnswerEntry().Digest, i)}
 	if i == 0 {
 		delta.Role = "assistant"
 	}
-	return sendEvent(w, g.frame(job, chunkObject, choice{Delta: delta}))
+	return sendEvent(w, g.newCompletion(job, chunkObject, choice{Delta: delta}))
 }
 
 // sendEvent writes one server-sent event and flushes it.
@@ -203,7 +203,7 @@
 }
 
 func sendDone(w http.ResponseWriter) error {
-	if _, err := fmt.Fprintf(w, "data: %s\n\n", doneMark); err != nil {
+	if _, err := fmt.Fprintf(w, "data: %s\n\n", doneMarker); err != nil {
 		return err
 	}
 	return http.NewResponseController(w).Flush()
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -29,7 +29,7 @@
 type Engine struct {
 	*upstream.Host
 	opts   Options
-	orders orderBook
+	orders orderLog
 	mux    *http.ServeMux
 }
 
@@ -44,8 +44,8 @@
 	e := &Engine{Host: upstream.NewHost(opts.Options), opts: opts, mux: http.NewServeMux()}
 	e.Mount(e.mux)
 	e.mux.HandleFunc("POST /v1/chat/completions", func(w http.ResponseWriter, r *http.Request) { e.Run(w, r, e.plan) })
-	e.mux.HandleFunc("POST /orders", e.Guard(e.serveOrder))
-	e.mux.HandleFunc("GET /orders", e.Guard(e.serveOrders))
+	e.mux.HandleFunc("POST /orders", e.DropWhileDown(e.serveOrder))
+	e.mux.HandleFunc("GET /orders", e.DropWhileDown(e.serveOrders))
 	return e
 }
 
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -17,7 +17,7 @@
 // waitTimeout bounds waits on conditions; no outcome depends on it.
 const waitTimeout = 20 * time.Second
 
-func serve(t *testing.T, opts engine.Options) (*engine.Engine, string) {
+func startEngine(t *testing.T, opts engine.Options) (*engine.Engine, string) {
 	t.Helper()
 	opts.Name = "engine"
 	e := engine.New(opts)
@@ -45,13 +45,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			e, url := serve(t, engine.Options{})
+			e, url := startEngine(t, engine.Options{})
 			response := post(t, url+"/v1/chat/completions", c.body)
 			answer, err := engine.Read(response)
 			require.NoError(t, err)
-			require.True(t, answer.Belongs([]byte(c.body)))
+			require.True(t, answer.BelongsTo([]byte(c.body)))
 			require.Equal(t, "r1.1.1", answer.Attempt)
-			require.Equal(t, c.finish, answer.Finish)
+			require.Equal(t, c.finish, answer.FinishReason)
 			require.Equal(t, c.tokens, answer.Usage.CompletionTokens)
 			require.Eventually(t, func() bool {
 				return e.Ledger().Entries()[0].Outcome == upstream.Finished
@@ -61,23 +61,23 @@
 	}
 }
 
-func TestUnknownModelIsRefusedUnstarted(t *testing.T) {
-	e, url := serve(t, engine.Options{Options: upstream.Options{Models: []state.Model{"held"}}})
+func TestRequestForUnknownModelIsRejectedUnstarted(t *testing.T) {
+	e, url := startEngine(t, engine.Options{Options: upstream.Options{Models: []state.Model{"held"}}})
 	response := post(t, url+"/v1/chat/completions", `{"model":"other"}`)
 	_ = response.Body.Close()
 	require.Equal(t, http.StatusNotFound, response.StatusCode)
 	entry := e.Ledger().Entries()[0]
-	require.Equal(t, upstream.Refused, entry.Outcome)
+	require.Equal(t, upstream.Rejected, entry.Outcome)
 	require.True(t, entry.Started.IsZero())
 }
 
 // A stream breaks off in the middle of an answer. The reader must see a broken
 // connection, for a clean end would pass half an answer off as a whole one.
 func TestTruncatedStreamBreaks(t *testing.T) {
-	_, url := serve(t, engine.Options{Options: upstream.Options{Faults: upstream.Faults{Truncate: 1}}})
+	_, url := startEngine(t, engine.Options{Options: upstream.Options{Faults: upstream.Faults{TruncateAnswers: 1}}})
 	response := post(t, url+"/v1/chat/completions", `{"stream":true,"max_tokens":4}`)
 	answer, err := engine.Read(response)
-	require.ErrorIs(t, err, engine.ErrNotWhole)
+	require.ErrorIs(t, err, engine.ErrIncomplete)
 	require.ErrorIs(t, err, io.ErrUnexpectedEOF)
 	require.Contains(t, answer.Text, "-1 ")
 	require.NotContains(t, answer.Text, "-2 ")
@@ -87,7 +87,7 @@
 // An engine that checks numbers refuses it; one that ignores them obeys.
 func TestStaleOrder(t *testing.T) {
 	for _, checks := range []bool{true, false} {
-		e, url := serve(t, engine.Options{ChecksFencing: checks})
+		e, url := startEngine(t, engine.Options{ChecksFencing: checks})
 		for _, order := range []string{
 			`{"action":"load_model","model":"m","fencing":2}`,
 			`{"action":"unload_model","model":"m","fencing":1}`,
@@ -95,7 +95,7 @@
 			response := post(t, url+"/orders", order)
 			_ = response.Body.Close()
 		}
-		require.Equal(t, checks, e.Holds("m"))
+		require.Equal(t, checks, e.HasModel("m"))
 		require.Equal(t, !checks, e.Orders().Orders[1].Applied)
 	}
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -44,12 +44,12 @@
 	Orders         []OrderRecord `json:"orders,omitempty"`
 }
 
-// orderBook holds the orders received. It outlives a crash.
-type orderBook struct {
-	mu      sync.Mutex
-	role    string
-	highest uint64
-	records []OrderRecord
+// orderLog holds the orders received. It outlives a crash.
+type orderLog struct {
+	mu             sync.Mutex
+	role           string
+	highestFencing uint64
+	records        []OrderRecord
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
@@ -58,46 +58,46 @@
 		return
 	}
 	if !slices.Contains([]Action{LoadModel, UnloadModel, SetRole}, order.Action) {
-		upstream.WriteJSON(w, http.StatusBadRequest, e.ordersAnswer())
+		upstream.WriteJSON(w, http.StatusBadRequest, e.answerWithoutOrders())
 		return
 	}
 	if !e.admitOrder(order) {
-		answer := e.ordersAnswer()
+		answer := e.answerWithoutOrders()
 		answer.Stale = true
 		upstream.WriteJSON(w, http.StatusConflict, answer)
 		return
 	}
-	if err := e.apply(r, order); err != nil {
+	if err := e.applyOrder(r, order); err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	upstream.WriteJSON(w, http.StatusOK, e.ordersAnswer())
+	upstream.WriteJSON(w, http.StatusOK, e.answerWithoutOrders())
 }
 
 // admitOrder records an order and reports whether it is to be applied.
 func (e *Engine) admitOrder(order Order) bool {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
-	stale := e.opts.ChecksFencing && order.Fencing < e.orders.highest
+	stale := e.opts.ChecksFencing && order.Fencing < e.orders.highestFencing
 	e.orders.records = append(e.orders.records, OrderRecord{Order: order, Applied: !stale})
 	if e.opts.ChecksFencing && !stale {
-		e.orders.highest = order.Fencing
+		e.orders.highestFencing = order.Fencing
 	}
 	return !stale
 }
 
-func (e *Engine) apply(r *http.Request, order Order) error {
+func (e *Engine) applyOrder(r *http.Request, order Order) error {
 	switch order.Action {
 	case SetRole:
 		e.orders.mu.Lock()
 		defer e.orders.mu.Unlock()
 		e.orders.role = order.Role
 	case UnloadModel:
-		e.SetHeld(order.Model, false)
+		e.SetModelLoaded(order.Model, false)
 	case LoadModel:
 		if err := e.Host.Sleep(r.Context(), e.opts.LoadDelay); err != nil {
 			return err
 		}
-		e.SetHeld(order.Model, true)
+		e.SetModelLoaded(order.Model, true)
 	}
 	return nil
 }
@@ -109,12 +109,12 @@
 	return OrdersAnswer{
 		Models:         e.Models(),
 		Role:           e.orders.role,
-		HighestFencing: e.orders.highest,
+		HighestFencing: e.orders.highestFencing,
 		Orders:         slices.Clone(e.orders.records),
 	}
 }
 
-func (e *Engine) ordersAnswer() OrdersAnswer {
+func (e *Engine) answerWithoutOrders() OrdersAnswer {
 	answer := e.Orders()
 	answer.Orders = nil
 	return answer
--- a/standin/engine/read.go
+++ b/standin/engine/read.go
@@ -12,28 +12,28 @@
 	"github.com/figstile/figstile/standin/upstream"
 )
 
-// ErrNotWhole is returned for an answer that ended before its end.
-var ErrNotWhole = errors.New("engine: answer is not whole")
+// ErrIncomplete is returned for an answer that ended before its end.
+var ErrIncomplete = errors.New("engine: answer is not whole")
 
-// Answered is a whole completion as its caller reads it.
-type Answered struct {
+// ReceivedCompletion is a whole completion as its caller reads it.
+type ReceivedCompletion struct {
 	// Attempt is the id that the engine repeated on the answer.
-	Attempt string
-	Text    string
-	Finish  string
-	Usage   Usage
+	Attempt      string
+	Text         string
+	FinishReason string
+	Usage        Usage
 }
 
-// Belongs reports whether the answer is the whole answer to a body.
-func (a Answered) Belongs(body []byte) bool {
-	return a.Text == Answer(upstream.Digest(body), a.Usage.CompletionTokens)
+// BelongsTo reports whether the answer is the whole answer to a body.
+func (a ReceivedCompletion) BelongsTo(body []byte) bool {
+	return a.Text == AnswerText(upstream.Digest(body), a.Usage.CompletionTokens)
 }
 
 // Read reads the answer to a chat completion, streamed or not, and closes it. A
 // stream is whole if it has its usage and its end mark.
-func Read(response *http.Response) (Answered, error) {
+func Read(response *http.Response) (ReceivedCompletion, error) {
 	defer func() { _ = response.Body.Close() }()
-	answer := Answered{Attempt: response.Header.Get(upstream.HeaderAttempt)}
+	answer := ReceivedCompletion{Attempt: response.Header.Get(upstream.HeaderAttempt)}
 	kind, _, err := mime.ParseMediaType(response.Header.Get("Content-Type"))
 	if err != nil {
 		return answer, err
@@ -43,39 +43,39 @@
 	}
 	var whole completion
 	if err := json.NewDecoder(response.Body).Decode(&whole); err != nil {
-		return answer, errors.Join(ErrNotWhole, err)
+		return answer, errors.Join(ErrIncomplete, err)
 	}
-	answer.take(whole)
+	answer.add(whole)
 	return answer, nil
 }
 
-func (a *Answered) readStream(body io.Reader) error {
+func (a *ReceivedCompletion) readStream(body io.Reader) error {
 	events := bufio.NewScanner(body)
 	for events.Scan() {
 		data, ok := strings.CutPrefix(events.Text(), "data: ")
 		if !ok {
 			continue
 		}
-		if data == doneMark {
+		if data == doneMarker {
 			return nil
 		}
 		var chunk completion
 		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
-			return errors.Join(ErrNotWhole, err)
+			return errors.Join(ErrIncomplete, err)
 		}
-		a.take(chunk)
+		a.add(chunk)
 	}
-	return errors.Join(ErrNotWhole, events.Err())
+	return errors.Join(ErrIncomplete, events.Err())
 }
 
-// take adds a chunk or a whole completion.
-func (a *Answered) take(c completion) {
+// add adds a chunk or a whole completion.
+func (a *ReceivedCompletion) add(c completion) {
 	if c.Usage != nil {
 		a.Usage = *c.Usage
 	}
 	for _, choice := range c.Choices {
 		if choice.FinishReason != nil {
-			a.Finish = *choice.FinishReason
+			a.FinishReason = *choice.FinishReason
 		}
 		for _, m := range []*message{choice.Message, choice.Delta} {
 			if m != nil {
--- a/standin/objects/objects.go
+++ b/standin/objects/objects.go
@@ -18,15 +18,15 @@
 	mu       sync.Mutex
 	changed  *sync.Cond
 	revision uint64
-	held     map[edge.Kind]map[string]edge.Object
+	objects  map[edge.Kind]map[string]edge.Object
 	// history holds every change; the store lives for a run only.
-	history map[edge.Kind][]edge.Object
-	away    bool
+	history     map[edge.Kind][]edge.Object
+	unavailable bool
 }
 
 // New returns an empty store.
 func New() *Store {
-	s := &Store{revision: 1, held: make(map[edge.Kind]map[string]edge.Object), history: make(map[edge.Kind][]edge.Object)}
+	s := &Store{revision: 1, objects: make(map[edge.Kind]map[string]edge.Object), history: make(map[edge.Kind][]edge.Object)}
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
@@ -46,23 +46,23 @@
 	defer s.mu.Unlock()
 	s.revision++
 	o.Revision = s.revision
-	if s.held[kind] == nil {
-		s.held[kind] = make(map[string]edge.Object)
+	if s.objects[kind] == nil {
+		s.objects[kind] = make(map[string]edge.Object)
 	}
 	if o.Removed {
-		delete(s.held[kind], o.Name)
+		delete(s.objects[kind], o.Name)
 	} else {
-		s.held[kind][o.Name] = o
+		s.objects[kind][o.Name] = o
 	}
 	s.history[kind] = append(s.history[kind], o)
 	s.changed.Broadcast()
 }
 
-// SetAway makes the store refuse all calls, or serve again.
-func (s *Store) SetAway(away bool) {
+// SetUnavailable makes the store refuse all calls, or serve again.
+func (s *Store) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 	s.changed.Broadcast()
 }
 
@@ -75,15 +75,15 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	after, wait, watches := platform.ParseWatchQuery(r.URL.Query())
-	if watches {
+	after, wait, isWatch := platform.ParseWatchQuery(r.URL.Query())
+	if isWatch {
 		s.awaitChange(after, wait)
 	}
-	if s.away {
+	if s.unavailable {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	answer, err := s.answer(kind, after, watches)
+	answer, err := s.encodeAnswer(kind, after, isWatch)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -93,26 +93,26 @@
 
 // awaitChange waits for a change after a revision, at most for a time.
 func (s *Store) awaitChange(after uint64, wait time.Duration) {
-	over := false
+	timedOut := false
 	timer := time.AfterFunc(wait, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		over = true
+		timedOut = true
 		s.changed.Broadcast()
 	})
 	defer timer.Stop()
-	for !over && !s.away && s.revision <= after {
+	for !timedOut && !s.unavailable && s.revision <= after {
 		s.changed.Wait()
 	}
 }
 
-func (s *Store) answer(kind edge.Kind, after uint64, watches bool) ([]byte, error) {
-	if watches {
-		news := slices.DeleteFunc(slices.Clone(s.history[kind]), func(o edge.Object) bool { return o.Revision <= after })
-		return platform.EncodeChanges(news, s.revision)
+func (s *Store) encodeAnswer(kind edge.Kind, after uint64, isWatch bool) ([]byte, error) {
+	if isWatch {
+		changes := slices.DeleteFunc(slices.Clone(s.history[kind]), func(o edge.Object) bool { return o.Revision <= after })
+		return platform.EncodeChanges(changes, s.revision)
 	}
 	var all []edge.Object
-	for _, o := range s.held[kind] {
+	for _, o := range s.objects[kind] {
 		all = append(all, o)
 	}
 	slices.SortFunc(all, func(a, b edge.Object) int { return strings.Compare(a.Name, b.Name) })
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -16,16 +16,16 @@
 // The outages. None of them lets a write take effect but Slow.
 const (
 	// NoOutage: calls are served.
-	NoOutage Outage = ""
-	// Refuse answers 503 at once.
-	Refuse Outage = "refuse"
-	// Drop cuts each connection without an answer.
-	Drop Outage = "drop"
-	// Hang holds each call until the caller leaves or the outage ends, and
+	OutageNone Outage = ""
+	// OutageRefuse answers 503 at once.
+	OutageRefuse Outage = "refuse"
+	// OutageDrop cuts each connection without an answer.
+	OutageDrop Outage = "drop"
+	// OutageHang holds each call until the caller leaves or the outage ends, and
 	// then cuts the connection.
-	Hang Outage = "hang"
-	// Slow serves each call after Faults.DelayMs.
-	Slow Outage = "slow"
+	OutageHang Outage = "hang"
+	// OutageSlow serves each call after Faults.DelayMs.
+	OutageSlow Outage = "slow"
 )
 
 // The platform's usual rates of calls a second.
@@ -57,17 +57,17 @@
 	VMLagMs int64 `json:"vm_lag_ms,omitempty"`
 }
 
-// Kind is a kind of call, for counting.
-type Kind int
+// CallKind is a kind of call, for counting.
+type CallKind int
 
 // The kinds of calls.
 const (
-	GetCall Kind = iota
+	GetCall CallKind = iota
 	ListCall
 	PutCall
 	WatchCall
 	VMsCall
-	kinds
+	callKindCount
 )
 
 // Calls counts what the platform was asked, over all callers.
@@ -92,13 +92,13 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Calls{
-		Get:     p.counts[GetCall],
-		List:    p.counts[ListCall],
-		Put:     p.counts[PutCall],
-		Watch:   p.counts[WatchCall],
-		VMs:     p.counts[VMsCall],
-		Limited: p.limited,
-		Bytes:   p.bytes.Load(),
+		Get:     p.callCounts[GetCall],
+		List:    p.callCounts[ListCall],
+		Put:     p.callCounts[PutCall],
+		Watch:   p.callCounts[WatchCall],
+		VMs:     p.callCounts[VMsCall],
+		Limited: p.limitedCalls,
+		Bytes:   p.answerBytes.Load(),
 	}
 }
 
@@ -121,16 +121,16 @@
 		p.epoch, p.endEpoch = context.WithCancel(context.Background())
 	}
 	if f.WritesPerSecond != previous.WritesPerSecond {
-		p.writes = newLimiter(f.WritesPerSecond)
+		p.writeLimiter = newLimiter(f.WritesPerSecond)
 	}
 	if f.ReadsPerSecond != previous.ReadsPerSecond {
-		p.reads = newLimiter(f.ReadsPerSecond)
+		p.readLimiter = newLimiter(f.ReadsPerSecond)
 	}
 	switch {
 	case !f.StaleReads:
-		p.stale = nil
-	case p.stale == nil:
-		p.stale = p.store.snapshot()
+		p.staleStore = nil
+	case p.staleStore == nil:
+		p.staleStore = p.store.snapshot()
 	}
 }
 
@@ -155,17 +155,17 @@
 // admit counts a call and decides what it meets, in one step: a call that has
 // been counted is not touched by a later change of the faults, but that its
 // epoch ends.
-func (p *Platform) admit(kind Kind) admission {
+func (p *Platform) admit(kind CallKind) admission {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.counts[kind]++
-	limiter := p.reads
+	p.callCounts[kind]++
+	limiter := p.readLimiter
 	if kind == PutCall {
-		limiter = p.writes
+		limiter = p.writeLimiter
 	}
 	limited := !limiter.AllowN(p.opts.Now(), 1)
 	if limited {
-		p.limited++
+		p.limitedCalls++
 	}
 	return admission{
 		limited: limited,
@@ -175,52 +175,52 @@
 	}
 }
 
-// guarded wraps a call of the object API in limits and outages.
-func (p *Platform) guarded(kind Kind, serve http.HandlerFunc) http.HandlerFunc {
+// withFaults wraps a call of the object API in limits and outages.
+func (p *Platform) withFaults(kind CallKind, serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		counted := &countingWriter{ResponseWriter: w, bytes: &p.bytes}
-		met := p.admit(kind)
-		if met.limited {
+		counted := &countingWriter{ResponseWriter: w, bytes: &p.answerBytes}
+		admitted := p.admit(kind)
+		if admitted.limited {
 			writeJSON(counted, http.StatusTooManyRequests, objectstore.ErrorAnswer{Code: objectstore.CodeRateLimited})
 			return
 		}
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		defer context.AfterFunc(met.epoch, cancel)()
-		if p.suffer(ctx, met, counted) {
+		defer context.AfterFunc(admitted.epoch, cancel)()
+		if p.applyOutage(ctx, admitted, counted) {
 			serve(counted, r.WithContext(ctx))
 		}
 	}
 }
 
-// suffer applies the outage and reports whether the call is still served.
-func (p *Platform) suffer(ctx context.Context, met admission, w http.ResponseWriter) bool {
-	switch met.outage {
-	case Refuse:
+// applyOutage applies the outage and reports whether the call is still served.
+func (p *Platform) applyOutage(ctx context.Context, admitted admission, w http.ResponseWriter) bool {
+	switch admitted.outage {
+	case OutageRefuse:
 		writeJSON(w, http.StatusServiceUnavailable, objectstore.ErrorAnswer{Code: objectstore.CodeUnavailable})
 		return false
-	case Drop:
+	case OutageDrop:
 		panic(http.ErrAbortHandler)
-	case Hang:
+	case OutageHang:
 		<-ctx.Done()
 		panic(http.ErrAbortHandler)
-	case Slow:
-		if p.opts.Sleep(ctx, met.delay) != nil {
+	case OutageSlow:
+		if p.opts.Sleep(ctx, admitted.delay) != nil {
 			panic(http.ErrAbortHandler)
 		}
 	}
 	return true
 }
 
-// use takes one off a fault's count and reports whether there was one.
-func (p *Platform) use(count func(*Faults) *int) bool {
+// consumeFault takes one off a fault's count and reports whether there was one.
+func (p *Platform) consumeFault(count func(*Faults) *int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	left := count(&p.faults)
-	if *left <= 0 {
+	remaining := count(&p.faults)
+	if *remaining <= 0 {
 		return false
 	}
-	*left--
+	*remaining--
 	return true
 }
 
@@ -228,14 +228,14 @@
 func (p *Platform) readStore() *Store {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.stale != nil {
-		return p.stale
+	if p.staleStore != nil {
+		return p.staleStore
 	}
 	return p.store
 }
 
-// controlFaults serves POST /v1/faults.
-func (p *Platform) controlFaults(w http.ResponseWriter, r *http.Request) {
+// serveSetFaults serves POST /v1/faults.
+func (p *Platform) serveSetFaults(w http.ResponseWriter, r *http.Request) {
 	var faults Faults
 	if err := decodeBody(w, r, &faults); err != nil {
 		reply(w, nil, err)
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -30,19 +30,19 @@
 
 // Platform serves a Store over HTTP, with faults to order.
 type Platform struct {
-	opts  Options
-	store *Store
-	mux   *http.ServeMux
-	bytes atomic.Int64
-
-	mu      sync.Mutex
-	faults  Faults
-	writes  *rate.Limiter
-	reads   *rate.Limiter
-	counts  [kinds]int64
-	limited int64
-	// stale answers reads while Faults.StaleReads is set.
-	stale *Store
+	opts        Options
+	store       *Store
+	mux         *http.ServeMux
+	answerBytes atomic.Int64
+
+	mu           sync.Mutex
+	faults       Faults
+	writeLimiter *rate.Limiter
+	readLimiter  *rate.Limiter
+	callCounts   [callKindCount]int64
+	limitedCalls int64
+	// staleStore answers reads while Faults.StaleReads is set.
+	staleStore *Store
 	// epoch ends when the outage changes.
 	epoch    context.Context
 	endEpoch context.CancelFunc
@@ -58,27 +58,27 @@
 	}
 	opts.Store.Now = opts.Now
 	p := &Platform{
-		opts:   opts,
-		store:  NewStore(opts.Store),
-		mux:    http.NewServeMux(),
-		writes: newLimiter(0),
-		reads:  newLimiter(0),
+		opts:         opts,
+		store:        NewStore(opts.Store),
+		mux:          http.NewServeMux(),
+		writeLimiter: newLimiter(0),
+		readLimiter:  newLimiter(0),
 	}
 	p.epoch, p.endEpoch = context.WithCancel(context.Background())
 	p.SetFaults(opts.Faults)
-	p.routes()
+	p.registerRoutes()
 	return p
 }
 
-func (p *Platform) routes() {
-	p.mux.HandleFunc("GET "+objectstore.PathObjects+"/{key...}", p.guarded(GetCall, p.get))
-	p.mux.HandleFunc("PUT "+objectstore.PathObjects+"/{key...}", p.guarded(PutCall, p.put))
-	p.mux.HandleFunc("GET "+objectstore.PathObjects, p.guarded(ListCall, p.list))
-	p.mux.HandleFunc("GET "+objectstore.PathWatch, p.guarded(WatchCall, p.watch))
-	p.mux.HandleFunc("GET "+objectstore.PathVMs, p.guarded(VMsCall, p.vms))
+func (p *Platform) registerRoutes() {
+	p.mux.HandleFunc("GET "+objectstore.PathObjects+"/{key...}", p.withFaults(GetCall, p.get))
+	p.mux.HandleFunc("PUT "+objectstore.PathObjects+"/{key...}", p.withFaults(PutCall, p.put))
+	p.mux.HandleFunc("GET "+objectstore.PathObjects, p.withFaults(ListCall, p.list))
+	p.mux.HandleFunc("GET "+objectstore.PathWatch, p.withFaults(WatchCall, p.watch))
+	p.mux.HandleFunc("GET "+objectstore.PathVMs, p.withFaults(VMsCall, p.listVMs))
 	p.mux.HandleFunc("PUT "+objectstore.PathVMs+"/{name}", p.putVM)
 	p.mux.HandleFunc("DELETE "+objectstore.PathVMs+"/{name}", p.deleteVM)
-	p.mux.HandleFunc("POST /v1/faults", p.controlFaults)
+	p.mux.HandleFunc("POST /v1/faults", p.serveSetFaults)
 	p.mux.HandleFunc("GET /v1/faults", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Faults(), nil) })
 	p.mux.HandleFunc("GET /v1/calls", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Calls(), nil) })
 }
@@ -131,19 +131,19 @@
 		reply(w, nil, err)
 		return
 	}
-	if p.use(func(f *Faults) *int { return &f.LoseWrites }) {
+	if p.consumeFault(func(f *Faults) *int { return &f.LoseWrites }) {
 		panic(http.ErrAbortHandler)
 	}
 	version, err := p.store.Put(r.Context(), r.PathValue("key"), body.Value, expected)
-	if err == nil && p.use(func(f *Faults) *int { return &f.LoseAnswers }) {
+	if err == nil && p.consumeFault(func(f *Faults) *int { return &f.LoseAnswers }) {
 		panic(http.ErrAbortHandler)
 	}
 	reply(w, objectstore.PutAnswer{Version: version}, err)
 }
 
-func (p *Platform) vms(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) listVMs(w http.ResponseWriter, r *http.Request) {
 	lag := time.Duration(p.Faults().VMLagMs) * time.Millisecond
-	list, err := p.store.vmsBefore(r.Context(), lag)
+	list, err := p.store.vmsWithLag(r.Context(), lag)
 	reply(w, objectstore.VMsAnswer{VMs: list}, err)
 }
 
