--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -41,10 +41,10 @@
 	objects map[string]objectstore.Object
 	// history holds the latest writes in version order.
 	history []change
-	// forgotten is the version of the newest write dropped from history.
-	forgotten objectstore.Version
-	vms       vmHistory
-	waiters   map[*waiter]struct{}
+	// trimmedVersion is the version of the newest write dropped from history.
+	trimmedVersion objectstore.Version
+	vms            vmHistory
+	waiters        map[*waiter]struct{}
 }
 
 // change is one write in the history.
@@ -93,7 +93,7 @@
 	if !ok {
 		return objectstore.Object{}, objectstore.ErrNotFound
 	}
-	return clone(object), nil
+	return cloneObject(object), nil
 }
 
 // List implements objectstore.Store.
@@ -106,7 +106,7 @@
 	var found []objectstore.Object
 	for key, object := range s.objects {
 		if strings.HasPrefix(key, prefix) {
-			found = append(found, clone(object))
+			found = append(found, cloneObject(object))
 		}
 	}
 	slices.SortFunc(found, func(a, b objectstore.Object) int { return strings.Compare(a.Key, b.Key) })
@@ -128,25 +128,25 @@
 	}
 	s.version++
 	s.objects[key] = objectstore.Object{Key: key, Version: s.version, Value: bytes.Clone(value)}
-	s.record(change{version: s.version, key: key})
-	s.wake(key)
+	s.appendHistory(change{version: s.version, key: key})
+	s.wakeWaiters(key)
 	return s.version, nil
 }
 
-// record appends to the history and forgets its oldest entries. It trims only
+// appendHistory appends to the history and forgets its oldest entries. It trims only
 // at twice the limit, so that a write costs constant time on average.
-func (s *Store) record(c change) {
+func (s *Store) appendHistory(c change) {
 	s.history = append(s.history, c)
 	if len(s.history) < 2*s.opts.History {
 		return
 	}
 	drop := len(s.history) - s.opts.History
-	s.forgotten = s.history[drop-1].version
+	s.trimmedVersion = s.history[drop-1].version
 	s.history = slices.Clone(s.history[drop:])
 }
 
-// wake releases the watches that the written key concerns, and no others.
-func (s *Store) wake(key string) {
+// wakeWaiters releases the watches that the written key concerns, and no others.
+func (s *Store) wakeWaiters(key string) {
 	for w := range s.waiters {
 		if strings.HasPrefix(key, w.prefix) {
 			close(w.ready)
@@ -174,10 +174,10 @@
 		select {
 		case <-w.ready:
 		case <-timeout.C:
-			s.forget(w)
+			s.removeWaiter(w)
 			return nil, version, nil
 		case <-ctx.Done():
-			s.forget(w)
+			s.removeWaiter(w)
 		}
 	}
 }
@@ -187,7 +187,7 @@
 func (s *Store) changesOrWaiter(prefix string, after objectstore.Version) ([]objectstore.Object, objectstore.Version, *waiter, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.forgotten {
+	if after < s.trimmedVersion {
 		return nil, 0, nil, objectstore.ErrTooOld
 	}
 	if found := s.changesAfter(prefix, after); len(found) > 0 {
@@ -208,20 +208,20 @@
 	for _, c := range s.history[first:] {
 		object := s.objects[c.key]
 		if object.Version == c.version && strings.HasPrefix(c.key, prefix) {
-			found = append(found, clone(object))
+			found = append(found, cloneObject(object))
 		}
 	}
 	return found
 }
 
-func (s *Store) forget(w *waiter) {
+func (s *Store) removeWaiter(w *waiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.waiters, w)
 }
 
-// Waiting counts the watches that wait now.
-func (s *Store) Waiting() int {
+// WaitingWatches counts the watches that wait now.
+func (s *Store) WaitingWatches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.waiters)
@@ -239,15 +239,15 @@
 func (s *Store) snapshot() *Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	frozen := NewStore(s.opts)
-	frozen.version = s.version
-	frozen.objects = maps.Clone(s.objects)
-	frozen.history = slices.Clone(s.history)
-	frozen.forgotten = s.forgotten
-	return frozen
+	copied := NewStore(s.opts)
+	copied.version = s.version
+	copied.objects = maps.Clone(s.objects)
+	copied.history = slices.Clone(s.history)
+	copied.trimmedVersion = s.trimmedVersion
+	return copied
 }
 
-func clone(o objectstore.Object) objectstore.Object {
+func cloneObject(o objectstore.Object) objectstore.Object {
 	o.Value = bytes.Clone(o.Value)
 	return o
 }
--- a/standin/platform/vms.go
+++ b/standin/platform/vms.go
@@ -30,10 +30,10 @@
 }
 
 // VMs implements objectstore.Store.
-func (s *Store) VMs(ctx context.Context) ([]objectstore.VM, error) { return s.vmsBefore(ctx, 0) }
+func (s *Store) VMs(ctx context.Context) ([]objectstore.VM, error) { return s.vmsWithLag(ctx, 0) }
 
-// vmsBefore returns the list of machines as it was some time ago.
-func (s *Store) vmsBefore(ctx context.Context, lag time.Duration) ([]objectstore.VM, error) {
+// vmsWithLag returns the list of machines as it was some time ago.
+func (s *Store) vmsWithLag(ctx context.Context, lag time.Duration) ([]objectstore.VM, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -19,48 +19,48 @@
 	ID state.Upstream
 	// Slots is how many requests run at a time.
 	Slots int
-	// Work passes before an answer, or before the first event of a stream.
-	Work time.Duration
-	// Events is the length of a stream; zero answers with a page.
-	Events int
-	// Pace passes between two events.
-	Pace time.Duration
+	// AnswerDelay passes before an answer, or before the first event of a stream.
+	AnswerDelay time.Duration
+	// EventCount is the length of a stream; zero answers with a page.
+	EventCount int
+	// EventInterval passes between two events.
+	EventInterval time.Duration
 }
 
-// HeldPath begins the paths of streams that go on until their caller leaves.
-const HeldPath = "/held/"
+// HeldPathPrefix begins the paths of streams that go on until their caller leaves.
+const HeldPathPrefix = "/held/"
 
-// heldLimit ends a held stream that nobody cuts off, so that a test of a router
+// maxHeldDuration ends a held stream that nobody cuts off, so that a test of a router
 // that forgets one ends.
-const heldLimit = 20 * time.Second
+const maxHeldDuration = 20 * time.Second
 
 // Run is one request that a server ran.
 type Run struct {
 	Attempt   string
 	Workspace state.Workspace
-	Began     time.Time
-	// Whole is set if the answer was sent to its end, Ended once it is over.
-	Whole, Ended bool
+	StartedAt time.Time
+	// Complete is set if the answer was sent to its end, Ended once it is over.
+	Complete, Ended bool
 }
 
 // Server is an http.Handler.
 type Server struct {
 	Options
-	slots chan struct{}
-	queue chan struct{}
+	slots    chan struct{}
+	admitted chan struct{}
 
 	mu   sync.Mutex
 	runs []*Run
-	// leaked is set if a caller's key arrived.
-	leaked bool
+	// receivedCallerKey is set if a caller's key arrived.
+	receivedCallerKey bool
 }
 
 // New returns a server.
 func New(options Options) *Server {
 	return &Server{
-		Options: options,
-		slots:   make(chan struct{}, options.Slots),
-		queue:   make(chan struct{}, 2*options.Slots),
+		Options:  options,
+		slots:    make(chan struct{}, options.Slots),
+		admitted: make(chan struct{}, 2*options.Slots),
 	}
 }
 
@@ -75,18 +75,18 @@
 	return runs
 }
 
-// Leaked says whether a caller's key arrived.
-func (s *Server) Leaked() bool {
+// ReceivedCallerKey says whether a caller's key arrived.
+func (s *Server) ReceivedCallerKey() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.leaked
+	return s.receivedCallerKey
 }
 
-// Page is the answer to an attempt, and Event an event of its stream.
-func Page(attempt string) string { return "page of " + attempt }
+// AnswerBody is the answer to an attempt, and Event an event of its stream.
+func AnswerBody(attempt string) string { return "page of " + attempt }
 
-// Event is the text of an event of an attempt's stream, counted from 1.
-func Event(attempt string, n int) string {
+// EventText is the text of an event of an attempt's stream, counted from 1.
+func EventText(attempt string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, attempt, n)
 }
 
@@ -99,8 +99,8 @@
 		return
 	}
 	select {
-	case s.queue <- struct{}{}:
-		defer func() { <-s.queue }()
+	case s.admitted <- struct{}{}:
+		defer func() { <-s.admitted }()
 	default:
 		platform.SetNotRunHeaders(w.Header(), attempt.ID)
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -112,49 +112,49 @@
 	case <-r.Context().Done():
 		return
 	}
-	run := s.begin(attempt)
-	whole := s.answer(w, r, attempt.ID)
+	run := s.recordStart(attempt)
+	complete := s.writeAnswer(w, r, attempt.ID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	run.Whole, run.Ended = whole, true
+	run.Complete, run.Ended = complete, true
 }
 
-func (s *Server) begin(attempt platform.Attempt) *Run {
+func (s *Server) recordStart(attempt platform.Attempt) *Run {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaked = s.leaked || attempt.Key != ""
-	run := &Run{Attempt: attempt.ID, Workspace: attempt.Workspace, Began: time.Now()}
+	s.receivedCallerKey = s.receivedCallerKey || attempt.Key != ""
+	run := &Run{Attempt: attempt.ID, Workspace: attempt.Workspace, StartedAt: time.Now()}
 	s.runs = append(s.runs, run)
 	return run
 }
 
-// answer says whether the whole answer was sent.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, attempt string) bool {
-	if !s.pause(r, s.Work) {
+// writeAnswer says whether the whole answer was sent.
+func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, attempt string) bool {
+	if !s.wait(r, s.AnswerDelay) {
 		return false
 	}
 	platform.SetAnswerHeaders(w.Header(), attempt, "signed by "+string(s.ID))
-	if s.Events == 0 {
-		_, err := fmt.Fprint(w, Page(attempt))
+	if s.EventCount == 0 {
+		_, err := fmt.Fprint(w, AnswerBody(attempt))
 		return err == nil
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
-	for n := 1; n <= s.Events; n++ {
-		if _, err := fmt.Fprint(w, Event(attempt, n)); err != nil {
+	for n := 1; n <= s.EventCount; n++ {
+		if _, err := fmt.Fprint(w, EventText(attempt, n)); err != nil {
 			return false
 		}
 		if err := http.NewResponseController(w).Flush(); err != nil {
 			return false
 		}
-		if strings.HasPrefix(r.URL.Path, HeldPath) && !s.pause(r, heldLimit) || !s.pause(r, s.Pace) {
+		if strings.HasPrefix(r.URL.Path, HeldPathPrefix) && !s.wait(r, maxHeldDuration) || !s.wait(r, s.EventInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// pause waits unless the connection is cut off.
-func (s *Server) pause(r *http.Request, d time.Duration) bool {
+// wait waits unless the connection is cut off.
+func (s *Server) wait(r *http.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -26,7 +26,7 @@
 	return response
 }
 
-func TestServerRunsRejectsAndKeepsALedger(t *testing.T) {
+func TestServerRunsRejectsAndRecordsRequests(t *testing.T) {
 	s := New(Options{ID: "u", Slots: 1})
 	httpServer := httptest.NewServer(s)
 	defer httpServer.Close()
@@ -34,7 +34,7 @@
 	response := send(t, context.Background(), httpServer.URL, "a", to)
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
-	require.Equal(t, Page("a"), string(body))
+	require.Equal(t, AnswerBody("a"), string(body))
 	require.Equal(t, ingress.AnswerHead{Signed: true}, platform.Dialect{}.Answer(response.StatusCode, response.Header))
 
 	to.Upstream = "another"
@@ -45,23 +45,23 @@
 	require.Len(t, runs, 1)
 	require.Equal(t, "a", runs[0].Attempt)
 	require.EqualValues(t, "w", runs[0].Workspace)
-	require.True(t, runs[0].Whole)
-	require.False(t, s.Leaked())
+	require.True(t, runs[0].Complete)
+	require.False(t, s.ReceivedCallerKey())
 }
 
 func TestHeldStreamEndsWithItsCaller(t *testing.T) {
-	s := New(Options{ID: "u", Slots: 1, Events: 3})
+	s := New(Options{ID: "u", Slots: 1, EventCount: 3})
 	httpServer := httptest.NewServer(s)
 	defer httpServer.Close()
 	ctx, cancel := context.WithCancel(context.Background())
-	response := send(t, ctx, httpServer.URL+HeldPath, "a", ingress.Outbound{Upstream: "u", Deadline: time.Second})
-	first := make([]byte, len(Event("a", 1)))
+	response := send(t, ctx, httpServer.URL+HeldPathPrefix, "a", ingress.Outbound{Upstream: "u", Deadline: time.Second})
+	first := make([]byte, len(EventText("a", 1)))
 	_, err := io.ReadFull(response.Body, first)
 	require.NoError(t, err)
-	require.Equal(t, Event("a", 1), string(first))
+	require.Equal(t, EventText("a", 1), string(first))
 	cancel()
 	require.Eventually(t, func() bool {
 		runs := s.Runs()
-		return runs[0].Ended && !runs[0].Whole
+		return runs[0].Ended && !runs[0].Complete
 	}, 5*time.Second, time.Millisecond)
 }
--- a/standin/upstream/control.go
+++ b/standin/upstream/control.go
@@ -13,7 +13,7 @@
 // Mount adds the paths that every stand-in upstream has: GET /load,
 // GET /ledger, PUT /drain, GET and PUT /faults, POST /crash and POST /restart.
 func (h *Host) Mount(mux *http.ServeMux) {
-	mux.HandleFunc("GET /load", h.Guard(func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET /load", h.DropWhileDown(func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, h.Load())
 	}))
 	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) {
@@ -45,7 +45,7 @@
 
 func (h *Host) serveRestart(w http.ResponseWriter, _ *http.Request) {
 	if err := h.Restart(); err != nil {
-		WriteJSON(w, http.StatusInternalServerError, refusalAnswer{Error: Refusal{Message: err.Error()}})
+		WriteJSON(w, http.StatusInternalServerError, rejectionAnswer{Error: Rejection{Message: err.Error()}})
 		return
 	}
 	w.WriteHeader(http.StatusNoContent)
@@ -55,7 +55,7 @@
 func ReadJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into)
 	if err != nil {
-		WriteJSON(w, http.StatusBadRequest, refusalAnswer{Error: Refusal{Message: err.Error()}})
+		WriteJSON(w, http.StatusBadRequest, rejectionAnswer{Error: Rejection{Message: err.Error()}})
 	}
 	return err == nil
 }
--- a/standin/upstream/faults.go
+++ b/standin/upstream/faults.go
@@ -10,23 +10,23 @@
 	// StayDown keeps a crashed upstream down until it is restarted by hand.
 	// Otherwise it comes back at once with a new Boot.
 	StayDown bool `json:"stay_down,omitempty"`
-	// Truncate cuts off this many of the next answers half way.
-	Truncate int `json:"truncate,omitempty"`
-	// Cross gives this many of the next callers the answer that belongs to
+	// TruncateAnswers cuts off this many of the next answers half way.
+	TruncateAnswers int `json:"truncate,omitempty"`
+	// CrossAnswers gives this many of the next callers the answer that belongs to
 	// the request received before theirs.
-	Cross int `json:"cross,omitempty"`
-	// Refuse answers this many of the next requests with 503, unstarted.
-	Refuse int `json:"refuse,omitempty"`
-	// Slow multiplies every delay; 0 means 1.
-	Slow float64 `json:"slow,omitempty"`
-	// FreezeLoad repeats the last load report for ever.
-	FreezeLoad bool `json:"freeze_load,omitempty"`
+	CrossAnswers int `json:"cross,omitempty"`
+	// RejectRequests answers this many of the next requests with 503, unstarted.
+	RejectRequests int `json:"refuse,omitempty"`
+	// DelayFactor multiplies every delay; 0 means 1.
+	DelayFactor float64 `json:"slow,omitempty"`
+	// FreezeLoadReport repeats the last load report for ever.
+	FreezeLoadReport bool `json:"freeze_load,omitempty"`
 }
 
-// stretch applies Slow to a delay.
-func (f Faults) stretch(d time.Duration) time.Duration {
-	if f.Slow <= 0 {
+// scaleDelay applies Slow to a delay.
+func (f Faults) scaleDelay(d time.Duration) time.Duration {
+	if f.DelayFactor <= 0 {
 		return d
 	}
-	return time.Duration(float64(d) * f.Slow)
+	return time.Duration(float64(d) * f.DelayFactor)
 }
--- a/standin/upstream/host.go
+++ b/standin/upstream/host.go
@@ -43,23 +43,23 @@
 	ledger Ledger
 	slots  *semaphore.Weighted
 
-	mu       sync.Mutex
-	faults   Faults
-	models   []state.Model
-	running  int
-	waiting  int
-	draining bool
-	load     loadHistory
-	frozen   *state.LoadReport
-	run      run
-	door     *door
-}
-
-// run is one life of the upstream's process.
-type run struct {
+	mu           sync.Mutex
+	faults       Faults
+	models       []state.Model
+	running      int
+	waiting      int
+	draining     bool
+	load         loadHistory
+	frozenReport *state.LoadReport
+	run          processRun
+	server       *restartableServer
+}
+
+// processRun is one life of the upstream's process.
+type processRun struct {
 	number int
 	ctx    context.Context
-	crash  context.CancelFunc
+	cancel context.CancelFunc
 	down   bool
 }
 
@@ -78,7 +78,7 @@
 		faults: opts.Faults,
 		load:   loadHistory{lag: opts.LoadLag},
 	}
-	h.boot()
+	h.startRun()
 	return h
 }
 
@@ -94,20 +94,20 @@
 	}
 }
 
-// boot begins a new run. The caller holds the lock or is the only one.
-func (h *Host) boot() {
-	ctx, crash := context.WithCancel(context.Background())
-	h.run = run{number: h.run.number + 1, ctx: ctx, crash: crash}
+// startRun begins a new run. The caller holds the lock or is the only one.
+func (h *Host) startRun() {
+	ctx, cancel := context.WithCancel(context.Background())
+	h.run = processRun{number: h.run.number + 1, ctx: ctx, cancel: cancel}
 	h.models = slices.Clone(h.opts.Models)
 	h.draining = false
-	h.noteLoad()
+	h.recordLoad()
 }
 
 // bootName is what load reports call the present run.
 func (h *Host) bootName() string { return fmt.Sprintf("%s-%d", h.opts.Name, h.run.number) }
 
-// noteLoad records the present load. The caller holds the lock.
-func (h *Host) noteLoad() {
+// recordLoad records the present load. The caller holds the lock.
+func (h *Host) recordLoad() {
 	h.load.add(h.opts.Now(), state.LoadReport{
 		Upstream: h.opts.Name,
 		Boot:     h.bootName(),
@@ -119,27 +119,27 @@
 	})
 }
 
-// change runs a change of state under the lock and records the load after it.
-func (h *Host) change(f func()) {
+// changeState runs a change of state under the lock and records the load after it.
+func (h *Host) changeState(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	f()
-	h.noteLoad()
+	h.recordLoad()
 }
 
 // Load returns the report that a reader sees now.
 func (h *Host) Load() state.LoadReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.faults.FreezeLoad {
-		h.frozen = nil
-		return h.load.seen(h.opts.Now())
+	if !h.faults.FreezeLoadReport {
+		h.frozenReport = nil
+		return h.load.visibleReport(h.opts.Now())
 	}
-	if h.frozen == nil {
-		report := h.load.seen(h.opts.Now())
-		h.frozen = &report
+	if h.frozenReport == nil {
+		report := h.load.visibleReport(h.opts.Now())
+		h.frozenReport = &report
 	}
-	return *h.frozen
+	return *h.frozenReport
 }
 
 // Ledger returns the record of received requests.
@@ -147,10 +147,10 @@
 
 // SetDraining says whether load reports ask for no new work. New requests
 // still run; the ledger marks them.
-func (h *Host) SetDraining(draining bool) { h.change(func() { h.draining = draining }) }
+func (h *Host) SetDraining(draining bool) { h.changeState(func() { h.draining = draining }) }
 
 // SetFaults replaces the faults.
-func (h *Host) SetFaults(f Faults) { h.change(func() { h.faults = f }) }
+func (h *Host) SetFaults(f Faults) { h.changeState(func() { h.faults = f }) }
 
 // Faults returns the faults that are left.
 func (h *Host) Faults() Faults {
@@ -166,14 +166,14 @@
 	return slices.Clone(h.models)
 }
 
-// Holds tells whether a model is held now.
-func (h *Host) Holds(model state.Model) bool { return slices.Contains(h.Models(), model) }
+// HasModel tells whether a model is held now.
+func (h *Host) HasModel(model state.Model) bool { return slices.Contains(h.Models(), model) }
 
-// SetHeld adds a model to those held, or removes it.
-func (h *Host) SetHeld(model state.Model, held bool) {
-	h.change(func() {
+// SetModelLoaded adds a model to those held, or removes it.
+func (h *Host) SetModelLoaded(model state.Model, loaded bool) {
+	h.changeState(func() {
 		h.models = slices.DeleteFunc(h.models, func(m state.Model) bool { return m == model })
-		if held {
+		if loaded {
 			h.models = append(h.models, model)
 		}
 	})
@@ -184,7 +184,7 @@
 	if err := ctx.Err(); err != nil || d <= 0 {
 		return err
 	}
-	return h.opts.Sleep(ctx, h.Faults().stretch(d))
+	return h.opts.Sleep(ctx, h.Faults().scaleDelay(d))
 }
 
 // Crash ends the present run: every connection drops. Unless it stays down,
@@ -193,13 +193,13 @@
 
 // crashRun takes down one run, so that two requests that crash the same run
 // do not take down the next one as well.
-func (h *Host) crashRun(r run) {
+func (h *Host) crashRun(r processRun) {
 	if !h.markDown(r) {
 		return
 	}
-	r.crash()
-	if h.door != nil {
-		h.door.shut()
+	r.cancel()
+	if h.server != nil {
+		h.server.close()
 	}
 	if !h.Faults().StayDown {
 		// A failure to listen again leaves the upstream down, as StayDown does.
@@ -207,14 +207,14 @@
 	}
 }
 
-func (h *Host) currentRun() run {
+func (h *Host) currentRun() processRun {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.run
 }
 
 // markDown reports whether the run was the present one and up.
-func (h *Host) markDown(r run) bool {
+func (h *Host) markDown(r processRun) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.run.down || h.run.number != r.number {
@@ -230,23 +230,23 @@
 	if !h.currentRun().down {
 		return nil
 	}
-	if h.door != nil {
-		if err := h.door.open(); err != nil {
+	if h.server != nil {
+		if err := h.server.listen(); err != nil {
 			return err
 		}
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.boot()
+	h.startRun()
 	return nil
 }
 
 // Start serves a handler on a TCP address until stop is called. A crash closes
 // the address as well. It must be called before the host receives requests.
 func (h *Host) Start(addr string, handler http.Handler) (baseURL string, stop func(), err error) {
-	h.door, err = openDoor(addr, handler)
+	h.server, err = startRestartableServer(addr, handler)
 	if err != nil {
 		return "", nil, err
 	}
-	return h.door.baseURL(), h.door.shut, nil
+	return h.server.baseURL(), h.server.close, nil
 }
--- a/standin/upstream/job.go
+++ b/standin/upstream/job.go
@@ -16,15 +16,15 @@
 // ErrTruncated is returned by Work whose answer was cut off on purpose.
 var ErrTruncated = errors.New("upstream: answer truncated on purpose")
 
-// Refusal is the answer to a request that is not started.
-type Refusal struct {
+// Rejection is the answer to a request that is not started.
+type Rejection struct {
 	Status  int    `json:"-"`
 	Message string `json:"message"`
 }
 
-// refusalAnswer is the body of a refusal, as engines write it.
-type refusalAnswer struct {
-	Error Refusal `json:"error"`
+// rejectionAnswer is the body of a refusal, as engines write it.
+type rejectionAnswer struct {
+	Error Rejection `json:"error"`
 }
 
 // Work runs one request in a slot and writes its answer. It returns the error
@@ -32,61 +32,61 @@
 type Work func(w http.ResponseWriter, job *Job) error
 
 // Plan reads a request and returns the work it asks for or a refusal.
-type Plan func(job *Job) (Work, *Refusal)
+type Plan func(job *Job) (Work, *Rejection)
 
 // Job is one received request.
 type Job struct {
 	Header http.Header
 	Body   []byte
-	// Cut is set if the answer is to break off half way.
-	Cut bool
+	// TruncateAnswer is set if the answer is to break off half way.
+	TruncateAnswer bool
 
-	host  *Host
-	run   run
-	ctx   context.Context
-	index int
-	// answers is the entry whose answer is given; another one's if crossed.
-	answers int
+	host       *Host
+	run        processRun
+	ctx        context.Context
+	entryIndex int
+	// answerIndex is the entry whose answer is given; another one's if crossed.
+	answerIndex int
 }
 
 // Run takes a request through the host: ledger, faults, slot, work.
 func (h *Host) Run(w http.ResponseWriter, r *http.Request, plan Plan) {
-	h.Guard(func(w http.ResponseWriter, r *http.Request) {
+	h.DropWhileDown(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
-		job := &Job{Header: r.Header, Body: body, host: h, run: runOf(r.Context()), ctx: r.Context()}
-		job.receive()
+		job := &Job{Header: r.Header, Body: body, host: h, run: runFromContext(r.Context()), ctx: r.Context()}
+		job.recordReceived()
 		job.serve(w, plan)
 	})(w, r)
 }
 
-// runKey is the context key of the run that received a request.
-type runKey struct{}
+// runContextKey is the context key of the run that received a request.
+type runContextKey struct{}
 
-func runOf(ctx context.Context) run { return ctx.Value(runKey{}).(run) }
+func runFromContext(ctx context.Context) processRun { return ctx.Value(runContextKey{}).(processRun) }
 
-// Guard wraps a handler so that a host that is down drops the connection, and
+// DropWhileDown wraps a handler so that a host that is down drops the connection, and
 // a crash ends the context of what it serves.
-func (h *Host) Guard(next http.HandlerFunc) http.HandlerFunc {
+func (h *Host) DropWhileDown(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		current := h.currentRun()
 		if current.down {
 			panic(http.ErrAbortHandler)
 		}
-		ctx, cancel := context.WithCancel(context.WithValue(r.Context(), runKey{}, current))
+		ctx, cancel := context.WithCancel(context.WithValue(r.Context(), runContextKey{}, current))
 		defer cancel()
 		defer context.AfterFunc(current.ctx, cancel)()
 		next(w, r.WithContext(ctx))
 	}
 }
 
-// receive enters the job into the ledger and gives it the faults it meets.
-func (j *Job) receive() {
+// recordReceived enters the job into the ledger and gives it the faults it meets.
+func (j *Job) recordReceived() {
 	h := j.host
-	h.change(func() {
-		j.index = h.ledger.add(Entry{
+	h.changeState(func() {
+		j.entryIndex = h.ledger.add(Entry{
 			Attempt:        j.Header.Get(HeaderAttempt),
 			IdempotencyKey: j.Header.Get(HeaderIdempotencyKey),
 			Digest:         Digest(j.Body),
@@ -95,17 +95,17 @@
 			Received:       h.opts.Now(),
 			Outcome:        Waiting,
 		})
-		j.answers = j.index
-		if take(&h.faults.Cross) {
-			j.answers = j.index - 1
+		j.answerIndex = j.entryIndex
+		if consumeFault(&h.faults.CrossAnswers) {
+			j.answerIndex = j.entryIndex - 1
 		}
-		j.Cut = take(&h.faults.Truncate)
+		j.TruncateAnswer = consumeFault(&h.faults.TruncateAnswers)
 		h.waiting++
 	})
 }
 
-// take uses up one of a fault's count.
-func take(count *int) bool {
+// consumeFault uses up one of a fault's count.
+func consumeFault(count *int) bool {
 	if *count <= 0 {
 		return false
 	}
@@ -114,21 +114,21 @@
 }
 
 func (j *Job) serve(w http.ResponseWriter, plan Plan) {
-	work, refusal := plan(j)
-	if j.takeRefusal() {
-		refusal = &Refusal{Status: http.StatusServiceUnavailable, Message: "overloaded"}
+	work, rejection := plan(j)
+	if j.consumeRejectFault() {
+		rejection = &Rejection{Status: http.StatusServiceUnavailable, Message: "overloaded"}
 	}
-	if refusal != nil {
-		j.leaveQueue(Refused)
-		WriteJSON(w, refusal.Status, refusalAnswer{Error: *refusal})
+	if rejection != nil {
+		j.leaveQueue(Rejected)
+		WriteJSON(w, rejection.Status, rejectionAnswer{Error: *rejection})
 		return
 	}
 	if err := j.host.slots.Acquire(j.ctx, 1); err != nil {
-		j.leaveQueue(j.outcome(err))
+		j.leaveQueue(j.outcomeOf(err))
 		panic(http.ErrAbortHandler)
 	}
 	j.start()
-	w.Header().Set(HeaderAttempt, j.Answers().Attempt)
+	w.Header().Set(HeaderAttempt, j.AnswerEntry().Attempt)
 	err := work(w, j)
 	j.end(err)
 	if err != nil {
@@ -138,16 +138,16 @@
 	}
 }
 
-func (j *Job) takeRefusal() bool {
+func (j *Job) consumeRejectFault() bool {
 	j.host.mu.Lock()
 	defer j.host.mu.Unlock()
-	return take(&j.host.faults.Refuse)
+	return consumeFault(&j.host.faults.RejectRequests)
 }
 
 // leaveQueue ends a job that never started.
 func (j *Job) leaveQueue(outcome Outcome) {
-	j.host.change(func() { j.host.waiting-- })
-	j.host.ledger.update(j.index, func(e *Entry) {
+	j.host.changeState(func() { j.host.waiting-- })
+	j.host.ledger.update(j.entryIndex, func(e *Entry) {
 		e.Ended = j.host.opts.Now()
 		e.Outcome = outcome
 	})
@@ -155,11 +155,11 @@
 
 // start marks the job as running; a marked body then takes the host down.
 func (j *Job) start() {
-	j.host.ledger.update(j.index, func(e *Entry) {
+	j.host.ledger.update(j.entryIndex, func(e *Entry) {
 		e.Started = j.host.opts.Now()
 		e.Outcome = Running
 	})
-	j.host.change(func() {
+	j.host.changeState(func() {
 		j.host.waiting--
 		j.host.running++
 	})
@@ -172,16 +172,16 @@
 // end frees the slot last, so that no load report shows more requests running
 // than there are slots.
 func (j *Job) end(err error) {
-	j.host.change(func() { j.host.running-- })
-	j.host.ledger.update(j.index, func(e *Entry) {
+	j.host.changeState(func() { j.host.running-- })
+	j.host.ledger.update(j.entryIndex, func(e *Entry) {
 		e.Ended = j.host.opts.Now()
-		e.Outcome = j.outcome(err)
+		e.Outcome = j.outcomeOf(err)
 	})
 	j.host.slots.Release(1)
 }
 
-// outcome tells a crash from a caller that left: a crash cancels both.
-func (j *Job) outcome(err error) Outcome {
+// outcomeOf tells a crash from a caller that left: a crash cancels both.
+func (j *Job) outcomeOf(err error) Outcome {
 	switch {
 	case err == nil:
 		return Finished
@@ -198,24 +198,24 @@
 // crashes.
 func (j *Job) Sleep(d time.Duration) error { return j.host.Sleep(j.ctx, d) }
 
-// Add counts units of work done.
-func (j *Job) Add(units int) {
-	j.host.ledger.update(j.index, func(e *Entry) { e.Units += units })
+// AddUnits counts units of work done.
+func (j *Job) AddUnits(units int) {
+	j.host.ledger.update(j.entryIndex, func(e *Entry) { e.Units += units })
 }
 
 // Host returns the host that runs the job.
 func (j *Job) Host() *Host { return j.host }
 
 // Boot names the run of the host that received the job.
-func (j *Job) Boot() string { return j.host.ledger.at(j.index).Boot }
+func (j *Job) Boot() string { return j.host.ledger.entry(j.entryIndex).Boot }
 
-// Answers returns the entry whose answer the caller is given: the job's own
+// AnswerEntry returns the entry whose answer the caller is given: the job's own
 // unless a fault crosses answers.
-func (j *Job) Answers() Entry {
-	if j.answers < 0 {
+func (j *Job) AnswerEntry() Entry {
+	if j.answerIndex < 0 {
 		return Entry{Attempt: "nobody.0.0", Digest: Digest(nil)}
 	}
-	return j.host.ledger.at(j.answers)
+	return j.host.ledger.entry(j.answerIndex)
 }
 
 // WriteAnswer writes a whole JSON answer, or half of it if the job is cut.
@@ -228,7 +228,7 @@
 		return err
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if !j.Cut {
+	if !j.TruncateAnswer {
 		_, err = w.Write(text)
 		return err
 	}
--- a/standin/upstream/ledger.go
+++ b/standin/upstream/ledger.go
@@ -25,7 +25,7 @@
 	// Truncated: the answer was cut off on purpose.
 	Truncated Outcome = "truncated"
 	// Refused: answered with an error and never started.
-	Refused Outcome = "refused"
+	Rejected Outcome = "refused"
 )
 
 // Entry is one received request.
@@ -65,8 +65,8 @@
 	return append([]Entry{}, l.entries...)
 }
 
-// Started counts the requests of an idempotency key that began to run.
-func (l *Ledger) Started(idempotencyKey string) int {
+// StartedCount counts the requests of an idempotency key that began to run.
+func (l *Ledger) StartedCount(idempotencyKey string) int {
 	count := 0
 	for _, e := range l.Entries() {
 		if e.IdempotencyKey == idempotencyKey && !e.Started.IsZero() {
@@ -90,8 +90,8 @@
 	change(&l.entries[index])
 }
 
-// at returns one entry.
-func (l *Ledger) at(index int) Entry {
+// entry returns one entry.
+func (l *Ledger) entry(index int) Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.entries[index]
--- a/standin/upstream/load.go
+++ b/standin/upstream/load.go
@@ -20,17 +20,17 @@
 	h.trim(now)
 }
 
-// seen returns the latest report that is at least lag old, or the oldest.
-func (h *loadHistory) seen(now time.Time) state.LoadReport {
+// visibleReport returns the latest report that is at least lag old, or the oldest.
+func (h *loadHistory) visibleReport(now time.Time) state.LoadReport {
 	h.trim(now)
 	return h.samples[0].LoadReport
 }
 
 // trim drops the samples that a newer visible one replaces.
 func (h *loadHistory) trim(now time.Time) {
-	visible := now.Add(-h.lag)
-	hidden := sort.Search(len(h.samples), func(i int) bool { return h.samples[i].At.After(visible) })
-	if hidden > 1 {
-		h.samples = h.samples[hidden-1:]
+	visibleUntil := now.Add(-h.lag)
+	firstHidden := sort.Search(len(h.samples), func(i int) bool { return h.samples[i].At.After(visibleUntil) })
+	if firstHidden > 1 {
+		h.samples = h.samples[firstHidden-1:]
 	}
 }
--- a/standin/upstream/serve.go
+++ b/standin/upstream/serve.go
@@ -13,16 +13,16 @@
 // Serve serves a handler on a TCP address until stop is called. Stop cuts off
 // what is in progress.
 func Serve(addr string, handler http.Handler) (baseURL string, stop func(), err error) {
-	d, err := openDoor(addr, handler)
+	s, err := startRestartableServer(addr, handler)
 	if err != nil {
 		return "", nil, err
 	}
-	return d.baseURL(), d.shut, nil
+	return s.baseURL(), s.close, nil
 }
 
-// door is a listening server that can be shut and opened again on the same
+// restartableServer is a listening server that can be shut and opened again on the same
 // address, as that of a process that crashes and comes back.
-type door struct {
+type restartableServer struct {
 	addr    string
 	handler http.Handler
 
@@ -30,36 +30,36 @@
 	server *http.Server
 }
 
-func openDoor(addr string, handler http.Handler) (*door, error) {
-	d := &door{addr: addr, handler: handler}
-	return d, d.open()
+func startRestartableServer(addr string, handler http.Handler) (*restartableServer, error) {
+	s := &restartableServer{addr: addr, handler: handler}
+	return s, s.listen()
 }
 
-func (d *door) baseURL() string { return "http://" + d.addr }
+func (s *restartableServer) baseURL() string { return "http://" + s.addr }
 
-// open listens again; an open door stays as it is.
-func (d *door) open() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.server != nil {
+// listen listens again; an open door stays as it is.
+func (s *restartableServer) listen() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.server != nil {
 		return nil
 	}
-	listener, err := net.Listen("tcp", d.addr)
+	listener, err := net.Listen("tcp", s.addr)
 	if err != nil {
 		return err
 	}
-	d.addr = listener.Addr().String()
-	d.server = &http.Server{Handler: d.handler, ReadHeaderTimeout: readHeaderTimeout}
-	go func(server *http.Server) { _ = server.Serve(listener) }(d.server)
+	s.addr = listener.Addr().String()
+	s.server = &http.Server{Handler: s.handler, ReadHeaderTimeout: readHeaderTimeout}
+	go func(server *http.Server) { _ = server.Serve(listener) }(s.server)
 	return nil
 }
 
-// shut closes the listener and every connection.
-func (d *door) shut() {
-	d.mu.Lock()
-	server := d.server
-	d.server = nil
-	d.mu.Unlock()
+// close closes the listener and every connection.
+func (s *restartableServer) close() {
+	s.mu.Lock()
+	server := s.server
+	s.server = nil
+	s.mu.Unlock()
 	if server != nil {
 		_ = server.Close()
 	}
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -69,14 +69,14 @@
 	return w.Host.Start(addr, w.mux)
 }
 
-func (w *Worker) plan(job *upstream.Job) (upstream.Work, *upstream.Refusal) {
-	busy := w.busy(job)
+func (w *Worker) plan(job *upstream.Job) (upstream.Work, *upstream.Rejection) {
+	busy := w.busyTime(job)
 	return func(rw http.ResponseWriter, job *upstream.Job) error {
 		if err := job.Sleep(busy); err != nil {
 			return err
 		}
-		job.Add(int(busy.Milliseconds()))
-		entry := job.Answers()
+		job.AddUnits(int(busy.Milliseconds()))
+		entry := job.AnswerEntry()
 		return job.WriteAnswer(rw, Answer{
 			Upstream: w.opts.Name,
 			Boot:     job.Boot(),
@@ -87,8 +87,8 @@
 	}, nil
 }
 
-// busy reads the busy time of a request. Bodies need not be JSON.
-func (w *Worker) busy(job *upstream.Job) time.Duration {
+// busyTime reads the busy time of a request. Bodies need not be JSON.
+func (w *Worker) busyTime(job *upstream.Job) time.Duration {
 	var req request
 	if json.Unmarshal(job.Body, &req) != nil {
 		req = request{}
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -17,35 +17,35 @@
 // waitTimeout bounds waits on conditions; no outcome depends on it.
 const waitTimeout = 20 * time.Second
 
-// bench is a worker whose requests stay busy until the gate opens, and whose
+// testWorker is a worker whose requests stay busy until the gate opens, and whose
 // clock moves one second at each look.
-type bench struct {
+type testWorker struct {
 	*worker.Worker
-	t    *testing.T
-	url  string
-	gate chan struct{}
-	now  atomic.Int64
+	t       *testing.T
+	url     string
+	release chan struct{}
+	now     atomic.Int64
 }
 
-func start(t *testing.T, opts worker.Options) *bench {
+func startWorker(t *testing.T, opts worker.Options) *testWorker {
 	t.Helper()
-	b := &bench{t: t, gate: make(chan struct{})}
+	w := &testWorker{t: t, release: make(chan struct{})}
 	opts.Name = "worker"
-	opts.Now = func() time.Time { return time.Unix(b.now.Add(1), 0) }
+	opts.Now = func() time.Time { return time.Unix(w.now.Add(1), 0) }
 	opts.Sleep = func(ctx context.Context, _ time.Duration) error {
 		select {
-		case <-b.gate:
+		case <-w.release:
 			return nil
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	b.Worker = worker.New(opts)
-	url, stop, err := b.Start("127.0.0.1:0")
+	w.Worker = worker.New(opts)
+	url, stop, err := w.Start("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(stop)
-	b.url = url
-	return b
+	w.url = url
+	return w
 }
 
 // reply is what a caller got.
@@ -55,15 +55,15 @@
 }
 
 // send posts a body in the background.
-func (b *bench) send(ctx context.Context, attempt, body string) <-chan reply {
+func (w *testWorker) send(ctx context.Context, attempt, body string) <-chan reply {
 	replies := make(chan reply, 1)
-	go func() { replies <- b.exchange(ctx, attempt, body) }()
+	go func() { replies <- w.post(ctx, attempt, body) }()
 	return replies
 }
 
-func (b *bench) exchange(ctx context.Context, attempt, body string) reply {
+func (w *testWorker) post(ctx context.Context, attempt, body string) reply {
 	call := upstream.Call{Attempt: attempt, IdempotencyKey: "key-" + attempt, Body: body}
-	response, err := call.Post(ctx, http.DefaultClient, b.url+"/book")
+	response, err := call.Post(ctx, http.DefaultClient, w.url+"/book")
 	if err != nil {
 		return reply{err: err}
 	}
@@ -71,43 +71,43 @@
 	return reply{answer: answer, err: err}
 }
 
-// wait returns once the worker's load is as given.
-func (b *bench) wait(running, waiting int) {
-	b.t.Helper()
-	require.Eventually(b.t, func() bool {
-		load := b.Load()
+// awaitLoad returns once the worker's load is as given.
+func (w *testWorker) awaitLoad(running, waiting int) {
+	w.t.Helper()
+	require.Eventually(w.t, func() bool {
+		load := w.Load()
 		return load.Running == running && load.Waiting == waiting
 	}, waitTimeout, time.Millisecond)
 }
 
-func (b *bench) outcome(index int) upstream.Outcome { return b.Ledger().Entries()[index].Outcome }
+func (w *testWorker) outcome(index int) upstream.Outcome { return w.Ledger().Entries()[index].Outcome }
 
 func TestRequestsBeyondTheSlotsRunInOrderOfArrival(t *testing.T) {
-	b := start(t, worker.Options{Options: upstream.Options{Slots: 1}})
-	first := b.send(t.Context(), "a", `{"busy_ms":1}`)
-	b.wait(1, 0)
-	second := b.send(t.Context(), "b", `{"busy_ms":1}`)
-	b.wait(1, 1)
-	third := b.send(t.Context(), "c", `{"busy_ms":1}`)
-	b.wait(1, 2)
-	close(b.gate)
+	w := startWorker(t, worker.Options{Options: upstream.Options{Slots: 1}})
+	first := w.send(t.Context(), "a", `{"busy_ms":1}`)
+	w.awaitLoad(1, 0)
+	second := w.send(t.Context(), "b", `{"busy_ms":1}`)
+	w.awaitLoad(1, 1)
+	third := w.send(t.Context(), "c", `{"busy_ms":1}`)
+	w.awaitLoad(1, 2)
+	close(w.release)
 	for _, replies := range []<-chan reply{first, second, third} {
 		r := <-replies
 		require.NoError(t, r.err)
 		require.EqualValues(t, 1, r.answer.BusyMs)
 	}
-	entries := b.Ledger().Entries()
+	entries := w.Ledger().Entries()
 	require.True(t, entries[0].Ended.After(entries[0].Started))
 	require.True(t, entries[1].Started.After(entries[0].Started))
 	require.True(t, entries[2].Started.After(entries[1].Started))
-	require.Equal(t, 1, b.Ledger().Started("key-b"))
+	require.Equal(t, 1, w.Ledger().StartedCount("key-b"))
 }
 
 func TestBusyTimeStaysWithinBounds(t *testing.T) {
-	b := start(t, worker.Options{MinBusy: 5 * time.Millisecond, MaxBusy: 10 * time.Millisecond})
-	close(b.gate)
+	w := startWorker(t, worker.Options{MinBusy: 5 * time.Millisecond, MaxBusy: 10 * time.Millisecond})
+	close(w.release)
 	for body, busy := range map[string]int64{`{"busy_ms":1}`: 5, `{"busy_ms":99}`: 10, `not JSON`: 5} {
-		r := <-b.send(t.Context(), "a", body)
+		r := <-w.send(t.Context(), "a", body)
 		require.NoError(t, r.err)
 		require.Equal(t, busy, r.answer.BusyMs)
 	}
@@ -116,91 +116,91 @@
 // A caller hangs up while its request waits, and another while its request
 // runs. Both must be counted as cancelled and the waiting one must not run.
 func TestLeavingCallersAreCancelled(t *testing.T) {
-	b := start(t, worker.Options{})
-	ctxRunning, leaveRunning := context.WithCancel(t.Context())
-	running := b.send(ctxRunning, "a", `{"busy_ms":1}`)
-	b.wait(1, 0)
-	ctxWaiting, leaveWaiting := context.WithCancel(t.Context())
-	waiting := b.send(ctxWaiting, "b", `{"busy_ms":1}`)
-	b.wait(1, 1)
-	leaveWaiting()
+	w := startWorker(t, worker.Options{})
+	ctxRunning, cancelRunning := context.WithCancel(t.Context())
+	running := w.send(ctxRunning, "a", `{"busy_ms":1}`)
+	w.awaitLoad(1, 0)
+	ctxWaiting, cancelWaiting := context.WithCancel(t.Context())
+	waiting := w.send(ctxWaiting, "b", `{"busy_ms":1}`)
+	w.awaitLoad(1, 1)
+	cancelWaiting()
 	require.Error(t, (<-waiting).err)
-	b.wait(1, 0)
-	leaveRunning()
+	w.awaitLoad(1, 0)
+	cancelRunning()
 	require.Error(t, (<-running).err)
-	b.wait(0, 0)
+	w.awaitLoad(0, 0)
 	for index := range 2 {
-		require.Eventually(t, func() bool { return b.outcome(index) == upstream.Cancelled }, waitTimeout, time.Millisecond)
+		require.Eventually(t, func() bool { return w.outcome(index) == upstream.Cancelled }, waitTimeout, time.Millisecond)
 	}
-	require.Zero(t, b.Ledger().Started("key-b"))
+	require.Zero(t, w.Ledger().StartedCount("key-b"))
 }
 
 // One request makes the process crash while another runs beside it. Both
 // callers lose their connections; the worker is back with a new Boot.
 func TestMarkedRequestCrashesTheWorker(t *testing.T) {
-	b := start(t, worker.Options{Options: upstream.Options{Slots: 2, Faults: upstream.Faults{CrashMarker: "poison"}}})
-	boot := b.Load().Boot
-	beside := b.send(t.Context(), "a", `{"busy_ms":1}`)
-	b.wait(1, 0)
-	require.Error(t, (<-b.send(t.Context(), "b", `{"busy_ms":1,"note":"poison"}`)).err)
-	require.Error(t, (<-beside).err)
-	b.wait(0, 0)
-	require.NotEqual(t, boot, b.Load().Boot)
-	require.Eventually(t, func() bool { return b.outcome(0) == upstream.Crashed }, waitTimeout, time.Millisecond)
-	close(b.gate)
-	r := <-b.send(t.Context(), "c", `{}`)
+	w := startWorker(t, worker.Options{Options: upstream.Options{Slots: 2, Faults: upstream.Faults{CrashMarker: "poison"}}})
+	boot := w.Load().Boot
+	concurrent := w.send(t.Context(), "a", `{"busy_ms":1}`)
+	w.awaitLoad(1, 0)
+	require.Error(t, (<-w.send(t.Context(), "b", `{"busy_ms":1,"note":"poison"}`)).err)
+	require.Error(t, (<-concurrent).err)
+	w.awaitLoad(0, 0)
+	require.NotEqual(t, boot, w.Load().Boot)
+	require.Eventually(t, func() bool { return w.outcome(0) == upstream.Crashed }, waitTimeout, time.Millisecond)
+	close(w.release)
+	r := <-w.send(t.Context(), "c", `{}`)
 	require.NoError(t, r.err)
-	require.Equal(t, b.Load().Boot, r.answer.Boot)
+	require.Equal(t, w.Load().Boot, r.answer.Boot)
 }
 
 // A request with an idempotency key goes out on a kept connection and crashes
 // the worker. The transport would send such a request again on its own.
 func TestCallIsSentOnce(t *testing.T) {
-	b := start(t, worker.Options{Options: upstream.Options{Faults: upstream.Faults{CrashMarker: "poison"}}})
-	close(b.gate)
-	require.NoError(t, (<-b.send(t.Context(), "a", `{}`)).err)
-	require.Error(t, (<-b.send(t.Context(), "b", `{"note":"poison"}`)).err)
-	require.Equal(t, 1, b.Ledger().Started("key-b"))
+	w := startWorker(t, worker.Options{Options: upstream.Options{Faults: upstream.Faults{CrashMarker: "poison"}}})
+	close(w.release)
+	require.NoError(t, (<-w.send(t.Context(), "a", `{}`)).err)
+	require.Error(t, (<-w.send(t.Context(), "b", `{"note":"poison"}`)).err)
+	require.Equal(t, 1, w.Ledger().StartedCount("key-b"))
 }
 
 func TestCrashedWorkerStaysDownUntilRestarted(t *testing.T) {
-	b := start(t, worker.Options{Options: upstream.Options{Faults: upstream.Faults{StayDown: true}}})
-	close(b.gate)
-	b.Crash()
-	require.Error(t, (<-b.send(t.Context(), "a", `{}`)).err)
-	require.Empty(t, b.Ledger().Entries())
-	require.NoError(t, b.Restart())
-	require.NoError(t, (<-b.send(t.Context(), "b", `{}`)).err)
+	w := startWorker(t, worker.Options{Options: upstream.Options{Faults: upstream.Faults{StayDown: true}}})
+	close(w.release)
+	w.Crash()
+	require.Error(t, (<-w.send(t.Context(), "a", `{}`)).err)
+	require.Empty(t, w.Ledger().Entries())
+	require.NoError(t, w.Restart())
+	require.NoError(t, (<-w.send(t.Context(), "b", `{}`)).err)
 }
 
 // Two requests follow each other and the second caller is handed the first
 // one's answer, whole and well formed. Only its attempt id gives it away.
 func TestCrossedAnswerNamesTheOtherAttempt(t *testing.T) {
-	b := start(t, worker.Options{})
-	close(b.gate)
-	require.NoError(t, (<-b.send(t.Context(), "a", `{"of":"a"}`)).err)
-	b.SetFaults(upstream.Faults{Cross: 1})
-	r := <-b.send(t.Context(), "b", `{"of":"b"}`)
+	w := startWorker(t, worker.Options{})
+	close(w.release)
+	require.NoError(t, (<-w.send(t.Context(), "a", `{"of":"a"}`)).err)
+	w.SetFaults(upstream.Faults{CrossAnswers: 1})
+	r := <-w.send(t.Context(), "b", `{"of":"b"}`)
 	require.NoError(t, r.err)
 	require.Equal(t, "a", r.answer.Attempt)
 	require.Equal(t, upstream.Digest([]byte(`{"of":"a"}`)), r.answer.Digest)
 }
 
-func TestTruncatedAndRefusedAnswers(t *testing.T) {
-	b := start(t, worker.Options{Options: upstream.Options{Faults: upstream.Faults{Truncate: 1}}})
-	close(b.gate)
-	require.ErrorIs(t, (<-b.send(t.Context(), "a", `{}`)).err, io.ErrUnexpectedEOF)
-	b.SetFaults(upstream.Faults{Refuse: 1})
-	require.Equal(t, worker.StatusError(http.StatusServiceUnavailable), (<-b.send(t.Context(), "b", `{}`)).err)
-	require.Equal(t, upstream.Truncated, b.outcome(0))
-	require.Equal(t, upstream.Refused, b.outcome(1))
+func TestTruncatedAndRejectedAnswers(t *testing.T) {
+	w := startWorker(t, worker.Options{Options: upstream.Options{Faults: upstream.Faults{TruncateAnswers: 1}}})
+	close(w.release)
+	require.ErrorIs(t, (<-w.send(t.Context(), "a", `{}`)).err, io.ErrUnexpectedEOF)
+	w.SetFaults(upstream.Faults{RejectRequests: 1})
+	require.Equal(t, worker.StatusError(http.StatusServiceUnavailable), (<-w.send(t.Context(), "b", `{}`)).err)
+	require.Equal(t, upstream.Truncated, w.outcome(0))
+	require.Equal(t, upstream.Rejected, w.outcome(1))
 }
 
 // The development fleet steers a worker from another process.
 func TestControlOverHTTP(t *testing.T) {
-	b := start(t, worker.Options{Options: upstream.Options{Faults: upstream.Faults{StayDown: true}}})
+	w := startWorker(t, worker.Options{Options: upstream.Options{Faults: upstream.Faults{StayDown: true}}})
 	control := func(method, path, body string) (int, string) {
-		status, text, err := upstream.Control(t.Context(), http.DefaultClient, method, b.url+path, body)
+		status, text, err := upstream.Control(t.Context(), http.DefaultClient, method, w.url+path, body)
 		require.NoError(t, err)
 		return status, text
 	}
@@ -210,7 +210,7 @@
 	}
 	status, _ := control(http.MethodPut, "/faults", `{`)
 	require.Equal(t, http.StatusBadRequest, status)
-	require.Error(t, (<-b.send(t.Context(), "a", `{}`)).err)
+	require.Error(t, (<-w.send(t.Context(), "a", `{}`)).err)
 	for path, want := range map[string]string{"/load": `"draining":true`, "/ledger": `"outcome":"refused"`, "/faults": `{}`} {
 		_, text := control(http.MethodGet, path, "")
 		require.Contains(t, text, want)
@@ -220,9 +220,9 @@
 // Load reports come with a lag, so a worker that asks for no new work is
 // believed to be in service a little longer.
 func TestLoadReportLags(t *testing.T) {
-	b := start(t, worker.Options{Options: upstream.Options{LoadLag: 30 * time.Second}})
-	b.SetDraining(true)
-	require.False(t, b.Load().Draining)
-	b.now.Add(30)
-	require.True(t, b.Load().Draining)
+	w := startWorker(t, worker.Options{Options: upstream.Options{LoadLag: 30 * time.Second}})
+	w.SetDraining(true)
+	require.False(t, w.Load().Draining)
+	w.now.Add(30)
+	require.True(t, w.Load().Draining)
 }
--- a/transport/daemon/orders_test.go
+++ b/transport/daemon/orders_test.go
@@ -135,7 +135,7 @@
 	require.Zero(t, b.controllerCount(), "a controller runs although no models are wanted")
 	b.setWantedModels("m")
 	b.awaitCondition("the model is loaded and the lease released", func() bool {
-		return b.engine.Holds("m") && b.platform.Calls().Put == 2
+		return b.engine.HasModel("m") && b.platform.Calls().Put == 2
 	})
 	calls := b.platform.Calls().Total()
 	for range 50 {
@@ -189,7 +189,7 @@
 		b.manager.options.Timing.RenewAfter = 0
 		b.setWantedModels("m")
 		b.awaitCondition("the load is in progress", func() bool { return b.ordersReceived() == 1 })
-		b.platform.SetFaults(platform.Faults{Outage: platform.Refuse})
+		b.platform.SetFaults(platform.Faults{Outage: platform.OutageRefuse})
 		before := b.platform.Calls().Get
 		b.awaitCondition("a renewal has failed and the lease is read", func() bool { return b.platform.Calls().Get > before })
 		close(b.loadResults)
@@ -222,7 +222,7 @@
 // that it already holds.
 func TestInvalidReportCausesNoOrder(t *testing.T) {
 	b := newOrderFixture(t)
-	b.engine.SetHeld("m", true)
+	b.engine.SetModelLoaded("m", true)
 	b.setWantedModels("m")
 	b.manager.onReport(state.LoadReport{Upstream: "engine-1", Boot: "1", Running: -1})
 	b.drainAll()
--- a/transport/objectstore/faults_test.go
+++ b/transport/objectstore/faults_test.go
@@ -40,7 +40,7 @@
 // unavailable.
 func TestHangingPlatform(t *testing.T) {
 	p, client := startPlatform(t, platform.Options{})
-	p.SetFaults(platform.Faults{Outage: platform.Hang})
+	p.SetFaults(platform.Faults{Outage: platform.OutageHang})
 	ctx, cancel := context.WithCancel(t.Context())
 	errs := make(chan error, 2)
 	go func() {
@@ -86,10 +86,10 @@
 		_, _, err := client.Watch(t.Context(), "a", 0)
 		ended <- err
 	}()
-	require.Eventually(t, func() bool { return p.Store().Waiting() == 1 }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return p.Store().WaitingWatches() == 1 }, waitTimeout, time.Millisecond)
 	_, err = client.VMs(t.Context())
 	require.NoError(t, err)
-	p.SetFaults(platform.Faults{Outage: platform.Drop})
+	p.SetFaults(platform.Faults{Outage: platform.OutageDrop})
 	_, err = client.Put(t.Context(), "a", nil, 0)
 	require.ErrorIs(t, err, objectstore.ErrUnknownOutcome)
 	require.ErrorIs(t, <-ended, objectstore.ErrUnavailable)
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go func() { _, _, _ = client.Watch(ctx, "z", 0) }()
-	require.Eventually(t, func() bool { return p.Store().Waiting() == 1 }, waitTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return p.Store().WaitingWatches() == 1 }, waitTimeout, time.Millisecond)
 	_, err = client.Get(t.Context(), "a")
 	require.NoError(t, err)
 	_, err = client.Get(t.Context(), "a")
--- a/transport/objectstore/watcher_test.go
+++ b/transport/objectstore/watcher_test.go
@@ -194,8 +194,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- w.Run(ctx) }()
-	require.Eventually(t, func() bool { return p.Store().Waiting() == 1 }, waitTimeout, time.Millisecond)
-	for _, outage := range []platform.Outage{platform.Drop, platform.Refuse} {
+	require.Eventually(t, func() bool { return p.Store().WaitingWatches() == 1 }, waitTimeout, time.Millisecond)
+	for _, outage := range []platform.Outage{platform.OutageDrop, platform.OutageRefuse} {
 		p.SetFaults(platform.Faults{Outage: outage})
 		require.Eventually(t, func() bool { return w.Health().Failures > 1 }, waitTimeout, time.Millisecond)
 		_, err := p.Store().Put(t.Context(), "settings/"+string(outage), nil, 0)
--- a/transport/orders/controller_test.go
+++ b/transport/orders/controller_test.go
@@ -150,7 +150,7 @@
 	c := b.controller("r1", nil)
 	b.runStep(c, fencing.DesiredChanged{Desired: &fencing.DesiredState{Models: []state.Model{"m"}, Role: "decode"}})
 	b.advanceSecond(c)
-	p.SetFaults(platform.Faults{Outage: platform.Refuse})
+	p.SetFaults(platform.Faults{Outage: platform.OutageRefuse})
 	for range 10 {
 		b.advanceSecond(c)
 	}
