--- a/capacity/fleet.go
+++ b/capacity/fleet.go
@@ -53,10 +53,10 @@
 	MaxStale float64 `json:"max_stale"`
 }
 
-// Today is the size at which the fleet runs. The load per upstream is taken
+// CurrentFleet is the size at which the fleet runs. The load per upstream is taken
 // from the destination, since no figures for today are known.
-func Today() Fleet {
-	f := Destination()
+func CurrentFleet() Fleet {
+	f := TargetFleet()
 	perUpstream := 24 / f.Upstreams
 	f.Requests *= perUpstream
 	f.Tokens *= perUpstream
@@ -70,8 +70,8 @@
 	return f
 }
 
-// Destination is the size that the developers' page names.
-func Destination() Fleet {
+// TargetFleet is the size that the developers' page names.
+func TargetFleet() Fleet {
 	return Fleet{
 		Routers: 730, Upstreams: 10_000, Workspaces: 6_300, Backlogged: 0.1, Services: 4,
 		DataCentres: 25, Regions: 9, Requests: 170_000, Tokens: 39e6,
@@ -95,45 +95,45 @@
 
 const secondsPerDay = 24 * 60 * 60
 
-// perRouter is the requests a second that arrive at one router.
-func (f Fleet) perRouter() float64 { return f.Requests / f.Routers }
+// requestsPerRouter is the requests a second that arrive at one router.
+func (f Fleet) requestsPerRouter() float64 { return f.Requests / f.Routers }
 
-// holding is how many seconds a request holds a slot.
-func (f Fleet) holding() float64 { return f.Tokens / f.Requests * f.TokenGap }
+// slotHoldSeconds is how many seconds a request holds a slot.
+func (f Fleet) slotHoldSeconds() float64 { return f.Tokens / f.Requests * f.TokenGap }
 
-// running is the requests in progress at one router.
-func (f Fleet) running() float64 { return f.perRouter() * f.holding() }
+// runningRequests is the requests in progress at one router.
+func (f Fleet) runningRequests() float64 { return f.requestsPerRouter() * f.slotHoldSeconds() }
 
-// backlog is the number of backlogged workspaces.
-func (f Fleet) backlog() float64 { return f.Workspaces * f.Backlogged }
+// backloggedWorkspaces is the number of backlogged workspaces.
+func (f Fleet) backloggedWorkspaces() float64 { return f.Workspaces * f.Backlogged }
 
-// slots is the requests that the fleet runs at once.
-func (f Fleet) slots() float64 {
+// totalSlots is the requests that the fleet runs at once.
+func (f Fleet) totalSlots() float64 {
 	if f.Slots > 0 {
 		return f.Slots * f.Upstreams
 	}
-	return f.Requests * f.holding()
+	return f.Requests * f.slotHoldSeconds()
 }
 
-// neighbours is the number of routers in one data centre.
-func (f Fleet) neighbours() float64 { return math.Max(1, f.Routers/f.DataCentres) }
+// routersPerDataCentre is the number of routers in one data centre.
+func (f Fleet) routersPerDataCentre() float64 { return math.Max(1, f.Routers/f.DataCentres) }
 
-// lines is how many backlogged workspaces have requests waiting at one router.
-func (f Fleet) lines() float64 {
-	return f.backlog() * math.Min(f.Spread, f.Routers) / f.Routers
+// demandLines is how many backlogged workspaces have requests waiting at one router.
+func (f Fleet) demandLines() float64 {
+	return f.backloggedWorkspaces() * math.Min(f.Spread, f.Routers) / f.Routers
 }
 
-// charged is how many workspaces one router's counters change for within some
+// changedCounters is how many workspaces one router's counters change for within some
 // seconds, if the requests are spread evenly over the workspaces.
-func (f Fleet) charged(seconds float64) float64 {
-	requests := f.running() + f.perRouter()*seconds
+func (f Fleet) changedCounters(seconds float64) float64 {
+	requests := f.runningRequests() + f.requestsPerRouter()*seconds
 	return f.Workspaces * (1 - math.Exp(-requests/f.Workspaces))
 }
 
-// remote is the part of the requests that another router grants: those of
+// remoteFraction is the part of the requests that another router grants: those of
 // backlogged workspaces, whose slots come free at any owner. The rest finds a
 // free slot at an upstream of the router it arrives at.
-func (f Fleet) remote() float64 {
+func (f Fleet) remoteFraction() float64 {
 	return f.Backlogged * (1 - 1/f.Routers)
 }
 
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -10,55 +10,55 @@
 )
 
 const (
-	// batchTime is how long one batch of a timed operation runs, and batches
+	// batchDuration is how long one batch of a timed operation runs, and batches
 	// how many there are. The fastest counts: others on the machine only ever
 	// make a batch slower.
-	batchTime = 20 * time.Millisecond
-	batches   = 11
+	batchDuration = 20 * time.Millisecond
+	batches       = 11
 )
 
 // measurement fills one or more slopes.
 type measurement struct {
-	name    Name
-	unit    string
-	against string
-	machine bool
-	sizes   []int
-	// value measures one size.
-	value func(ctx context.Context, size int) (float64, error)
+	name             SlopeName
+	unit             string
+	sizeUnit         string
+	machineDependent bool
+	sizes            []int
+	// measure measures one size.
+	measure func(ctx context.Context, size int) (float64, error)
 }
 
-// Progress hears of each slope once it is measured.
-type Progress func(Slope)
+// ProgressFunc hears of each slope once it is measured.
+type ProgressFunc func(Slope)
 
 // Measure measures every slope. It takes about a minute, most of it in real
 // time for the calls to the platform.
-func Measure(ctx context.Context, done Progress) (*Slopes, error) {
+func Measure(ctx context.Context, onSlope ProgressFunc) (*Slopes, error) {
 	result := &Slopes{
 		MeasuredAt: time.Now().UTC().Truncate(time.Second),
 		Go:         runtime.Version(),
 		Cores:      runtime.NumCPU(),
 		LoadBefore: loadAverage(),
 	}
-	for _, m := range slices.Concat(deciderMeasurements(), memoryMeasurements(), wireMeasurements(), trafficMeasurements(), sessionMeasurements(), platformMeasurements()) {
+	for _, m := range slices.Concat(stateMachineMeasurements(), memoryMeasurements(), wireMeasurements(), trafficMeasurements(), sessionMeasurements(), platformMeasurements()) {
 		slope, err := m.run(ctx)
 		if err != nil {
 			return nil, err
 		}
 		result.Slopes = append(result.Slopes, slope)
-		done(slope)
+		onSlope(slope)
 	}
 	result.LoadAfter = loadAverage()
 	return result, nil
 }
 
 func (m measurement) run(ctx context.Context) (Slope, error) {
-	slope := Slope{Name: m.name, Unit: m.unit, Against: m.against, Machine: m.machine}
+	slope := Slope{Name: m.name, Unit: m.unit, SizeUnit: m.sizeUnit, MachineDependent: m.machineDependent}
 	for _, size := range m.sizes {
 		if err := ctx.Err(); err != nil {
 			return Slope{}, err
 		}
-		value, err := m.value(ctx, size)
+		value, err := m.measure(ctx, size)
 		if err != nil {
 			return Slope{}, err
 		}
@@ -77,53 +77,53 @@
 	return first
 }
 
-// timed returns a measurement of nanoseconds for one call of the operation
+// timeMeasurement returns a measurement of nanoseconds for one call of the operation
 // that prepare returns.
-func timed(name Name, against string, sizes []int, prepare func(size int) func()) measurement {
+func timeMeasurement(name SlopeName, sizeUnit string, sizes []int, prepare func(size int) func()) measurement {
 	return measurement{
-		name: name, unit: "ns", against: against, machine: true, sizes: sizes,
-		value: func(_ context.Context, size int) (float64, error) { return nanoseconds(prepare(size)), nil },
+		name: name, unit: "ns", sizeUnit: sizeUnit, machineDependent: true, sizes: sizes,
+		measure: func(_ context.Context, size int) (float64, error) { return nanosecondsPerCall(prepare(size)), nil },
 	}
 }
 
-func nanoseconds(op func()) float64 {
+func nanosecondsPerCall(op func()) float64 {
 	runtime.GC()
 	op()
-	n := calibrate(op)
+	n := callsPerBatch(op)
 	best := time.Duration(1<<63 - 1)
 	for range batches {
-		best = min(best, duration(op, n))
+		best = min(best, timeCalls(op, n))
 	}
 	return float64(best.Nanoseconds()) / float64(n)
 }
 
-// calibrate returns how many calls fill a batch.
-func calibrate(op func()) int {
+// callsPerBatch returns how many calls fill a batch.
+func callsPerBatch(op func()) int {
 	for n := 1; ; n *= 2 {
-		if duration(op, n) >= batchTime {
+		if timeCalls(op, n) >= batchDuration {
 			return n
 		}
 	}
 }
 
-func duration(op func(), n int) time.Duration {
-	begun := time.Now()
+func timeCalls(op func(), n int) time.Duration {
+	start := time.Now()
 	for range n {
 		op()
 	}
-	return time.Since(begun)
+	return time.Since(start)
 }
 
-// allocated returns a measurement of allocations for one call. Unlike a time
+// allocMeasurement returns a measurement of allocations for one call. Unlike a time
 // it is the same on a busy machine.
-func allocated(name Name, against string, sizes []int, prepare func(size int) func()) measurement {
+func allocMeasurement(name SlopeName, sizeUnit string, sizes []int, prepare func(size int) func()) measurement {
 	return measurement{
-		name: name, unit: "allocs", against: against, sizes: sizes,
-		value: func(_ context.Context, size int) (float64, error) { return allocations(prepare(size)), nil },
+		name: name, unit: "allocs", sizeUnit: sizeUnit, sizes: sizes,
+		measure: func(_ context.Context, size int) (float64, error) { return allocsPerCall(prepare(size)), nil },
 	}
 }
 
-func allocations(op func()) float64 {
+func allocsPerCall(op func()) float64 {
 	const calls = 100
 	op()
 	var before, after runtime.MemStats
@@ -135,12 +135,12 @@
 	return float64(after.Mallocs-before.Mallocs) / calls
 }
 
-// held returns a measurement of the bytes that what build returns holds on
+// heapMeasurement returns a measurement of the bytes that what build returns holds on
 // the heap and in stacks.
-func held(name Name, against string, sizes []int, build func(size int) any) measurement {
+func heapMeasurement(name SlopeName, sizeUnit string, sizes []int, build func(size int) any) measurement {
 	return measurement{
-		name: name, unit: "B", against: against, sizes: sizes,
-		value: func(_ context.Context, size int) (float64, error) {
+		name: name, unit: "B", sizeUnit: sizeUnit, sizes: sizes,
+		measure: func(_ context.Context, size int) (float64, error) {
 			return memoryOf(func() any { return build(size) }), nil
 		},
 	}
@@ -148,9 +148,9 @@
 
 func memoryOf(build func() any) float64 {
 	before := memoryInUse()
-	kept := build()
+	built := build()
 	after := memoryInUse()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(built)
 	return max(0, float64(after)-float64(before))
 }
 
--- a/capacity/measure_deciders.go
+++ b/capacity/measure_deciders.go
@@ -17,36 +17,36 @@
 
 // Slopes of processor time and allocations in the deciders.
 const (
-	ChoiceBacklogged    Name = "choice.backlogged"
-	ChoiceIdle          Name = "choice.idle"
-	ChoiceAllocs        Name = "choice.allocs"
-	RequestUpstreams    Name = "request.upstreams"
-	RequestOwned        Name = "request.owned"
-	RequestBacklogged   Name = "request.backlogged"
-	RequestAllocs       Name = "request.allocs"
-	TickWorkspaces      Name = "tick.workspaces"
-	TickLines           Name = "tick.lines"
-	TickUpstreams       Name = "tick.upstreams"
-	TickServices        Name = "tick.services"
-	TickRouters         Name = "tick.routers"
-	TickAllocs          Name = "tick.allocs"
-	ConfigureWorkspaces Name = "configure.workspaces"
-	ConfigureUpstreams  Name = "configure.upstreams"
-	ConfigureRouters    Name = "configure.routers"
-	TreeWorkspaces      Name = "tree.workspaces"
-	PeersRouters        Name = "peers.routers"
-	PeersUpstreams      Name = "peers.upstreams"
-	UsageEntries        Name = "usage.entries"
-	UsageMoved          Name = "usage.moved"
-	DemandLines         Name = "demand.lines"
-	MembershipTick      Name = "membership.tick"
-	MembershipBeat      Name = "membership.beat"
-	ClaimsRound         Name = "claims.round"
-	VMsDecode           Name = "vms.decode"
-	DeadOrigins         Name = "usage.dead"
+	ChoiceBacklogged    SlopeName = "choice.backlogged"
+	ChoiceIdle          SlopeName = "choice.idle"
+	ChoiceAllocs        SlopeName = "choice.allocs"
+	RequestUpstreams    SlopeName = "request.upstreams"
+	RequestOwned        SlopeName = "request.owned"
+	RequestBacklogged   SlopeName = "request.backlogged"
+	RequestAllocs       SlopeName = "request.allocs"
+	TickWorkspaces      SlopeName = "tick.workspaces"
+	TickLines           SlopeName = "tick.lines"
+	TickUpstreams       SlopeName = "tick.upstreams"
+	TickServices        SlopeName = "tick.services"
+	TickRouters         SlopeName = "tick.routers"
+	TickAllocs          SlopeName = "tick.allocs"
+	ConfigureWorkspaces SlopeName = "configure.workspaces"
+	ConfigureUpstreams  SlopeName = "configure.upstreams"
+	ConfigureRouters    SlopeName = "configure.routers"
+	TreeWorkspaces      SlopeName = "tree.workspaces"
+	PeersRouters        SlopeName = "peers.routers"
+	PeersUpstreams      SlopeName = "peers.upstreams"
+	UsageEntries        SlopeName = "usage.entries"
+	UsageMoved          SlopeName = "usage.moved"
+	DemandLines         SlopeName = "demand.lines"
+	MembershipTick      SlopeName = "membership.tick"
+	MembershipHeartbeat SlopeName = "membership.beat"
+	ClaimsRound         SlopeName = "claims.round"
+	VMsDecode           SlopeName = "vms.decode"
+	RemovedOrigins      SlopeName = "usage.dead"
 )
 
-func deciderMeasurements() []measurement {
+func stateMachineMeasurements() []measurement {
 	var (
 		workspaces = []int{630, 2520, 6300}
 		backlogged = []int{63, 630, 6300}
@@ -54,41 +54,43 @@
 		routers    = []int{8, 64, 256, 730}
 	)
 	return []measurement{
-		timed(ChoiceBacklogged, "backlogged workspaces", backlogged, func(n int) func() { return choice(6300, n) }),
-		timed(ChoiceIdle, "known workspaces", []int{630, 6300, 63_000}, func(n int) func() { return choice(n, 630) }),
-		allocated(ChoiceAllocs, "backlogged workspaces", backlogged, func(n int) func() { return choice(6300, n) }),
-		timed(RequestUpstreams, "upstreams", []int{1000, 3000, 10_000}, func(n int) func() { return newRig(size{256, n, 64, 1}).serve }),
-		timed(RequestOwned, "upstreams owned", []int{8, 32, 128, 512}, func(n int) func() { return newRig(size{rigCentres, n * rigCentres, 64, 1}).serve }),
-		timed(RequestBacklogged, "backlogged workspaces", backlogged, func(n int) func() { return saturated(size{32, 100, 6300, 1}, n) }),
-		allocated(RequestAllocs, "upstreams", upstreams, func(n int) func() { return newRig(size{32, n, 64, 1}).serve }),
-		ticks(TickWorkspaces, "workspaces", workspaces, func(n int) (size, int) { return size{tickRouters, 100, n, 1}, 0 }),
-		ticks(TickLines, "lines waiting, for each owner", backlogged, func(n int) (size, int) { return size{tickRouters, 100, 6300, 1}, n }),
-		ticks(TickUpstreams, "upstreams", upstreams, func(n int) (size, int) { return size{tickRouters, n, 64, 1}, 0 }),
-		ticks(TickServices, "services", []int{1, 4, 16, 64}, func(n int) (size, int) { return size{tickRouters, 100, 64, n}, 0 }),
-		ticks(TickRouters, "routers", routers, func(n int) (size, int) { return size{n, 100, 64, 1}, 0 }),
-		allocated(TickAllocs, "upstreams", upstreams, func(n int) func() {
-			r := newRig(size{tickRouters, n, 64, 1})
-			return func() { r.tick() }
+		timeMeasurement(ChoiceBacklogged, "backlogged workspaces", backlogged, func(n int) func() { return grantSlot(6300, n) }),
+		timeMeasurement(ChoiceIdle, "known workspaces", []int{630, 6300, 63_000}, func(n int) func() { return grantSlot(n, 630) }),
+		allocMeasurement(ChoiceAllocs, "backlogged workspaces", backlogged, func(n int) func() { return grantSlot(6300, n) }),
+		timeMeasurement(RequestUpstreams, "upstreams", []int{1000, 3000, 10_000}, func(n int) func() { return newSchedulerHarness(fleetSize{256, n, 64, 1}).serveRequest }),
+		timeMeasurement(RequestOwned, "upstreams owned", []int{8, 32, 128, 512}, func(n int) func() {
+			return newSchedulerHarness(fleetSize{harnessCentres, n * harnessCentres, 64, 1}).serveRequest
 		}),
-		timed(ConfigureWorkspaces, "workspaces", workspaces, func(n int) func() { return configuring(size{32, 100, n, 1}) }),
-		timed(ConfigureUpstreams, "upstreams", upstreams, func(n int) func() { return configuring(size{32, n, 64, 1}) }),
-		timed(ConfigureRouters, "routers", routers, func(n int) func() { return configuring(size{n, 1000, 64, 1}) }),
-		timed(TreeWorkspaces, "workspaces", workspaces, treeChange),
-		timed(PeersRouters, "routers", routers, func(n int) func() { return rejoining(size{n, 1000, 64, 1}) }),
-		timed(PeersUpstreams, "upstreams", upstreams, func(n int) func() { return rejoining(size{32, n, 64, 1}) }),
-		timed(UsageEntries, "entries", []int{10, 100, 1000}, func(n int) func() { return hearingUsage(n, 0) }),
-		timed(UsageMoved, "workspaces granted to", backlogged, func(n int) func() { return hearingUsage(1, n) }),
-		timed(DemandLines, "lines", []int{1, 10, 100, 630}, hearingDemand),
-		timed(MembershipTick, "routers", routers, membershipTick),
-		timed(MembershipBeat, "routers", routers, membershipBeat),
-		timed(ClaimsRound, "entries in the open segment", openSizes, claimsRound),
-		timed(VMsDecode, "VMs", []int{100, 1000, 10_000}, decodingVMs),
-		{name: DeadOrigins, unit: "incarnations", against: "incarnations that were heard", sizes: []int{1000, 2000, 4000}, value: deadOrigins},
+		timeMeasurement(RequestBacklogged, "backlogged workspaces", backlogged, func(n int) func() { return saturatedScheduler(fleetSize{32, 100, 6300, 1}, n) }),
+		allocMeasurement(RequestAllocs, "upstreams", upstreams, func(n int) func() { return newSchedulerHarness(fleetSize{32, n, 64, 1}).serveRequest }),
+		tickMeasurement(TickWorkspaces, "workspaces", workspaces, func(n int) (fleetSize, int) { return fleetSize{tickRouters, 100, n, 1}, 0 }),
+		tickMeasurement(TickLines, "lines waiting, for each owner", backlogged, func(n int) (fleetSize, int) { return fleetSize{tickRouters, 100, 6300, 1}, n }),
+		tickMeasurement(TickUpstreams, "upstreams", upstreams, func(n int) (fleetSize, int) { return fleetSize{tickRouters, n, 64, 1}, 0 }),
+		tickMeasurement(TickServices, "services", []int{1, 4, 16, 64}, func(n int) (fleetSize, int) { return fleetSize{tickRouters, 100, 64, n}, 0 }),
+		tickMeasurement(TickRouters, "routers", routers, func(n int) (fleetSize, int) { return fleetSize{n, 100, 64, 1}, 0 }),
+		allocMeasurement(TickAllocs, "upstreams", upstreams, func(n int) func() {
+			h := newSchedulerHarness(fleetSize{tickRouters, n, 64, 1})
+			return func() { h.tick() }
+		}),
+		timeMeasurement(ConfigureWorkspaces, "workspaces", workspaces, func(n int) func() { return reconfigure(fleetSize{32, 100, n, 1}) }),
+		timeMeasurement(ConfigureUpstreams, "upstreams", upstreams, func(n int) func() { return reconfigure(fleetSize{32, n, 64, 1}) }),
+		timeMeasurement(ConfigureRouters, "routers", routers, func(n int) func() { return reconfigure(fleetSize{n, 1000, 64, 1}) }),
+		timeMeasurement(TreeWorkspaces, "workspaces", workspaces, changeTree),
+		timeMeasurement(PeersRouters, "routers", routers, func(n int) func() { return rejoinPeer(fleetSize{n, 1000, 64, 1}) }),
+		timeMeasurement(PeersUpstreams, "upstreams", upstreams, func(n int) func() { return rejoinPeer(fleetSize{32, n, 64, 1}) }),
+		timeMeasurement(UsageEntries, "entries", []int{10, 100, 1000}, func(n int) func() { return receiveUsage(n, 0) }),
+		timeMeasurement(UsageMoved, "workspaces granted to", backlogged, func(n int) func() { return receiveUsage(1, n) }),
+		timeMeasurement(DemandLines, "lines", []int{1, 10, 100, 630}, receiveDemand),
+		timeMeasurement(MembershipTick, "routers", routers, membershipTick),
+		timeMeasurement(MembershipHeartbeat, "routers", routers, membershipHeartbeat),
+		timeMeasurement(ClaimsRound, "entries in the open segment", openSegmentSizes, claimsRound),
+		timeMeasurement(VMsDecode, "VMs", []int{100, 1000, 10_000}, decodeVMs),
+		{name: RemovedOrigins, unit: "incarnations", sizeUnit: "incarnations that were heard", sizes: []int{1000, 2000, 4000}, measure: countRemovedOrigins},
 	}
 }
 
-// choice grants one slot: the next workspace, its reservation, its charge.
-func choice(known, backlogged int) func() {
+// grantSlot grants one slot: the next workspace, its reservation, its charge.
+func grantSlot(known, backlogged int) func() {
 	now := time.Unix(1_800_000_000, 0)
 	l := fairness.New(1)
 	for i := range known {
@@ -104,20 +106,20 @@
 	}
 }
 
-// saturated ends one request and lets a waiting one take its slot; an arrival
+// saturatedScheduler ends one request and lets a waiting one take its slot; an arrival
 // keeps the backlog as long as it was.
-func saturated(s size, backlogged int) func() {
-	r := newRig(s)
-	running := dispatched(r.wait(len(r.owned)*rigSlots + backlogged))
+func saturatedScheduler(s fleetSize, backlogged int) func() {
+	h := newSchedulerHarness(s)
+	running := dispatchedIDs(h.queueRequests(len(h.owned)*slotsPerUpstream + backlogged))
 	return func() {
-		r.lastID++
-		actions := r.step(scheduler.Arrived{Request: r.request(int(r.lastID))})
-		actions = append(actions, r.step(scheduler.Ended{ID: running[0], Cost: state.CostUnit, Outcome: scheduler.OutcomeServed})...)
-		running = append(running[1:], dispatched(actions)...)
+		h.lastID++
+		actions := h.step(scheduler.Arrived{Request: h.newRequest(int(h.lastID))})
+		actions = append(actions, h.step(scheduler.Ended{ID: running[0], Cost: state.CostUnit, Outcome: scheduler.OutcomeServed})...)
+		running = append(running[1:], dispatchedIDs(actions)...)
 	}
 }
 
-func dispatched(actions []scheduler.Action) []state.RequestID {
+func dispatchedIDs(actions []scheduler.Action) []state.RequestID {
 	var ids []state.RequestID
 	for _, a := range actions {
 		if d, ok := a.(scheduler.Dispatch); ok {
@@ -130,20 +132,20 @@
 // tickRouters is the fleet in which ticks are measured against other sizes.
 const tickRouters = 32
 
-// ticks measures one tick as a mean over half a minute, which holds every
+// tickMeasurement measures one tick as a mean over half a minute, which holds every
 // periodic work of a scheduler: exchanges, batches, refreshes. With lines
 // waiting nearly all of it is demand sent, and it is divided by the owners.
-func ticks(name Name, against string, sizes []int, of func(n int) (size, int)) measurement {
+func tickMeasurement(name SlopeName, sizeUnit string, sizes []int, sizeFor func(n int) (fleetSize, int)) measurement {
 	const perRun = int(30 * time.Second / scheduler.TickInterval)
 	return measurement{
-		name: name, unit: "ns", against: against, machine: true, sizes: sizes,
-		value: func(_ context.Context, n int) (float64, error) {
-			s, lines := of(n)
-			r := newRig(s)
-			r.wait(lines)
-			ns := nanoseconds(func() {
+		name: name, unit: "ns", sizeUnit: sizeUnit, machineDependent: true, sizes: sizes,
+		measure: func(_ context.Context, n int) (float64, error) {
+			s, lines := sizeFor(n)
+			h := newSchedulerHarness(s)
+			h.queueRequests(lines)
+			ns := nanosecondsPerCall(func() {
 				for range perRun {
-					r.tick()
+					h.tick()
 				}
 			}) / float64(perRun)
 			if lines > 0 {
@@ -154,14 +156,14 @@
 	}
 }
 
-func configuring(s size) func() {
-	r := newRig(s)
+func reconfigure(s fleetSize) func() {
+	h := newSchedulerHarness(s)
 	settings := s.settings()
-	return func() { r.step(scheduler.Configured{Settings: settings}) }
+	return func() { h.step(scheduler.Configured{Settings: settings}) }
 }
 
-// treeChange takes one changed object into the tree and derives the view.
-func treeChange(workspaces int) func() {
+// changeTree takes one changed object into the tree and derives the view.
+func changeTree(workspaces int) func() {
 	const team = 10
 	tree := newTree(workspaces/team, team, 100)
 	version := uint64(1)
@@ -189,45 +191,45 @@
 	return tree
 }
 
-// rejoining takes one router away and brings it back, as the daemon does for
+// rejoinPeer takes one router away and brings it back, as the daemon does for
 // every new session.
-func rejoining(s size) func() {
-	r := newRig(s)
-	all := peersOf(s.routers)
+func rejoinPeer(s fleetSize) func() {
+	h := newSchedulerHarness(s)
+	all := samplePeers(s.routers)
 	return func() {
-		r.step(scheduler.PeersChanged{Peers: all[:len(all)-1]})
-		r.step(scheduler.PeersChanged{Peers: all})
+		h.step(scheduler.PeersChanged{Peers: all[:len(all)-1]})
+		h.step(scheduler.PeersChanged{Peers: all})
 	}
 }
 
-// hearingUsage takes in one peer's counters. Every call takes them from the
+// receiveUsage takes in one peer's counters. Every call takes them from the
 // next peer, and some workspaces were granted to since each was last heard.
-func hearingUsage(entries, moved int) func() {
+func receiveUsage(entries, moved int) func() {
 	const routers = 32
-	r := newRig(size{routers, 100, 6300, 1})
+	h := newSchedulerHarness(fleetSize{routers, 100, 6300, 1})
 	charged := state.Cost(0)
 	peer := 0
 	return func() {
-		r.grantTo(moved)
+		h.serveWorkspacesOnce(moved)
 		charged += state.CostUnit
 		peer = peer%(routers-1) + 1
-		r.step(scheduler.UsageHeard{
-			Origin: peerNamed(peer).Router, Incarnation: rigIncarnation, Entries: usageOf(entries, charged),
+		h.step(scheduler.UsageHeard{
+			Origin: peerNamed(peer).Router, Incarnation: sampleIncarnation, Entries: sampleUsage(entries, charged),
 		})
 	}
 }
 
-// grantTo serves a request of so many workspaces, once.
-func (r *rig) grantTo(workspaces int) {
-	if r.lastID > 0 {
+// serveWorkspacesOnce serves a request of so many workspaces, once.
+func (h *schedulerHarness) serveWorkspacesOnce(workspaces int) {
+	if h.lastID > 0 {
 		return
 	}
 	for range workspaces {
-		r.serve()
+		h.serveRequest()
 	}
 }
 
-func usageOf(n int, charged state.Cost) []scheduler.UsageEntry {
+func sampleUsage(n int, charged state.Cost) []scheduler.UsageEntry {
 	entries := make([]scheduler.UsageEntry, n)
 	for i := range entries {
 		entries[i] = scheduler.UsageEntry{
@@ -237,19 +239,19 @@
 	return entries
 }
 
-func hearingDemand(lines int) func() {
-	r := newRig(size{32, 100, 6300, 1})
-	demand := demandOf(lines)
-	for range len(r.owned) * rigSlots {
-		r.lastID++
-		r.step(scheduler.Arrived{Request: r.request(0)})
+func receiveDemand(lines int) func() {
+	h := newSchedulerHarness(fleetSize{32, 100, 6300, 1})
+	demand := sampleDemand(lines)
+	for range len(h.owned) * slotsPerUpstream {
+		h.lastID++
+		h.step(scheduler.Arrived{Request: h.newRequest(0)})
 	}
 	return func() {
-		r.step(scheduler.DemandHeard{From: peerNamed(1).Router, Demand: demand})
+		h.step(scheduler.DemandHeard{From: peerNamed(1).Router, Demand: demand})
 	}
 }
 
-func demandOf(lines int) scheduler.Demand {
+func sampleDemand(lines int) scheduler.Demand {
 	d := scheduler.Demand{Service: serviceNamed(0), Full: true}
 	for i := range lines {
 		d.Entries = append(d.Entries, scheduler.DemandEntry{
@@ -259,21 +261,21 @@
 	return d
 }
 
-// members is a membership machine with a session to every other router.
-type members struct {
+// membershipHarness is a membership machine with a session to every other router.
+type membershipHarness struct {
 	*membership.Machine
 	now time.Time
 }
 
-func newMembers(routers int) *members {
-	m := &members{now: time.Unix(1_800_000_000, 0), Machine: membership.New(membership.Config{Self: helloOf(0), Seed: 1})}
+func newMembershipHarness(routers int) *membershipHarness {
+	m := &membershipHarness{now: time.Unix(1_800_000_000, 0), Machine: membership.New(membership.Config{Self: sampleHello(0), Seed: 1})}
 	for i := 1; i < routers; i++ {
-		m.Step(m.now, membership.HelloReceived{Session: membership.SessionID(i), Hello: helloOf(i)})
+		m.Step(m.now, membership.HelloReceived{Session: membership.SessionID(i), Hello: sampleHello(i)})
 	}
 	return m
 }
 
-func helloOf(i int) membership.Hello {
+func sampleHello(i int) membership.Hello {
 	peer := peerNamed(i)
 	return membership.Hello{
 		Fleet: "figstile", Version: 1, Router: peer.Router, DataCentre: peer.DataCentre, Incarnation: peer.Incarnation,
@@ -282,7 +284,7 @@
 }
 
 // tick lets one tick pass in which every peer was heard of.
-func (m *members) tick(routers int) []membership.Action {
+func (m *membershipHarness) tick(routers int) []membership.Action {
 	m.now = m.now.Add(membership.TickInterval)
 	for i := 1; i < routers; i++ {
 		m.Step(m.now, membership.MessageReceived{Session: membership.SessionID(i)})
@@ -291,16 +293,16 @@
 }
 
 func membershipTick(routers int) func() {
-	m := newMembers(routers)
+	m := newMembershipHarness(routers)
 	return func() { m.tick(routers) }
 }
 
-func membershipBeat(routers int) func() {
-	m := newMembers(routers)
+func membershipHeartbeat(routers int) func() {
+	m := newMembershipHarness(routers)
 	return func() { m.Step(m.now, membership.HeartbeatReceived{Session: 1}) }
 }
 
-func decodingVMs(n int) func() {
+func decodeVMs(n int) func() {
 	list := vmList(n)
 	return func() {
 		var answer objectstore.VMsAnswer
@@ -310,22 +312,22 @@
 	}
 }
 
-// deadOrigins is how many incarnations that are gone a ledger remembers.
-func deadOrigins(_ context.Context, n int) (float64, error) {
+// countRemovedOrigins is how many incarnations that are gone a ledger remembers.
+func countRemovedOrigins(_ context.Context, n int) (float64, error) {
 	l := fairness.New(1)
 	for i := range n {
-		l.ReceiveCounters(fairness.Origin{Router: "router-0001", Incarnation: state.Incarnation(1 + i)}, countersOf(1))
+		l.ReceiveCounters(fairness.Origin{Router: "router-0001", Incarnation: state.Incarnation(1 + i)}, sampleCounters(1))
 	}
 	return float64(len(l.RemovedOrigins())), nil
 }
 
-// openSizes are the entries an open segment may hold.
-var openSizes = []int{50, 250, 500}
+// openSegmentSizes are the entries an open segment may hold.
+var openSegmentSizes = []int{50, 250, 500}
 
 // claimsRound reads, extends and writes an open segment, as a contended round
 // does.
 func claimsRound(entries int) func() {
-	segment := segmentOf(entries)
+	segment := sampleSegment(entries)
 	return func() {
 		value, err := segment.Encode()
 		if err != nil {
@@ -337,28 +339,28 @@
 	}
 }
 
-// claimsRemembered is a machine that has read a shard's chain of sealed
+// rememberedClaims is a machine that has read a shard's chain of sealed
 // segments.
-func claimsRemembered(n int) any {
+func rememberedClaims(n int) any {
 	const perSegment = 500
-	m := claims.NewMachine("router-0001", rigIncarnation)
+	m := claims.NewMachine("router-0001", sampleIncarnation)
 	now := time.Unix(1_800_000_000, 0)
-	attempt := state.AttemptID{Router: "router-0001", Incarnation: rigIncarnation, Sequence: 1}
+	attempt := state.AttemptID{Router: "router-0001", Incarnation: sampleIncarnation, Sequence: 1}
 	actions := m.Step(now, claims.ClaimWanted{Request: claims.Request{
 		Workspace: workspaceNamed(0), Service: serviceNamed(0), Key: "key", Attempt: attempt,
 	}})
 	for _, a := range actions {
 		if read, ok := a.(claims.Read); ok {
-			m.Step(now, chainOf(read.Shard, n, perSegment))
+			m.Step(now, sealedChain(read.Shard, n, perSegment))
 		}
 	}
 	return m
 }
 
-// chainOf answers the read of a whole chain.
-func chainOf(shard, entries, perSegment int) claims.ReadDone {
+// sealedChain answers the read of a whole chain.
+func sealedChain(shard, entries, perSegment int) claims.ReadDone {
 	done := claims.ReadDone{Shard: shard, Outcome: claims.ReadOK}
-	all := segmentOf(entries).Entries
+	all := sampleSegment(entries).Entries
 	for number := 0; number*perSegment < entries; number++ {
 		segment := &claims.Segment{
 			Number:  uint64(number),
@@ -378,9 +380,9 @@
 	return done
 }
 
-// segmentOf holds claims of some hundred incarnations, as a day in a large
+// sampleSegment holds claims of some hundred incarnations, as a day in a large
 // fleet leaves them.
-func segmentOf(entries int) *claims.Segment {
+func sampleSegment(entries int) *claims.Segment {
 	const claimers = 256
 	segment := &claims.Segment{}
 	for i := range entries {
--- a/capacity/measure_memory.go
+++ b/capacity/measure_memory.go
@@ -12,51 +12,51 @@
 
 // Slopes of memory.
 const (
-	MemoryWorkspaces Name = "memory.workspaces"
-	MemoryUpstreams  Name = "memory.upstreams"
-	MemoryRouters    Name = "memory.routers"
-	MemoryMembers    Name = "memory.members"
-	MemoryWaiting    Name = "memory.waiting"
-	MemoryCounters   Name = "memory.counters"
-	MemoryDemand     Name = "memory.demand"
-	MemoryTree       Name = "memory.tree"
-	MemoryTreeUp     Name = "memory.tree-upstreams"
-	MemorySeries     Name = "memory.series"
-	MemoryShard      Name = "memory.shard"
+	MemoryWorkspaces    SlopeName = "memory.workspaces"
+	MemoryUpstreams     SlopeName = "memory.upstreams"
+	MemoryRouters       SlopeName = "memory.routers"
+	MemoryMembers       SlopeName = "memory.members"
+	MemoryWaiting       SlopeName = "memory.waiting"
+	MemoryCounters      SlopeName = "memory.counters"
+	MemoryDemand        SlopeName = "memory.demand"
+	MemoryTree          SlopeName = "memory.tree"
+	MemoryTreeUpstreams SlopeName = "memory.tree-upstreams"
+	MemorySeries        SlopeName = "memory.series"
+	MemoryShard         SlopeName = "memory.shard"
 )
 
 func memoryMeasurements() []measurement {
 	return []measurement{
-		held(MemoryWorkspaces, "workspaces of one service", []int{630, 2520, 6300}, func(n int) any { return newRig(size{8, 8, n, 1}) }),
-		held(MemoryUpstreams, "upstreams", []int{100, 1000, 10_000}, func(n int) any { return newRig(size{8, n, 16, 1}) }),
-		held(MemoryRouters, "routers", []int{64, 256, 730}, func(n int) any { return newRig(size{n, 100, 16, 1}) }),
-		held(MemoryMembers, "routers", []int{64, 256, 730}, func(n int) any { return newMembers(n) }),
-		held(MemoryWaiting, "waiting requests", []int{500, 2000, 8000}, waitingRig),
-		held(MemoryCounters, "counters heard", []int{6300, 63_000, 441_000}, countersHeard),
-		held(MemoryDemand, "lines heard", []int{630, 2520, 6300}, demandHeard),
-		held(MemoryTree, "workspaces", []int{630, 2520, 6300}, func(n int) any {
+		heapMeasurement(MemoryWorkspaces, "workspaces of one service", []int{630, 2520, 6300}, func(n int) any { return newSchedulerHarness(fleetSize{8, 8, n, 1}) }),
+		heapMeasurement(MemoryUpstreams, "upstreams", []int{100, 1000, 10_000}, func(n int) any { return newSchedulerHarness(fleetSize{8, n, 16, 1}) }),
+		heapMeasurement(MemoryRouters, "routers", []int{64, 256, 730}, func(n int) any { return newSchedulerHarness(fleetSize{n, 100, 16, 1}) }),
+		heapMeasurement(MemoryMembers, "routers", []int{64, 256, 730}, func(n int) any { return newMembershipHarness(n) }),
+		heapMeasurement(MemoryWaiting, "waiting requests", []int{500, 2000, 8000}, harnessWithRequests),
+		heapMeasurement(MemoryCounters, "counters heard", []int{6300, 63_000, 441_000}, ledgerWithCounters),
+		heapMeasurement(MemoryDemand, "lines heard", []int{630, 2520, 6300}, harnessWithDemand),
+		heapMeasurement(MemoryTree, "workspaces", []int{630, 2520, 6300}, func(n int) any {
 			tree := newTree(n/10, 10, 10)
 			return []any{tree, tree.View()}
 		}),
-		held(MemoryTreeUp, "upstreams", []int{100, 1000, 5000}, func(n int) any {
+		heapMeasurement(MemoryTreeUpstreams, "upstreams", []int{100, 1000, 5000}, func(n int) any {
 			tree := newTree(10, 10, n)
 			return []any{tree, tree.View()}
 		}),
-		held(MemorySeries, "pairs of workspace and class", []int{32, 128, 512}, seriesOf),
-		held(MemoryShard, "claims in the shard", []int{1000, 10_000, 30_000}, claimsRemembered),
+		heapMeasurement(MemorySeries, "pairs of workspace and class", []int{32, 128, 512}, metricsWithSeries),
+		heapMeasurement(MemoryShard, "claims in the shard", []int{1000, 10_000, 30_000}, rememberedClaims),
 	}
 }
 
-func waitingRig(n int) any {
-	r := newRig(size{8, 8, 6300, 1})
-	r.now = r.now.Add(time.Minute)
-	r.wait(n)
-	return r
+func harnessWithRequests(n int) any {
+	h := newSchedulerHarness(fleetSize{8, 8, 6300, 1})
+	h.now = h.now.Add(time.Minute)
+	h.queueRequests(n)
+	return h
 }
 
-// countersHeard holds the counters of 630 workspaces for so many routers as
+// ledgerWithCounters holds the counters of 630 workspaces for so many routers as
 // the number asks for.
-func countersHeard(n int) any {
+func ledgerWithCounters(n int) any {
 	const workspaces = 630
 	l := fairness.New(1)
 	for i := range workspaces {
@@ -71,12 +71,12 @@
 	}
 	l.SetPeers(1, peers)
 	for _, peer := range peers {
-		l.ReceiveCounters(peer.Origin, countersOf(workspaces))
+		l.ReceiveCounters(peer.Origin, sampleCounters(workspaces))
 	}
 	return l
 }
 
-func countersOf(n int) []fairness.Entry {
+func sampleCounters(n int) []fairness.Entry {
 	entries := make([]fairness.Entry, n)
 	for i := range entries {
 		entries[i] = fairness.Entry{Workspace: workspaceNamed(i), Counter: fairness.Counter{Charged: state.CostUnit}}
@@ -84,15 +84,15 @@
 	return entries
 }
 
-func demandHeard(lines int) any {
-	r := newRig(size{8, 8, 6300, 1})
-	r.now = r.now.Add(time.Minute)
-	d := demandOf(lines)
-	hearing := r.hearDemandFrom(1, d)
-	return []any{r, hearing}
+func harnessWithDemand(lines int) any {
+	h := newSchedulerHarness(fleetSize{8, 8, 6300, 1})
+	h.now = h.now.Add(time.Minute)
+	d := sampleDemand(lines)
+	actions := h.receiveDemand(1, d)
+	return []any{h, actions}
 }
 
-func seriesOf(n int) any {
+func metricsWithSeries(n int) any {
 	m := metrics.New("router-0001", "sala-01")
 	for i := range n {
 		s := m.SeriesFor(state.Workspace(fmt.Sprintf("workspace-%05d", i)), "short")
--- a/capacity/measure_platform.go
+++ b/capacity/measure_platform.go
@@ -25,75 +25,75 @@
 
 // Slopes of whole daemons and pollers in real time, beside stand-ins.
 const (
-	PlatformWatches Name = "platform.watches"
-	PlatformVMs     Name = "platform.vms"
-	PlatformChanges Name = "platform.changes"
-	PollBytes       Name = "poll.bytes"
-	PollTime        Name = "poll.time"
-	ProgressReports Name = "progress.reports"
+	PlatformWatches SlopeName = "platform.watches"
+	PlatformVMs     SlopeName = "platform.vms"
+	PlatformChanges SlopeName = "platform.changes"
+	PollBytes       SlopeName = "poll.bytes"
+	PollTime        SlopeName = "poll.time"
+	ProgressReports SlopeName = "progress.reports"
 )
 
 const (
-	// quietWindow holds three waiting watches.
-	quietWindow = 16 * time.Second
+	// idleWindow holds three waiting watches.
+	idleWindow = 16 * time.Second
 	// changeWindow holds enough changes that the first and last call weigh
 	// little.
 	changeWindow = 6 * time.Second
 	// pollWindow holds a dozen polls of each upstream.
 	pollWindow = 3 * time.Second
-	// changedRouters share a platform while settings change.
-	changedRouters = 2
+	// changeRouters share a platform while settings change.
+	changeRouters = 2
 )
 
 func platformMeasurements() []measurement {
 	routers := []int{1, 2, 4}
 	targets := []int{4, 16, 64}
-	quiet := make(map[int]platform.Calls)
+	idleCalls := make(map[int]platform.Calls)
 	return []measurement{
 		{
-			name: PlatformWatches, unit: "watches/s of the fleet", against: "routers", sizes: routers,
-			value: func(ctx context.Context, n int) (float64, error) {
+			name: PlatformWatches, unit: "watches/s of the fleet", sizeUnit: "routers", sizes: routers,
+			measure: func(ctx context.Context, n int) (float64, error) {
 				var err error
-				quiet[n], err = platformCalls(ctx, n, 0, quietWindow)
-				return float64(quiet[n].Watch) / quietWindow.Seconds(), err
+				idleCalls[n], err = countPlatformCalls(ctx, n, 0, idleWindow)
+				return float64(idleCalls[n].Watch) / idleWindow.Seconds(), err
 			},
 		},
 		{
-			name: PlatformVMs, unit: "reads/s of the fleet", against: "routers", sizes: routers,
-			value: func(_ context.Context, n int) (float64, error) {
-				return float64(quiet[n].VMs) / quietWindow.Seconds(), nil
+			name: PlatformVMs, unit: "reads/s of the fleet", sizeUnit: "routers", sizes: routers,
+			measure: func(_ context.Context, n int) (float64, error) {
+				return float64(idleCalls[n].VMs) / idleWindow.Seconds(), nil
 			},
 		},
 		{
-			name: PlatformChanges, unit: "watches/s of one router", against: "changes a second", sizes: []int{1, 2, 4},
-			value: func(ctx context.Context, n int) (float64, error) {
-				calls, err := platformCalls(ctx, changedRouters, n, changeWindow)
-				return float64(calls.Watch) / changeWindow.Seconds() / changedRouters, err
+			name: PlatformChanges, unit: "watches/s of one router", sizeUnit: "changes a second", sizes: []int{1, 2, 4},
+			measure: func(ctx context.Context, n int) (float64, error) {
+				calls, err := countPlatformCalls(ctx, changeRouters, n, changeWindow)
+				return float64(calls.Watch) / changeWindow.Seconds() / changeRouters, err
 			},
 		},
 		{
-			name: PollBytes, unit: "B/s both ways", against: "upstreams polled", sizes: targets,
-			value: func(ctx context.Context, n int) (float64, error) {
-				cost, err := polling(ctx, n)
+			name: PollBytes, unit: "B/s both ways", sizeUnit: "upstreams polled", sizes: targets,
+			measure: func(ctx context.Context, n int) (float64, error) {
+				cost, err := pollingCost(ctx, n)
 				return cost.bytes, err
 			},
 		},
 		{
-			name: PollTime, unit: "ns/s of both ends", against: "upstreams polled", machine: true, sizes: targets,
-			value: func(ctx context.Context, n int) (float64, error) {
-				cost, err := polling(ctx, n)
-				return cost.cpu, err
+			name: PollTime, unit: "ns/s of both ends", sizeUnit: "upstreams polled", machineDependent: true, sizes: targets,
+			measure: func(ctx context.Context, n int) (float64, error) {
+				cost, err := pollingCost(ctx, n)
+				return cost.cpuNanoseconds, err
 			},
 		},
 		{
-			name: ProgressReports, unit: "reports", against: "seconds of a stream", sizes: []int{1, 2, 4},
-			value: progressReports,
+			name: ProgressReports, unit: "reports", sizeUnit: "seconds of a stream", sizes: []int{1, 2, 4},
+			measure: countProgressReports,
 		},
 	}
 }
 
-// processTime is the processor time of this process so far.
-func processTime() time.Duration {
+// processCPUTime is the processor time of this process so far.
+func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -101,8 +101,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// platformCalls counts what daemons without requests ask of the platform.
-func platformCalls(ctx context.Context, routers, changes int, window time.Duration) (platform.Calls, error) {
+// countPlatformCalls counts what daemons without requests ask of the platform.
+func countPlatformCalls(ctx context.Context, routers, changes int, window time.Duration) (platform.Calls, error) {
 	p := platform.New(platform.Options{})
 	url, stop, err := p.Start("127.0.0.1:0")
 	if err != nil {
@@ -121,7 +121,7 @@
 		return platform.Calls{}, err
 	}
 	before := p.Calls()
-	if err := change(ctx, p.Store(), changes, window); err != nil {
+	if err := writeChanges(ctx, p.Store(), changes, window); err != nil {
 		return platform.Calls{}, err
 	}
 	after := p.Calls()
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// change writes a team's object so many times a second.
-func change(ctx context.Context, store *platform.Store, perSecond int, window time.Duration) error {
+// writeChanges writes a team's object so many times a second.
+func writeChanges(ctx context.Context, store *platform.Store, perSecond int, window time.Duration) error {
 	if perSecond == 0 {
 		time.Sleep(window)
 		return nil
@@ -187,11 +187,11 @@
 	}
 }
 
-// polling fetches load reports of so many upstreams for a while.
-func polling(ctx context.Context, n int) (cost, error) {
-	server, err := newCountedServer(loadReports())
+// pollingCost fetches load reports of so many upstreams for a while.
+func pollingCost(ctx context.Context, n int) (resourceCost, error) {
+	server, err := newCountingServer(loadReportHandler())
 	if err != nil {
-		return cost{}, err
+		return resourceCost{}, err
 	}
 	defer server.close()
 	var reports atomic.Int64
@@ -204,51 +204,51 @@
 	poller.SetTargets(server.targets(n))
 	for reports.Load() < int64(n) {
 		if ctx.Err() != nil {
-			return cost{}, ctx.Err()
+			return resourceCost{}, ctx.Err()
 		}
 		time.Sleep(time.Millisecond)
 	}
-	bytes, cpu := server.bytes.Load(), processTime()
+	bytes, cpu := server.bytes.Load(), processCPUTime()
 	time.Sleep(pollWindow)
 	seconds := pollWindow.Seconds()
-	return cost{
-		bytes: float64(server.bytes.Load()-bytes) / seconds,
-		cpu:   float64((processTime() - cpu).Nanoseconds()) / seconds,
+	return resourceCost{
+		bytes:          float64(server.bytes.Load()-bytes) / seconds,
+		cpuNanoseconds: float64((processCPUTime() - cpu).Nanoseconds()) / seconds,
 	}, nil
 }
 
-// loadReports answers every path with a stand-in's load report.
-func loadReports() http.Handler {
-	w := worker.New(worker.Options{Options: standin.Options{Name: upstreamName(0), Slots: rigSlots}})
+// loadReportHandler answers every path with a stand-in's load report.
+func loadReportHandler() http.Handler {
+	w := worker.New(worker.Options{Options: standin.Options{Name: upstreamName(0), Slots: slotsPerUpstream}})
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		r.URL.Path = "/load"
 		w.Handler().ServeHTTP(rw, r)
 	})
 }
 
-// countedServer counts the bytes of its connections both ways.
-type countedServer struct {
+// countingServer counts the bytes of its connections both ways.
+type countingServer struct {
 	net.Listener
 	server *http.Server
 	bytes  atomic.Int64
 }
 
-func newCountedServer(handler http.Handler) (*countedServer, error) {
+func newCountingServer(handler http.Handler) (*countingServer, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &countedServer{Listener: listener, server: &http.Server{Handler: handler, ReadHeaderTimeout: sessionTimeout}}
+	s := &countingServer{Listener: listener, server: &http.Server{Handler: handler, ReadHeaderTimeout: sessionTimeout}}
 	go func() { _ = s.server.Serve(s) }()
 	return s, nil
 }
 
-func (s *countedServer) close() { _ = s.server.Close() }
+func (s *countingServer) close() { _ = s.server.Close() }
 
 // targets are upstreams behind the same address. The poller takes a report
 // only from the upstream it asked, so all bear one name and differ in their
 // paths.
-func (s *countedServer) targets(n int) []upstream.Target {
+func (s *countingServer) targets(n int) []upstream.Target {
 	targets := make([]upstream.Target, n)
 	for i := range targets {
 		targets[i] = upstream.Target{Upstream: upstreamName(0), BaseURL: fmt.Sprintf("http://%s/%d", s.Addr(), i)}
@@ -257,25 +257,25 @@
 }
 
 // Accept counts the next connection.
-func (s *countedServer) Accept() (net.Conn, error) {
+func (s *countingServer) Accept() (net.Conn, error) {
 	conn, err := s.Listener.Accept()
-	return &countedConn{Conn: conn, bytes: &s.bytes}, err
+	return &countingConn{Conn: conn, bytes: &s.bytes}, err
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
 // Read reads and counts.
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write writes and counts.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
--- a/capacity/measure_progress.go
+++ b/capacity/measure_progress.go
@@ -25,9 +25,9 @@
 // tokenDelay is how fast the measured stream runs.
 const tokenDelay = 20 * time.Millisecond
 
-// progressReports counts the reports of cost that the caller's handler makes
+// countProgressReports counts the reports of cost that the caller's handler makes
 // while it relays one stream.
-func progressReports(_ context.Context, seconds int) (float64, error) {
+func countProgressReports(_ context.Context, seconds int) (float64, error) {
 	e := engine.New(engine.Options{
 		Options:       standin.Options{Name: upstreamName(0), Slots: 1},
 		TokenDelay:    tokenDelay,
@@ -40,9 +40,9 @@
 	defer stop()
 	client := upstream.NewClient(upstream.ClientOptions{})
 	defer client.Close()
-	counted := &countedReports{}
+	counted := &countingScheduler{}
 	handler := caller.NewHandler(caller.Options{
-		Router: "router-0000", Scheduler: counted, Settings: oneService{url: url}, Client: client, Log: zerolog.Nop(),
+		Router: "router-0000", Scheduler: counted, Settings: singleService{url: url}, Client: client, Log: zerolog.Nop(),
 	})
 	answer := httptest.NewRecorder()
 	handler.ServeHTTP(answer, streamRequest("/drafts/v1/chat/completions"))
@@ -60,42 +60,46 @@
 	return r
 }
 
-// countedReports dispatches each request at once and counts its reports.
-type countedReports struct{ reports atomic.Int64 }
+// countingScheduler dispatches each request at once and counts its reports.
+type countingScheduler struct{ reports atomic.Int64 }
 
 // NextID numbers a request.
-func (*countedReports) NextID() state.RequestID { return 1 }
+func (*countingScheduler) NextID() state.RequestID { return 1 }
 
 // Submit dispatches to the only upstream.
-func (*countedReports) Submit(scheduler.Request) <-chan scheduler.Action {
+func (*countingScheduler) Submit(scheduler.Request) <-chan scheduler.Action {
 	actions := make(chan scheduler.Action, 1)
 	actions <- scheduler.Dispatch{ID: 1, Upstream: upstreamName(0), Attempt: 1}
 	return actions
 }
 
 // Withdraw does nothing.
-func (*countedReports) Withdraw(state.RequestID) {}
+func (*countingScheduler) Withdraw(state.RequestID) {}
 
 // ReportProgress counts.
-func (c *countedReports) ReportProgress(state.RequestID, state.Cost) { c.reports.Add(1) }
+func (c *countingScheduler) ReportProgress(state.RequestID, state.Cost) { c.reports.Add(1) }
 
 // ReportEnd does nothing.
-func (*countedReports) ReportEnd(state.RequestID, state.Cost, scheduler.Outcome) {}
+func (*countingScheduler) ReportEnd(state.RequestID, state.Cost, scheduler.Outcome) {}
 
-// oneService is a view with one engine.
-type oneService struct{ url string }
+// singleService is a view with one engine.
+type singleService struct{ url string }
 
 // View returns itself.
-func (s oneService) View() caller.View { return s }
+func (s singleService) View() caller.View { return s }
 
 // AuthenticateCaller knows one workspace.
-func (oneService) AuthenticateCaller(string) (state.Workspace, bool) { return workspaceNamed(0), true }
+func (singleService) AuthenticateCaller(string) (state.Workspace, bool) {
+	return workspaceNamed(0), true
+}
 
 // Service returns the engine for every name.
-func (s oneService) Service(name state.Service) (config.Service, bool) {
+func (s singleService) Service(name state.Service) (config.Service, bool) {
 	up := config.Upstream{Name: upstreamName(0), URL: s.url}
 	return config.Service{Name: name, Kind: config.KindEngine, Repeatable: true, Upstreams: []config.Upstream{up}}, true
 }
 
 // Allows permits everything.
-func (oneService) Allows(state.Workspace, state.Service, state.Model) result.Code { return result.OK }
+func (singleService) Allows(state.Workspace, state.Service, state.Model) result.Code {
+	return result.OK
+}
--- a/capacity/measure_sessions.go
+++ b/capacity/measure_sessions.go
@@ -16,10 +16,10 @@
 
 // Slopes of real sessions over loopback.
 const (
-	SessionBytes  Name = "session.bytes"
-	SessionTime   Name = "session.time"
-	SessionMemory Name = "session.memory"
-	SessionQueue  Name = "session.queue"
+	SessionBytes  SlopeName = "session.bytes"
+	SessionTime   SlopeName = "session.time"
+	SessionMemory SlopeName = "session.memory"
+	SessionQueue  SlopeName = "session.queue"
 )
 
 // sessionTimeout ends a measurement whose sessions do not come about.
@@ -31,50 +31,50 @@
 	counters := []int{1, 10, 100, 1000}
 	return []measurement{
 		{
-			name: SessionBytes, unit: "B on TCP beyond the frame", against: "counters in a message", sizes: counters,
-			value: func(ctx context.Context, n int) (float64, error) {
+			name: SessionBytes, unit: "B on TCP beyond the frame", sizeUnit: "counters in a message", sizes: counters,
+			measure: func(ctx context.Context, n int) (float64, error) {
 				cost, err := messageCost(ctx, n)
 				return cost.bytes, err
 			},
 		},
 		{
-			name: SessionTime, unit: "ns", against: "counters in a message", machine: true, sizes: counters,
-			value: func(ctx context.Context, n int) (float64, error) {
+			name: SessionTime, unit: "ns", sizeUnit: "counters in a message", machineDependent: true, sizes: counters,
+			measure: func(ctx context.Context, n int) (float64, error) {
 				cost, err := messageCost(ctx, n)
-				return cost.cpu, err
+				return cost.cpuNanoseconds, err
 			},
 		},
 		{
-			name: SessionMemory, unit: "B", against: "sessions of a router", sizes: []int{1, 3, 7, 15},
-			value: sessionMemory,
+			name: SessionMemory, unit: "B", sizeUnit: "sessions of a router", sizes: []int{1, 3, 7, 15},
+			measure: sessionMemory,
 		},
 		{
-			name: SessionQueue, unit: "B sent at once before a session overflows", against: "counters in a message", sizes: []int{1500, 3000, 6000},
-			value: sessionQueue,
+			name: SessionQueue, unit: "B sent at once before a session overflows", sizeUnit: "counters in a message", sizes: []int{1500, 3000, 6000},
+			measure: sessionQueue,
 		},
 	}
 }
 
-// stillClock never ticks, so that no heartbeat is among what is counted.
-type stillClock struct{}
+// stoppedClock never ticks, so that no heartbeat is among what is counted.
+type stoppedClock struct{}
 
 // Now returns the time.
-func (stillClock) Now() time.Time { return time.Now() }
+func (stoppedClock) Now() time.Time { return time.Now() }
 
 // Ticker returns a channel that never receives.
-func (stillClock) Ticker(time.Duration) (<-chan time.Time, func()) { return nil, func() {} }
-
-// meshes are routers of one process with sessions between all of them.
-type meshes struct {
-	list   []*peer.Mesh
-	heard  chan struct{}
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+func (stoppedClock) Ticker(time.Duration) (<-chan time.Time, func()) { return nil, func() {} }
+
+// meshGroup are routers of one process with sessions between all of them.
+type meshGroup struct {
+	meshes   []*peer.Mesh
+	received chan struct{}
+	cancel   context.CancelFunc
+	running  sync.WaitGroup
 }
 
-func startMeshes(ctx context.Context, n int) (*meshes, error) {
+func startMeshGroup(ctx context.Context, n int) (*meshGroup, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	m := &meshes{heard: make(chan struct{}, 1), cancel: cancel}
+	m := &meshGroup{received: make(chan struct{}, 1), cancel: cancel}
 	var seeds []string
 	for i := range n {
 		mesh, err := peer.New(m.options(i, seeds))
@@ -83,17 +83,17 @@
 			return nil, err
 		}
 		seeds = append(seeds, mesh.Addr())
-		m.list = append(m.list, mesh)
-		m.done.Go(func() { _ = mesh.Run(ctx) })
+		m.meshes = append(m.meshes, mesh)
+		m.running.Go(func() { _ = mesh.Run(ctx) })
 	}
-	if err := m.await(ctx); err != nil {
+	if err := m.awaitSessions(ctx); err != nil {
 		m.stop()
 		return nil, err
 	}
 	return m, nil
 }
 
-func (m *meshes) options(i int, seeds []string) peer.Options {
+func (m *meshGroup) options(i int, seeds []string) peer.Options {
 	self := peerNamed(i)
 	return peer.Options{
 		Self: peer.Self{
@@ -105,21 +105,21 @@
 		Handler: m.decode,
 		OnPeers: func([]scheduler.Peer) {},
 		Log:     zerolog.Nop(),
-		Clock:   stillClock{},
+		Clock:   stoppedClock{},
 	}
 }
 
 // decode does what a daemon does before the scheduler hears of a message.
-func (m *meshes) decode(from peer.Peer, env *peerpb.Envelope) {
+func (m *meshGroup) decode(from peer.Peer, env *peerpb.Envelope) {
 	if _, err := wire.ToEvent(from.Router, from.Incarnation, env); err == nil {
-		m.heard <- struct{}{}
+		m.received <- struct{}{}
 	}
 }
 
-// await returns once every router has a session with every other one.
-func (m *meshes) await(ctx context.Context) error {
+// awaitSessions returns once every router has a session with every other one.
+func (m *meshGroup) awaitSessions(ctx context.Context) error {
 	deadline := time.Now().Add(sessionTimeout)
-	for !m.connected() {
+	for !m.allConnected() {
 		if time.Now().After(deadline) || ctx.Err() != nil {
 			return errNoSession
 		}
@@ -128,29 +128,29 @@
 	return nil
 }
 
-func (m *meshes) connected() bool {
-	for _, mesh := range m.list {
+func (m *meshGroup) allConnected() bool {
+	for _, mesh := range m.meshes {
 		connected := 0
 		for _, p := range mesh.Stats().Peers {
 			if p.Connected {
 				connected++
 			}
 		}
-		if connected < len(m.list)-1 {
+		if connected < len(m.meshes)-1 {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *meshes) stop() {
+func (m *meshGroup) stop() {
 	m.cancel()
-	m.done.Wait()
-	close(m.heard)
+	m.running.Wait()
+	close(m.received)
 }
 
-// cost is what one message takes at both ends together.
-type cost struct{ bytes, cpu float64 }
+// resourceCost is what one message takes at both ends together.
+type resourceCost struct{ bytes, cpuNanoseconds float64 }
 
 // countedMessages are so many that a frame of the session's own among them,
 // such as the one that opens the bulk stream, is a thousandth of the result.
@@ -159,56 +159,56 @@
 // messageCost sends one usage message after the other, since those that wait
 // together share a yamux frame. The receiver counts a message's bytes before it
 // is heard of, the sender perhaps later.
-func messageCost(ctx context.Context, counters int) (cost, error) {
-	m, err := startMeshes(ctx, 2)
+func messageCost(ctx context.Context, counters int) (resourceCost, error) {
+	m, err := startMeshGroup(ctx, 2)
 	if err != nil {
-		return cost{}, err
+		return resourceCost{}, err
 	}
 	defer m.stop()
-	usage := scheduler.SendUsage{Origin: "router-0000", Incarnation: rigIncarnation, Entries: usageOf(counters, 1e9)}
+	usage := scheduler.SendUsage{Origin: "router-0000", Incarnation: sampleIncarnation, Entries: sampleUsage(counters, 1e9)}
 	frame, err := frameBytes(envelope(usage))
 	if err != nil {
-		return cost{}, err
+		return resourceCost{}, err
 	}
-	m.send(usage)
-	bytes, cpu := m.list[1].Stats().Total.BytesIn, processTime()
+	m.sendUsage(usage)
+	bytes, cpu := m.meshes[1].Stats().Total.BytesIn, processCPUTime()
 	for range countedMessages {
-		m.send(usage)
+		m.sendUsage(usage)
 	}
-	used := processTime() - cpu
-	sentBytes := float64(m.list[1].Stats().Total.BytesIn-bytes) / countedMessages
-	return cost{bytes: sentBytes - frame, cpu: float64(used.Nanoseconds()) / countedMessages}, nil
+	used := processCPUTime() - cpu
+	sentBytes := float64(m.meshes[1].Stats().Total.BytesIn-bytes) / countedMessages
+	return resourceCost{bytes: sentBytes - frame, cpuNanoseconds: float64(used.Nanoseconds()) / countedMessages}, nil
 }
 
-// send sends one message and waits until its receiver has decoded it.
-func (m *meshes) send(usage scheduler.SendUsage) {
-	if m.list[0].Send(peerNamed(1).Router, envelope(usage)) {
-		<-m.heard
+// sendUsage sends one message and waits until its receiver has decoded it.
+func (m *meshGroup) sendUsage(usage scheduler.SendUsage) {
+	if m.meshes[0].Send(peerNamed(1).Router, envelope(usage)) {
+		<-m.received
 	}
 }
 
 // sessionQueue sends to a router that does not read until the session ends,
 // as one that is told much at once over a slow link does.
 func sessionQueue(ctx context.Context, counters int) (float64, error) {
-	m, err := startMeshes(ctx, 2)
+	m, err := startMeshGroup(ctx, 2)
 	if err != nil {
 		return 0, err
 	}
-	env := envelope(scheduler.SendUsage{Origin: "router-0000", Incarnation: rigIncarnation, Entries: usageOf(counters, 1e9)})
+	env := envelope(scheduler.SendUsage{Origin: "router-0000", Incarnation: sampleIncarnation, Entries: sampleUsage(counters, 1e9)})
 	frame, err := frameBytes(env)
 	queued := 0.0
-	for err == nil && m.list[0].Send(peerNamed(1).Router, env) {
+	for err == nil && m.meshes[0].Send(peerNamed(1).Router, env) {
 		queued += frame
 	}
-	m.release()
+	m.drainReceived()
 	m.stop()
 	return queued, err
 }
 
-// release lets handlers end that wait to be heard.
-func (m *meshes) release() {
+// drainReceived lets handlers end that wait to be heard.
+func (m *meshGroup) drainReceived() {
 	go func() {
-		for range m.heard {
+		for range m.received {
 		}
 	}()
 }
@@ -216,10 +216,10 @@
 // sessionMemory is the memory of one router with so many sessions.
 func sessionMemory(ctx context.Context, sessions int) (float64, error) {
 	routers := sessions + 1
-	var started *meshes
+	var started *meshGroup
 	var err error
 	total := memoryOf(func() any {
-		started, err = startMeshes(ctx, routers)
+		started, err = startMeshGroup(ctx, routers)
 		return started
 	})
 	if err != nil {
--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -13,17 +13,17 @@
 
 // The measured scheduler must do what its name says: otherwise a slope would
 // be that of refusals.
-func TestRigServesAndQueues(t *testing.T) {
-	r := newRig(size{routers: 4, upstreams: 16, workspaces: 64, services: 1})
-	require.NotEmpty(t, r.owned)
-	served := dispatched(r.wait(len(r.owned) * rigSlots))
-	require.Len(t, served, len(r.owned)*rigSlots)
-	require.Empty(t, dispatched(r.wait(10)), "full")
-	actions := r.step(scheduler.Ended{ID: served[0], Cost: state.CostUnit, Outcome: scheduler.OutcomeServed})
-	require.Len(t, dispatched(actions), 1, "the slot goes to one that waited")
+func TestHarnessServesAndQueues(t *testing.T) {
+	h := newSchedulerHarness(fleetSize{routers: 4, upstreams: 16, workspaces: 64, services: 1})
+	require.NotEmpty(t, h.owned)
+	served := dispatchedIDs(h.queueRequests(len(h.owned) * slotsPerUpstream))
+	require.Len(t, served, len(h.owned)*slotsPerUpstream)
+	require.Empty(t, dispatchedIDs(h.queueRequests(10)), "full")
+	actions := h.step(scheduler.Ended{ID: served[0], Cost: state.CostUnit, Outcome: scheduler.OutcomeServed})
+	require.Len(t, dispatchedIDs(actions), 1, "the slot goes to one that waited")
 }
 
-func TestTrafficGrowsWithWhatChanged(t *testing.T) {
+func TestTrafficGrowsWithChangedCounters(t *testing.T) {
 	few, err := usageTraffic(16)
 	require.NoError(t, err)
 	many, err := usageTraffic(160)
@@ -37,9 +37,9 @@
 // Rounds are shared out over the fleet, so that one router's claims wait
 // longer the more routers there are.
 func TestClaimsWaitLongerInALargerFleet(t *testing.T) {
-	small, err := claimWait(73)
+	small, err := meanClaimWait(73)
 	require.NoError(t, err)
-	large, err := claimWait(730)
+	large, err := meanClaimWait(730)
 	require.NoError(t, err)
 	require.Greater(t, large, 5*small)
 }
@@ -54,14 +54,14 @@
 
 // A router that starts is told everything at once. What a session's queue does
 // not hold ends the session, and the next one begins with the same.
-func TestAQueueThatIsFullEndsTheSession(t *testing.T) {
+func TestFullQueueEndsTheSession(t *testing.T) {
 	queued, err := sessionQueue(context.Background(), 6000)
 	require.NoError(t, err)
 	require.Positive(t, queued)
 }
 
 func TestProgressReportsAreCounted(t *testing.T) {
-	reports, err := progressReports(context.Background(), 0)
+	reports, err := countProgressReports(context.Background(), 0)
 	require.NoError(t, err)
 	require.Positive(t, reports)
 }
--- a/capacity/measure_traffic.go
+++ b/capacity/measure_traffic.go
@@ -13,18 +13,18 @@
 // Slopes of what one decider sends over a minute of its own clock. They hold
 // the periods that the deciders keep to themselves.
 const (
-	UsageBytes      Name = "traffic.usage"
-	DemandBytes     Name = "traffic.demand"
-	DemandMessages  Name = "traffic.demand-messages"
-	BeatBytes       Name = "traffic.heartbeats"
-	IntroduceBytes  Name = "traffic.introduce"
-	IntroduceRelays Name = "traffic.introduce-relays"
-	ClaimWait       Name = "claims.wait"
+	UsageBytes      SlopeName = "traffic.usage"
+	DemandBytes     SlopeName = "traffic.demand"
+	DemandMessages  SlopeName = "traffic.demand-messages"
+	HeartbeatBytes  SlopeName = "traffic.heartbeats"
+	IntroduceBytes  SlopeName = "traffic.introduce"
+	IntroduceRelays SlopeName = "traffic.introduce-relays"
+	ClaimWait       SlopeName = "claims.wait"
 )
 
-// observed is how much of a decider's clock a traffic measurement lets pass:
+// observedPeriod is how much of a decider's clock a traffic measurement lets pass:
 // a multiple of every period that it has.
-const observed = time.Minute
+const observedPeriod = time.Minute
 
 // trafficPeers are the routers of a measured scheduler, itself included.
 const trafficPeers = 8
@@ -32,33 +32,33 @@
 func trafficMeasurements() []measurement {
 	lines := []int{10, 100, 630}
 	return []measurement{
-		traffic(UsageBytes, "B/s to each peer", "workspaces served a second", []int{16, 160, 630}, usageTraffic),
-		traffic(DemandBytes, "B/s to each owner", "lines waiting", lines, func(n int) (float64, error) {
+		trafficMeasurement(UsageBytes, "B/s to each peer", "workspaces served a second", []int{16, 160, 630}, usageTraffic),
+		trafficMeasurement(DemandBytes, "B/s to each owner", "lines waiting", lines, func(n int) (float64, error) {
 			sum, err := demandTraffic(n)
 			return sum.bytes, err
 		}),
-		traffic(DemandMessages, "messages/s to each owner", "lines waiting", lines, func(n int) (float64, error) {
+		trafficMeasurement(DemandMessages, "messages/s to each owner", "lines waiting", lines, func(n int) (float64, error) {
 			sum, err := demandTraffic(n)
 			return sum.messages, err
 		}),
-		traffic(BeatBytes, "B/s to each peer", "routers", []int{8, 64, 256, 730}, beatTraffic),
-		traffic(IntroduceBytes, "B to a new peer", "workspaces served", []int{63, 630, 6300}, introduceTraffic),
-		traffic(IntroduceRelays, "B to a new peer", "incarnations that are gone", []int{4, 16, 64}, relayTraffic),
-		traffic(ClaimWait, "s", "routers", []int{73, 256, 730}, claimWait),
+		trafficMeasurement(HeartbeatBytes, "B/s to each peer", "routers", []int{8, 64, 256, 730}, heartbeatTraffic),
+		trafficMeasurement(IntroduceBytes, "B to a new peer", "workspaces served", []int{63, 630, 6300}, introductionTraffic),
+		trafficMeasurement(IntroduceRelays, "B to a new peer", "incarnations that are gone", []int{4, 16, 64}, relayTraffic),
+		trafficMeasurement(ClaimWait, "s", "routers", []int{73, 256, 730}, meanClaimWait),
 	}
 }
 
-func traffic(name Name, unit, against string, sizes []int, value func(int) (float64, error)) measurement {
+func trafficMeasurement(name SlopeName, unit, sizeUnit string, sizes []int, measure func(int) (float64, error)) measurement {
 	return measurement{
-		name: name, unit: unit, against: against, sizes: sizes,
-		value: func(_ context.Context, n int) (float64, error) { return value(n) },
+		name: name, unit: unit, sizeUnit: sizeUnit, sizes: sizes,
+		measure: func(_ context.Context, n int) (float64, error) { return measure(n) },
 	}
 }
 
-// sent counts messages to peers.
-type sent struct{ messages, bytes float64 }
+// sentTraffic counts messages to peers.
+type sentTraffic struct{ messages, bytes float64 }
 
-func (s *sent) add(actions []scheduler.Action, wanted func(scheduler.Action) bool) error {
+func (s *sentTraffic) add(actions []scheduler.Action, wanted func(scheduler.Action) bool) error {
 	for _, a := range actions {
 		if !wanted(a) {
 			continue
@@ -86,45 +86,45 @@
 // usageTraffic serves every workspace once a second. Usage goes to all peers
 // alike, so that one message is what one peer gets.
 func usageTraffic(workspaces int) (float64, error) {
-	r := newRig(size{trafficPeers, 100, workspaces, 1})
-	var sum sent
+	h := newSchedulerHarness(fleetSize{trafficPeers, 100, workspaces, 1})
+	var sum sentTraffic
 	perTick := float64(workspaces) * scheduler.TickInterval.Seconds()
-	due := 0.0
-	for range int(observed / scheduler.TickInterval) {
-		for due += perTick; due >= 1; due-- {
-			r.serve()
+	dueRequests := 0.0
+	for range int(observedPeriod / scheduler.TickInterval) {
+		for dueRequests += perTick; dueRequests >= 1; dueRequests-- {
+			h.serveRequest()
 		}
-		if err := sum.add(r.tick(), isUsage); err != nil {
+		if err := sum.add(h.tick(), isUsage); err != nil {
 			return 0, err
 		}
-		r.report()
+		h.reportOwned()
 	}
-	return sum.bytes / observed.Seconds(), nil
+	return sum.bytes / observedPeriod.Seconds(), nil
 }
 
 // demandTraffic keeps requests of so many workspaces waiting for upstreams
 // that others own, and is the mean over the owners.
-func demandTraffic(lines int) (sent, error) {
-	r := newRig(size{trafficPeers, 100, lines, 1})
-	r.now = r.now.Add(observed)
-	var sum sent
-	if err := sum.add(r.wait(lines), isDemand); err != nil {
-		return sent{}, err
+func demandTraffic(lines int) (sentTraffic, error) {
+	h := newSchedulerHarness(fleetSize{trafficPeers, 100, lines, 1})
+	h.now = h.now.Add(observedPeriod)
+	var sum sentTraffic
+	if err := sum.add(h.queueRequests(lines), isDemand); err != nil {
+		return sentTraffic{}, err
 	}
-	for range int(observed / scheduler.TickInterval) {
-		if err := sum.add(r.tick(), isDemand); err != nil {
-			return sent{}, err
+	for range int(observedPeriod / scheduler.TickInterval) {
+		if err := sum.add(h.tick(), isDemand); err != nil {
+			return sentTraffic{}, err
 		}
 	}
-	scale := observed.Seconds() * (trafficPeers - 1)
-	return sent{messages: sum.messages / scale, bytes: sum.bytes / scale}, nil
+	scale := observedPeriod.Seconds() * (trafficPeers - 1)
+	return sentTraffic{messages: sum.messages / scale, bytes: sum.bytes / scale}, nil
 }
 
-// beatTraffic is heartbeats and gossip, as a mean over the peers.
-func beatTraffic(routers int) (float64, error) {
-	m := newMembers(routers)
+// heartbeatTraffic is heartbeats and gossip, as a mean over the peers.
+func heartbeatTraffic(routers int) (float64, error) {
+	m := newMembershipHarness(routers)
 	total := 0.0
-	for range int(observed / membership.TickInterval) {
+	for range int(observedPeriod / membership.TickInterval) {
 		for _, a := range m.tick(routers) {
 			beat, ok := a.(membership.SendHeartbeat)
 			if !ok {
@@ -137,97 +137,97 @@
 			total += n
 		}
 	}
-	return total / observed.Seconds() / float64(routers-1), nil
+	return total / observedPeriod.Seconds() / float64(routers-1), nil
 }
 
-// introduceTraffic is what one router tells another that newly appears.
-func introduceTraffic(workspaces int) (float64, error) {
-	r := newRig(size{trafficPeers, 100, workspaces, 1})
+// introductionTraffic is what one router tells another that newly appears.
+func introductionTraffic(workspaces int) (float64, error) {
+	h := newSchedulerHarness(fleetSize{trafficPeers, 100, workspaces, 1})
 	for range workspaces {
-		r.serve()
+		h.serveRequest()
 	}
-	return r.introduce()
+	return h.introducePeer()
 }
 
 // relayWorkspaces is the workspaces that each gone incarnation has served.
 const relayWorkspaces = 630
 
 // relayTraffic is the same with counters of incarnations that are gone.
-func relayTraffic(gone int) (float64, error) {
-	r := newRig(size{trafficPeers, 100, relayWorkspaces, 1})
-	for i := range gone {
-		r.step(scheduler.UsageHeard{
-			Origin: peerNamed(1).Router, Incarnation: state.Incarnation(1 + i), Entries: usageOf(relayWorkspaces, 1e9),
+func relayTraffic(removed int) (float64, error) {
+	h := newSchedulerHarness(fleetSize{trafficPeers, 100, relayWorkspaces, 1})
+	for i := range removed {
+		h.step(scheduler.UsageHeard{
+			Origin: peerNamed(1).Router, Incarnation: state.Incarnation(1 + i), Entries: sampleUsage(relayWorkspaces, 1e9),
 		})
 	}
-	return r.introduce()
+	return h.introducePeer()
 }
 
-func (r *rig) introduce() (float64, error) {
-	all := peersOf(r.routers)
-	r.step(scheduler.PeersChanged{Peers: all[:len(all)-1]})
-	var sum sent
-	err := sum.add(r.step(scheduler.PeersChanged{Peers: all}), isUsage)
+func (h *schedulerHarness) introducePeer() (float64, error) {
+	all := samplePeers(h.routers)
+	h.step(scheduler.PeersChanged{Peers: all[:len(all)-1]})
+	var sum sentTraffic
+	err := sum.add(h.step(scheduler.PeersChanged{Peers: all}), isUsage)
 	return sum.bytes, err
 }
 
-// claimWait is the mean time from a claim to its decision with a platform
+// meanClaimWait is the mean time from a claim to its decision with a platform
 // that answers at once and claims of every shard: what is left is the pace of
 // one router's rounds.
-func claimWait(routers int) (float64, error) {
+func meanClaimWait(routers int) (float64, error) {
 	const (
-		step      = 5 * time.Millisecond
-		perClaim  = 100 * time.Millisecond
-		watchedIn = 5 * observed
+		step          = 5 * time.Millisecond
+		claimInterval = 100 * time.Millisecond
+		simulatedTime = 5 * observedPeriod
 	)
-	m := claims.NewMachine("router-0001", rigIncarnation)
+	m := claims.NewMachine("router-0001", sampleIncarnation)
 	now := time.Unix(1_800_000_000, 0)
 	m.Step(now, claims.FleetResized{Routers: routers})
-	run := claimRun{machine: m, asked: make(map[state.AttemptID]time.Time)}
-	for i := range int(watchedIn / step) {
+	simulation := claimSimulation{machine: m, claimedAt: make(map[state.AttemptID]time.Time)}
+	for i := range int(simulatedTime / step) {
 		now = now.Add(step)
-		if i%int(perClaim/step) == 0 {
-			run.ask(now)
+		if i%int(claimInterval/step) == 0 {
+			simulation.addClaim(now)
 		}
-		run.step(now, claims.Tick{})
+		simulation.step(now, claims.Tick{})
 	}
-	return run.waited.Seconds() / float64(max(run.decided, 1)), nil
+	return simulation.totalWait.Seconds() / float64(max(simulation.decidedClaims, 1)), nil
 }
 
-// claimRun answers a claims machine at once.
-type claimRun struct {
-	machine *claims.Machine
-	asked   map[state.AttemptID]time.Time
-	version claims.Version
-	waited  time.Duration
-	decided int
+// claimSimulation answers a claims machine at once.
+type claimSimulation struct {
+	machine       *claims.Machine
+	claimedAt     map[state.AttemptID]time.Time
+	version       claims.Version
+	totalWait     time.Duration
+	decidedClaims int
 }
 
-func (c *claimRun) ask(now time.Time) {
-	attempt := state.AttemptID{Router: "router-0001", Incarnation: rigIncarnation, Sequence: uint64(len(c.asked) + c.decided)}
-	c.asked[attempt] = now
-	c.step(now, claims.ClaimWanted{Request: claims.Request{
+func (s *claimSimulation) addClaim(now time.Time) {
+	attempt := state.AttemptID{Router: "router-0001", Incarnation: sampleIncarnation, Sequence: uint64(len(s.claimedAt) + s.decidedClaims)}
+	s.claimedAt[attempt] = now
+	s.step(now, claims.ClaimWanted{Request: claims.Request{
 		Workspace: workspaceNamed(0), Service: serviceNamed(0), Key: attempt.String(), Attempt: attempt,
 	}})
 }
 
-func (c *claimRun) step(now time.Time, ev claims.Event) {
+func (s *claimSimulation) step(now time.Time, ev claims.Event) {
 	var answers []claims.Event
-	for _, a := range c.machine.Step(now, ev) {
+	for _, a := range s.machine.Step(now, ev) {
 		switch a := a.(type) {
 		case claims.Read:
-			answers = append(answers, claims.ReadDone{Shard: a.Shard, Outcome: claims.ReadOK, Version: c.version, Value: emptyShard()})
+			answers = append(answers, claims.ReadDone{Shard: a.Shard, Outcome: claims.ReadOK, Version: s.version, Value: emptyShard()})
 		case claims.Write:
-			c.version++
-			answers = append(answers, claims.WriteDone{Shard: a.Shard, Outcome: claims.WriteOK, Version: c.version})
+			s.version++
+			answers = append(answers, claims.WriteDone{Shard: a.Shard, Outcome: claims.WriteOK, Version: s.version})
 		case claims.Decide:
-			c.waited += now.Sub(c.asked[a.Attempt])
-			c.decided++
-			delete(c.asked, a.Attempt)
+			s.totalWait += now.Sub(s.claimedAt[a.Attempt])
+			s.decidedClaims++
+			delete(s.claimedAt, a.Attempt)
 		}
 	}
 	for _, answer := range answers {
-		c.step(now, answer)
+		s.step(now, answer)
 	}
 }
 
--- a/capacity/measure_wire.go
+++ b/capacity/measure_wire.go
@@ -15,19 +15,19 @@
 
 // Slopes of bytes in a message, its length prefix included, yamux not.
 const (
-	WireUsage     Name = "wire.usage"
-	WireDemand    Name = "wire.demand"
-	WireVersions  Name = "wire.versions"
-	WireObject    Name = "wire.object"
-	WireRoot      Name = "wire.root"
-	WireRootTeams Name = "wire.root-teams"
-	WireVMs       Name = "wire.vms"
-	WireGrant     Name = "wire.grant"
-	WireProgress  Name = "wire.progress"
-	WireEnded     Name = "wire.ended"
-	WireLeaving   Name = "wire.leaving"
-	WireShard     Name = "wire.shard"
-	WireHeartbeat Name = "wire.heartbeat"
+	WireUsage     SlopeName = "wire.usage"
+	WireDemand    SlopeName = "wire.demand"
+	WireVersions  SlopeName = "wire.versions"
+	WireObject    SlopeName = "wire.object"
+	WireRoot      SlopeName = "wire.root"
+	WireRootTeams SlopeName = "wire.root-teams"
+	WireVMs       SlopeName = "wire.vms"
+	WireGrant     SlopeName = "wire.grant"
+	WireProgress  SlopeName = "wire.progress"
+	WireEnded     SlopeName = "wire.ended"
+	WireLeaving   SlopeName = "wire.leaving"
+	WireShard     SlopeName = "wire.shard"
+	WireHeartbeat SlopeName = "wire.heartbeat"
 )
 
 // nameLengths are lengths of workspaces' names.
@@ -35,56 +35,56 @@
 
 func wireMeasurements() []measurement {
 	return []measurement{
-		framed(WireUsage, "counters", []int{1, 10, 100, 1000}, func(n int) *peerpb.Envelope {
-			return envelope(scheduler.SendUsage{Origin: "router-0001", Incarnation: rigIncarnation, Entries: usageOf(n, 1e9)})
+		frameMeasurement(WireUsage, "counters", []int{1, 10, 100, 1000}, func(n int) *peerpb.Envelope {
+			return envelope(scheduler.SendUsage{Origin: "router-0001", Incarnation: sampleIncarnation, Entries: sampleUsage(n, 1e9)})
 		}),
-		framed(WireDemand, "lines", []int{1, 10, 100, 630}, func(n int) *peerpb.Envelope {
-			return envelope(scheduler.SendDemand{Demand: demandOf(n)})
+		frameMeasurement(WireDemand, "lines", []int{1, 10, 100, 630}, func(n int) *peerpb.Envelope {
+			return envelope(scheduler.SendDemand{Demand: sampleDemand(n)})
 		}),
-		framed(WireVersions, "objects", []int{10, 100, 630}, versionsEnvelope),
-		framed(WireObject, "workspaces of the team", []int{1, 10, 100}, func(n int) *peerpb.Envelope {
+		frameMeasurement(WireVersions, "objects", []int{10, 100, 630}, versionsEnvelope),
+		frameMeasurement(WireObject, "workspaces of the team", []int{1, 10, 100}, func(n int) *peerpb.Envelope {
 			return objectEnvelope("config/teams/team-0001", teamObject(1, n))
 		}),
-		framed(WireRoot, "upstreams", []int{100, 1000, 10_000}, func(n int) *peerpb.Envelope {
+		frameMeasurement(WireRoot, "upstreams", []int{100, 1000, 10_000}, func(n int) *peerpb.Envelope {
 			return objectEnvelope("config/root", rootObject(1, n))
 		}),
-		framed(WireRootTeams, "teams", []int{10, 100, 630}, func(n int) *peerpb.Envelope {
+		frameMeasurement(WireRootTeams, "teams", []int{10, 100, 630}, func(n int) *peerpb.Envelope {
 			return objectEnvelope("config/root", rootObject(n, 0))
 		}),
-		framed(WireGrant, "bytes of a workspace's name", nameLengths, grantEnvelope),
-		framed(WireProgress, "bytes of a workspace's name", nameLengths, func(n int) *peerpb.Envelope {
+		frameMeasurement(WireGrant, "bytes of a workspace's name", nameLengths, grantEnvelope),
+		frameMeasurement(WireProgress, "bytes of a workspace's name", nameLengths, func(n int) *peerpb.Envelope {
 			return envelope(scheduler.SendProgress{
 				Sequence: 1e12, Upstream: upstreamName(1), Service: serviceNamed(0), Workspace: workspaceOfLength(n), Cost: 30_000,
 			})
 		}),
-		framed(WireEnded, "bytes of a workspace's name", nameLengths, func(n int) *peerpb.Envelope {
+		frameMeasurement(WireEnded, "bytes of a workspace's name", nameLengths, func(n int) *peerpb.Envelope {
 			return envelope(scheduler.SendEnded{
 				Sequence: 1e12, Upstream: upstreamName(1), Service: serviceNamed(0), Workspace: workspaceOfLength(n),
 				Cost: 30_000, Outcome: scheduler.OutcomeServed,
 			})
 		}),
-		framed(WireLeaving, "bytes of an upstream's name", nameLengths, func(n int) *peerpb.Envelope {
+		frameMeasurement(WireLeaving, "bytes of an upstream's name", nameLengths, func(n int) *peerpb.Envelope {
 			return envelope(scheduler.SendLeaving{Upstream: state.Upstream(workspaceOfLength(n)), Boot: "01J0000000"})
 		}),
-		framed(WireHeartbeat, "members", []int{0, 100, 730}, heartbeatEnvelope),
+		frameMeasurement(WireHeartbeat, "members", []int{0, 100, 730}, heartbeatEnvelope),
 		{
-			name: WireVMs, unit: "B of JSON", against: "VMs", sizes: []int{100, 1000, 10_000},
-			value: func(_ context.Context, n int) (float64, error) { return float64(len(vmList(n))), nil },
+			name: WireVMs, unit: "B of JSON", sizeUnit: "VMs", sizes: []int{100, 1000, 10_000},
+			measure: func(_ context.Context, n int) (float64, error) { return float64(len(vmList(n))), nil },
 		},
 		{
-			name: WireShard, unit: "B", against: "entries in the open segment", sizes: openSizes,
-			value: func(_ context.Context, n int) (float64, error) {
-				value, err := segmentOf(n).Encode()
+			name: WireShard, unit: "B", sizeUnit: "entries in the open segment", sizes: openSegmentSizes,
+			measure: func(_ context.Context, n int) (float64, error) {
+				value, err := sampleSegment(n).Encode()
 				return float64(len(value)), err
 			},
 		},
 	}
 }
 
-func framed(name Name, against string, sizes []int, build func(int) *peerpb.Envelope) measurement {
+func frameMeasurement(name SlopeName, sizeUnit string, sizes []int, build func(int) *peerpb.Envelope) measurement {
 	return measurement{
-		name: name, unit: "B", against: against, sizes: sizes,
-		value: func(_ context.Context, n int) (float64, error) { return frameBytes(build(n)) },
+		name: name, unit: "B", sizeUnit: sizeUnit, sizes: sizes,
+		measure: func(_ context.Context, n int) (float64, error) { return frameBytes(build(n)) },
 	}
 }
 
@@ -124,7 +124,7 @@
 func heartbeatEnvelope(n int) *peerpb.Envelope {
 	beat := &peerpb.Heartbeat{Sequence: 100_000, Echo: 100_000, EchoHeldUs: 500_000}
 	for i := range n {
-		hello := helloOf(i)
+		hello := sampleHello(i)
 		beat.Members = append(beat.Members, &peerpb.Member{
 			Router: string(hello.Router), DataCentre: string(hello.DataCentre),
 			PeerAddress: hello.Address, Incarnation: uint64(hello.Incarnation),
@@ -137,15 +137,15 @@
 func vmList(n int) []byte {
 	var answer objectstore.VMsAnswer
 	for i := range n {
-		hello := helloOf(i)
+		hello := sampleHello(i)
 		answer.VMs = append(answer.VMs, objectstore.VM{
 			Name: string(upstreamName(i)), Address: hello.Address, Role: "engine", DataCentre: hello.DataCentre,
 		})
 	}
-	return encoded(answer)
+	return mustMarshal(answer)
 }
 
-// openEntries is the mean number of entries in an open segment.
-func openEntries(bytes Slope) float64 {
+// meanOpenEntries is the mean number of entries in an open segment.
+func meanOpenEntries(bytes Slope) float64 {
 	return max(0, claims.SegmentBytes-bytes.Base) / bytes.Rate / 2
 }
--- a/capacity/report.go
+++ b/capacity/report.go
@@ -9,59 +9,59 @@
 // Row is one line of a role's table.
 type Row struct {
 	Role   Role    `json:"role"`
-	Figure string  `json:"figure"`
+	Metric string  `json:"figure"`
 	Unit   string  `json:"unit"`
 	Value  float64 `json:"value"`
 	// Limit is zero if there is none.
 	Limit float64 `json:"limit,omitempty"`
-	// BreaksAt is the number of routers at which a fleet that grows evenly
+	// BreaksAtRouters is the number of routers at which a fleet that grows evenly
 	// breaks the limit; zero if it does not within the range looked at.
-	BreaksAt  float64 `json:"breaks_at,omitempty"`
-	Mechanism string  `json:"mechanism"`
+	BreaksAtRouters float64 `json:"breaks_at,omitempty"`
+	Mechanism       string  `json:"mechanism"`
 }
 
-// filled is by how much a value may pass its limit and still keep it: the
+// limitTolerance is by how much a value may pass its limit and still keep it: the
 // plan fills the traffic up to the limit, but for rounding.
-const filled = 1e-9
+const limitTolerance = 1e-9
 
-// Broken tells whether the limit is exceeded.
-func (r Row) Broken() bool { return r.Limit > 0 && r.Value > r.Limit*(1+filled) }
+// ExceedsLimit tells whether the limit is exceeded.
+func (r Row) ExceedsLimit() bool { return r.Limit > 0 && r.Value > r.Limit*(1+limitTolerance) }
 
 // Report is what a fleet of one size costs.
 type Report struct {
 	Fleet Fleet `json:"fleet"`
 	Rows  []Row `json:"rows"`
-	// First is the line that breaks at the smallest size.
-	First Row `json:"first"`
+	// FirstToBreak is the line that breaks at the smallest size.
+	FirstToBreak Row `json:"first"`
 	// Plan is the mechanisms that replace today's, and Planned their sum with
 	// today's limits.
-	Plan    []Step `json:"plan"`
-	Planned []Row  `json:"planned"`
-	// Interval is the seconds between exchanges of counters in the plan,
+	Plan        []Step `json:"plan"`
+	PlannedRows []Row  `json:"planned"`
+	// ExchangeIntervalSeconds is the seconds between exchanges of counters in the plan,
 	// Stale their greatest age, OwnKeys the claims a second of callers' own
 	// keys that it can take.
-	Interval float64 `json:"interval_s"`
-	Stale    float64 `json:"stale_s"`
-	OwnKeys  float64 `json:"own_keys"`
-	Events   []Event `json:"events"`
+	ExchangeIntervalSeconds float64        `json:"interval_s"`
+	CounterStalenessSeconds float64        `json:"stale_s"`
+	CallerKeysPerSecond     float64        `json:"own_keys"`
+	Events                  []FailureEvent `json:"events"`
 }
 
 // NewReport calculates a fleet.
 func NewReport(f Fleet, slopes *Slopes) (*Report, error) {
-	c, err := newCalc(f, slopes)
+	c, err := newCalculator(f, slopes)
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Fleet: f, Interval: c.interval(), OwnKeys: c.ownKeys(), Events: c.events()}
-	r.Stale = exchangeHops * r.Interval
-	for _, fig := range figures() {
-		r.Rows = append(r.Rows, fig.row(c))
+	r := &Report{Fleet: f, ExchangeIntervalSeconds: c.exchangeInterval(), CallerKeysPerSecond: c.callerKeysPerSecond(), Events: c.events()}
+	r.CounterStalenessSeconds = exchangeHops * r.ExchangeIntervalSeconds
+	for _, metric := range reportMetrics() {
+		r.Rows = append(r.Rows, metric.toRow(c))
 	}
-	r.First = first(r.Rows)
-	for _, s := range steps() {
-		r.Plan = append(r.Plan, s.step(c, r.Rows))
+	r.FirstToBreak = firstToBreak(r.Rows)
+	for _, s := range planSteps() {
+		r.Plan = append(r.Plan, s.toStep(c, r.Rows))
 	}
-	r.Planned = c.plannedRows()
+	r.PlannedRows = c.plannedRows()
 	return r, nil
 }
 
@@ -70,32 +70,32 @@
 // region, and to the owners.
 const exchangeHops = 4
 
-func (fig figure) row(c *calc) Row {
-	row := Row{Role: fig.role, Figure: fig.name, Unit: fig.unit, Value: fig.value(c), Mechanism: fig.mechanism}
-	if fig.limit != nil {
-		row.Limit = fig.limit(c)
-		row.BreaksAt = fig.breaksAt(c)
+func (m reportMetric) toRow(c *calculator) Row {
+	row := Row{Role: m.role, Metric: m.name, Unit: m.unit, Value: m.value(c), Mechanism: m.mechanism}
+	if m.limit != nil {
+		row.Limit = m.limit(c)
+		row.BreaksAtRouters = m.routersAtLimit(c)
 	}
 	return row
 }
 
-// breakRange is by how much larger or smaller fleets are looked at.
-const breakRange = 1000
+// maxScale is by how much larger or smaller fleets are looked at.
+const maxScale = 1000
 
-// breaksAt finds the size at which a limit breaks, between sizes with and
+// routersAtLimit finds the size at which a limit breaks, between sizes with and
 // without a breach. Costs never fall as a fleet grows.
-func (fig figure) breaksAt(c *calc) float64 {
-	within := func(k float64) bool {
+func (m reportMetric) routersAtLimit(c *calculator) float64 {
+	withinLimit := func(k float64) bool {
 		scaled := c.scaled(k)
-		return fig.value(scaled) <= fig.limit(scaled)*(1+filled)
+		return m.value(scaled) <= m.limit(scaled)*(1+limitTolerance)
 	}
-	low, high := 1/(breakRange*c.Routers), float64(breakRange)
-	if within(high) {
+	low, high := 1/(maxScale*c.Routers), float64(maxScale)
+	if withinLimit(high) {
 		return 0
 	}
 	for high/low > 1.0001 {
 		middle := math.Sqrt(low * high)
-		if within(middle) {
+		if withinLimit(middle) {
 			low = middle
 		} else {
 			high = middle
@@ -104,49 +104,49 @@
 	return c.Routers * high
 }
 
-// byBreak lists the lines that break, the first one first.
-func byBreak(rows []Row) []Row {
-	broken := slices.DeleteFunc(slices.Clone(rows), func(row Row) bool { return row.BreaksAt == 0 })
-	slices.SortStableFunc(broken, func(a, b Row) int { return cmp.Compare(a.BreaksAt, b.BreaksAt) })
+// sortedByBreak lists the lines that break, the first one first.
+func sortedByBreak(rows []Row) []Row {
+	broken := slices.DeleteFunc(slices.Clone(rows), func(row Row) bool { return row.BreaksAtRouters == 0 })
+	slices.SortStableFunc(broken, func(a, b Row) int { return cmp.Compare(a.BreaksAtRouters, b.BreaksAtRouters) })
 	return broken
 }
 
-func first(rows []Row) Row {
-	broken := byBreak(rows)
+func firstToBreak(rows []Row) Row {
+	broken := sortedByBreak(rows)
 	if len(broken) == 0 {
 		return Row{}
 	}
 	return broken[0]
 }
 
-func (s step) step(c *calc, rows []Row) Step {
-	cost := s.of(c)
+func (s planStep) toStep(c *calculator, rows []Row) Step {
+	cost := s.costOf(c)
 	result := Step{
-		Today: s.today, Replacement: s.replacement, Messages: cost.messages,
-		Core: cost.core, MB: cost.mb, KB: cost.kb, Reads: cost.reads, Writes: cost.writes,
+		Current: s.current, Replacement: s.replacement, MessagesPerSecond: cost.messagesPerSecond,
+		CoreFraction: cost.coreFraction, MemoryMB: cost.memoryMB, KBPerSecond: cost.trafficKBPerSecond, ReadsPerSecond: cost.readsPerSecond, WritesPerSecond: cost.writesPerSecond,
 	}
 	for _, row := range rows {
-		if row.Role == s.role && row.Figure == s.figure {
-			result.StopsAt = row.BreaksAt
+		if row.Role == s.role && row.Metric == s.metric {
+			result.StopsAtRouters = row.BreaksAtRouters
 		}
 	}
 	return result
 }
 
 // plannedRows are the lines of a whole router in the plan.
-func (c *calc) plannedRows() []Row {
+func (c *calculator) plannedRows() []Row {
 	var rows []Row
-	for _, fig := range costs(Daemon, (*calc).planned, "the plan") {
-		rows = append(rows, fig.row(c))
+	for _, metric := range costMetrics(RoleDaemon, (*calculator).plannedCost, "the plan") {
+		rows = append(rows, metric.toRow(c))
 	}
-	stale := func(c *calc) float64 { return exchangeHops * c.interval() }
-	for _, fig := range []figure{
-		{Daemon, "staleness of counters", "s", stale, nil, "the plan"},
-		{Daemon, "fairness bound", "s of own part", func(c *calc) float64 { return c.bound(stale(c)) }, nil, "the plan"},
-		{Daemon, "own keys taken", "claims/s", (*calc).ownKeys, nil, "the plan"},
-		{Daemon, "received by a router that starts", "MB", func(c *calc) float64 { return c.at(IntroduceBytes, c.Workspaces) / megabyte }, nil, "the plan"},
+	staleness := func(c *calculator) float64 { return exchangeHops * c.exchangeInterval() }
+	for _, metric := range []reportMetric{
+		{RoleDaemon, "staleness of counters", "s", staleness, nil, "the plan"},
+		{RoleDaemon, "fairness bound", "s of own part", func(c *calculator) float64 { return c.fairnessBound(staleness(c)) }, nil, "the plan"},
+		{RoleDaemon, "own keys taken", "claims/s", (*calculator).callerKeysPerSecond, nil, "the plan"},
+		{RoleDaemon, "received by a router that starts", "MB", func(c *calculator) float64 { return c.costAt(IntroduceBytes, c.Workspaces) / megabyte }, nil, "the plan"},
 	} {
-		rows = append(rows, fig.row(c))
+		rows = append(rows, metric.toRow(c))
 	}
 	return rows
 }
--- a/capacity/rig.go
+++ b/capacity/rig.go
@@ -10,98 +10,98 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// rigCentres is the number of data centres of a measured scheduler. Few of
+// harnessCentres is the number of data centres of a measured scheduler. Few of
 // them leave each router some upstreams at every size.
-const rigCentres = 4
+const harnessCentres = 4
 
-// rigSlots is how many requests a measured upstream runs.
-const rigSlots = 8
+// slotsPerUpstream is how many requests a measured upstream runs.
+const slotsPerUpstream = 8
 
-// size is what one scheduler is measured with.
-type size struct {
+// fleetSize is what one scheduler is measured with.
+type fleetSize struct {
 	routers    int
 	upstreams  int
 	workspaces int
 	services   int
 }
 
-// rig is one scheduler with a clock of its own.
-type rig struct {
+// schedulerHarness is one scheduler with a clock of its own.
+type schedulerHarness struct {
 	*scheduler.Scheduler
-	size
+	fleetSize
 	now    time.Time
 	lastID state.RequestID
 	owned  []state.Upstream
 }
 
-func newRig(s size) *rig {
-	r := &rig{
-		size:      s,
+func newSchedulerHarness(s fleetSize) *schedulerHarness {
+	h := &schedulerHarness{
+		fleetSize: s,
 		now:       time.Unix(1_800_000_000, 0),
 		Scheduler: scheduler.New(scheduler.Options{Self: peerNamed(0), Seed: 1}),
 	}
-	r.step(scheduler.Tick{})
-	r.step(scheduler.PeersChanged{Peers: peersOf(s.routers)})
-	r.note(r.step(scheduler.Configured{Settings: s.settings()}))
-	r.report()
-	return r
+	h.step(scheduler.Tick{})
+	h.step(scheduler.PeersChanged{Peers: samplePeers(s.routers)})
+	h.recordOwned(h.step(scheduler.Configured{Settings: s.settings()}))
+	h.reportOwned()
+	return h
 }
 
-func (r *rig) step(ev scheduler.Event) []scheduler.Action { return r.Step(r.now, ev) }
+func (h *schedulerHarness) step(ev scheduler.Event) []scheduler.Action { return h.Step(h.now, ev) }
 
 // tick lets one tick's time pass.
-func (r *rig) tick() []scheduler.Action {
-	r.now = r.now.Add(scheduler.TickInterval)
-	return r.step(scheduler.Tick{})
+func (h *schedulerHarness) tick() []scheduler.Action {
+	h.now = h.now.Add(scheduler.TickInterval)
+	return h.step(scheduler.Tick{})
 }
 
-func (r *rig) note(actions []scheduler.Action) {
+func (h *schedulerHarness) recordOwned(actions []scheduler.Action) {
 	for _, a := range actions {
 		if owned, ok := a.(scheduler.Owned); ok {
-			r.owned = owned.Upstreams
+			h.owned = owned.Upstreams
 		}
 	}
 }
 
-// report makes the owned upstreams usable.
-func (r *rig) report() {
-	for _, name := range r.owned {
-		r.step(scheduler.Reported{Report: state.LoadReport{Upstream: name, Boot: "1", Slots: rigSlots}})
+// reportOwned makes the owned upstreams usable.
+func (h *schedulerHarness) reportOwned() {
+	for _, name := range h.owned {
+		h.step(scheduler.Reported{Report: state.LoadReport{Upstream: name, Boot: "1", Slots: slotsPerUpstream}})
 	}
 }
 
-// serve takes one request from its arrival to its end at an own upstream.
-func (r *rig) serve() {
-	r.lastID++
-	r.step(scheduler.Arrived{Request: r.request(int(r.lastID))})
-	r.step(scheduler.Ended{ID: r.lastID, Cost: state.CostUnit, Outcome: scheduler.OutcomeServed})
+// serveRequest takes one request from its arrival to its end at an own upstream.
+func (h *schedulerHarness) serveRequest() {
+	h.lastID++
+	h.step(scheduler.Arrived{Request: h.newRequest(int(h.lastID))})
+	h.step(scheduler.Ended{ID: h.lastID, Cost: state.CostUnit, Outcome: scheduler.OutcomeServed})
 }
 
-func (r *rig) request(i int) scheduler.Request {
+func (h *schedulerHarness) newRequest(i int) scheduler.Request {
 	return scheduler.Request{
-		ID: r.lastID, Service: serviceNamed(0), Workspace: workspaceNamed(i % r.workspaces),
-		CostHint: state.CostUnit, Bytes: 4 << 10, Deadline: r.now.Add(time.Hour),
+		ID: h.lastID, Service: serviceNamed(0), Workspace: workspaceNamed(i % h.workspaces),
+		CostHint: state.CostUnit, Bytes: 4 << 10, Deadline: h.now.Add(time.Hour),
 	}
 }
 
-// wait queues requests of so many workspaces, which nobody can serve.
-func (r *rig) wait(workspaces int) []scheduler.Action {
+// queueRequests queues requests of so many workspaces, which nobody can serve.
+func (h *schedulerHarness) queueRequests(workspaces int) []scheduler.Action {
 	var actions []scheduler.Action
 	for i := range workspaces {
-		r.lastID++
-		actions = append(actions, r.step(scheduler.Arrived{Request: r.request(i)})...)
+		h.lastID++
+		actions = append(actions, h.step(scheduler.Arrived{Request: h.newRequest(i)})...)
 	}
 	return actions
 }
 
-func (s size) settings() config.Settings {
+func (s fleetSize) settings() config.Settings {
 	var settings config.Settings
 	for i := range s.services {
 		settings.Services = append(settings.Services, config.Service{Name: serviceNamed(i), Kind: config.KindWorker})
 	}
 	for i := range s.upstreams {
 		service := &settings.Services[i%s.services]
-		service.Upstreams = append(service.Upstreams, upstreamNamed(i))
+		service.Upstreams = append(service.Upstreams, upstreamConfig(i))
 	}
 	for i := range s.workspaces {
 		settings.Workspaces = append(settings.Workspaces, config.WorkspaceSettings{
@@ -111,7 +111,7 @@
 	return settings
 }
 
-func peersOf(n int) []scheduler.Peer {
+func samplePeers(n int) []scheduler.Peer {
 	peers := make([]scheduler.Peer, n)
 	for i := range peers {
 		peers[i] = peerNamed(i)
@@ -122,13 +122,13 @@
 func peerNamed(i int) scheduler.Peer {
 	return scheduler.Peer{
 		Router:      state.Router(fmt.Sprintf("router-%04d", i)),
-		DataCentre:  centreNamed(i % rigCentres),
-		Incarnation: rigIncarnation,
+		DataCentre:  centreNamed(i % harnessCentres),
+		Incarnation: sampleIncarnation,
 	}
 }
 
-// rigIncarnation is as long as a real one, which is a time in nanoseconds.
-const rigIncarnation state.Incarnation = 1_800_000_000_000_000_000
+// sampleIncarnation is as long as a real one, which is a time in nanoseconds.
+const sampleIncarnation state.Incarnation = 1_800_000_000_000_000_000
 
 // The names are of the length that real ones have: most bytes of a message
 // are names.
@@ -138,21 +138,21 @@
 func centreNamed(i int) state.DataCentre   { return state.DataCentre(fmt.Sprintf("sala-%02d", i)) }
 func teamNamed(i int) state.Team           { return state.Team(fmt.Sprintf("team-%04d", i)) }
 func upstreamName(i int) state.Upstream    { return state.Upstream(fmt.Sprintf("engine-%05d", i)) }
-func upstreamNamed(i int) config.Upstream {
+func upstreamConfig(i int) config.Upstream {
 	return config.Upstream{
-		Name: upstreamName(i), DataCentre: centreNamed(i % rigCentres),
+		Name: upstreamName(i), DataCentre: centreNamed(i % harnessCentres),
 		URL: fmt.Sprintf("http://10.%d.%d.%d:8000", i>>16, i>>8&0xff, i&0xff),
 	}
 }
 
 // rootObject is the operators' object of a fleet.
 func rootObject(teams, upstreams int) []byte {
-	root := config.Root{OperatorTokens: []string{digestOf(0)}}
+	root := config.Root{OperatorTokens: []string{sampleDigest(0)}}
 	for i := range teams {
-		root.Teams = append(root.Teams, config.TeamShare{Name: teamNamed(i), Share: 1, Tokens: []string{digestOf(1 + i)}})
+		root.Teams = append(root.Teams, config.TeamShare{Name: teamNamed(i), Share: 1, Tokens: []string{sampleDigest(1 + i)}})
 	}
-	root.Services = size{services: 1, upstreams: upstreams}.settings().Services
-	return encoded(root)
+	root.Services = fleetSize{services: 1, upstreams: upstreams}.settings().Services
+	return mustMarshal(root)
 }
 
 // teamObject is the object of one team.
@@ -161,16 +161,16 @@
 	for i := range workspaces {
 		id := team*workspaces + i
 		subtree.Workspaces = append(subtree.Workspaces, config.Workspace{
-			Name: workspaceNamed(id), Weight: 1, Tokens: []string{digestOf(1_000_000 + id)},
+			Name: workspaceNamed(id), Weight: 1, Tokens: []string{sampleDigest(1_000_000 + id)},
 		})
 	}
-	return encoded(subtree)
+	return mustMarshal(subtree)
 }
 
-func digestOf(i int) string { return config.DigestOf(fmt.Sprintf("token-%d", i)).String() }
+func sampleDigest(i int) string { return config.DigestOf(fmt.Sprintf("token-%d", i)).String() }
 
-// encoded cannot fail: the objects hold nothing that JSON lacks.
-func encoded(v any) []byte {
+// mustMarshal cannot fail: the objects hold nothing that JSON lacks.
+func mustMarshal(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -178,7 +178,7 @@
 	return data
 }
 
-// hearDemandFrom passes on a peer's demand.
-func (r *rig) hearDemandFrom(peer int, d scheduler.Demand) []scheduler.Action {
-	return r.step(scheduler.DemandHeard{From: peerNamed(peer).Router, Demand: d})
+// receiveDemand passes on a peer's demand.
+func (h *schedulerHarness) receiveDemand(peer int, d scheduler.Demand) []scheduler.Action {
+	return h.step(scheduler.DemandHeard{From: peerNamed(peer).Router, Demand: d})
 }
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -14,271 +14,273 @@
 
 // The roles. Daemon is all of them together.
 const (
-	Daemon   Role = "daemon"
-	Entry    Role = "entry"
-	Owner    Role = "owner of upstreams"
-	Claims   Role = "claim writer"
-	Watcher  Role = "configuration watcher"
-	Peer     Role = "peer"
-	Platform Role = "platform client"
+	RoleDaemon   Role = "daemon"
+	RoleEntry    Role = "entry"
+	RoleOwner    Role = "owner of upstreams"
+	RoleClaims   Role = "claim writer"
+	RoleWatcher  Role = "configuration watcher"
+	RolePeer     Role = "peer"
+	RolePlatform Role = "platform client"
 )
 
-// load is what one role costs one router.
-type load struct {
-	messages float64
-	core     float64
-	mb       float64
-	kb       float64
-	reads    float64
-	writes   float64
+// roleCost is what one role costs one router.
+type roleCost struct {
+	messagesPerSecond  float64
+	coreFraction       float64
+	memoryMB           float64
+	trafficKBPerSecond float64
+	readsPerSecond     float64
+	writesPerSecond    float64
 }
 
-func (l load) add(other load) load {
-	return load{
-		messages: l.messages + other.messages, core: l.core + other.core, mb: l.mb + other.mb,
-		kb: l.kb + other.kb, reads: l.reads + other.reads, writes: l.writes + other.writes,
+func (l roleCost) add(other roleCost) roleCost {
+	return roleCost{
+		messagesPerSecond: l.messagesPerSecond + other.messagesPerSecond, coreFraction: l.coreFraction + other.coreFraction, memoryMB: l.memoryMB + other.memoryMB,
+		trafficKBPerSecond: l.trafficKBPerSecond + other.trafficKBPerSecond, readsPerSecond: l.readsPerSecond + other.readsPerSecond, writesPerSecond: l.writesPerSecond + other.writesPerSecond,
 	}
 }
 
-// loads lists the roles with what they cost today.
-var loads = []struct {
+// roleCosts lists the roles with what they cost today.
+var roleCosts = []struct {
 	role Role
-	of   func(*calc) load
+	of   func(*calculator) roleCost
 }{
-	{Entry, (*calc).entry},
-	{Owner, (*calc).owner},
-	{Claims, (*calc).claimWriter},
-	{Watcher, (*calc).watcher},
-	{Peer, (*calc).peer},
-	{Platform, (*calc).platform},
+	{RoleEntry, (*calculator).entryCost},
+	{RoleOwner, (*calculator).ownerCost},
+	{RoleClaims, (*calculator).claimWriterCost},
+	{RoleWatcher, (*calculator).watcherCost},
+	{RolePeer, (*calculator).peerCost},
+	{RolePlatform, (*calculator).platformCost},
 }
 
-func (c *calc) daemon() load {
-	var sum load
-	for _, l := range loads {
+func (c *calculator) daemonCost() roleCost {
+	var sum roleCost
+	for _, l := range roleCosts {
 		sum = sum.add(l.of(c))
 	}
 	return sum
 }
 
-// entry queues requests, tells owners of them and reports what granted ones
+// entryCost queues requests, tells owners of them and reports what granted ones
 // cost.
-func (c *calc) entry() load {
-	lines := c.lines()
-	demand := c.at(DemandMessages, lines) * c.owners()
-	reports := c.granted() * c.reports()
-	ends := c.granted()
-	step := c.at(RequestUpstreams, c.Upstreams) + c.growth(RequestOwned, c.owned())
-	demandBytes := c.at(DemandBytes, lines)*c.owners() + demand*c.at(SessionBytes, 1)
-	reportBytes := reports*c.frame(c.at(WireProgress, nameBytes)) + ends*c.frame(c.at(WireEnded, nameBytes))
-	return load{
-		messages: demand + reports + ends,
-		core: nanosecond * (c.perRouter()*step +
-			ticksPerSecond*c.growth(TickLines, lines)*c.owners() +
-			(demand+reports+ends)*c.at(SessionTime, 1)),
-		mb: c.growth(MemoryWaiting, lines*c.Waiting+c.running()) / megabyte,
-		kb: (demandBytes + reportBytes) / kilobyte,
+func (c *calculator) entryCost() roleCost {
+	lines := c.demandLines()
+	demand := c.costAt(DemandMessages, lines) * c.ownerCount()
+	reports := c.grantedPerSecond() * c.reportsPerRequest()
+	endReports := c.grantedPerSecond()
+	stepTime := c.costAt(RequestUpstreams, c.Upstreams) + c.growth(RequestOwned, c.ownedUpstreams())
+	demandBytes := c.costAt(DemandBytes, lines)*c.ownerCount() + demand*c.costAt(SessionBytes, 1)
+	reportBytes := reports*c.withFraming(c.costAt(WireProgress, nameBytes)) + endReports*c.withFraming(c.costAt(WireEnded, nameBytes))
+	return roleCost{
+		messagesPerSecond: demand + reports + endReports,
+		coreFraction: nanosecond * (c.requestsPerRouter()*stepTime +
+			ticksPerSecond*c.growth(TickLines, lines)*c.ownerCount() +
+			(demand+reports+endReports)*c.costAt(SessionTime, 1)),
+		memoryMB:           c.growth(MemoryWaiting, lines*c.Waiting+c.runningRequests()) / megabyte,
+		trafficKBPerSecond: (demandBytes + reportBytes) / kilobyte,
 	}
 }
 
 // nameBytes is the length of a usual workspace's name.
 var nameBytes = float64(len(workspaceNamed(0)))
 
-// owner holds every router's demand and grants the slots of its upstreams.
-func (c *calc) owner() load {
-	lines := c.lines()
-	heard := c.at(DemandBytes, lines) / c.slopes[WireDemand].Rate * c.owners()
-	tick := c.at(TickUpstreams, c.Upstreams) + c.growth(TickWorkspaces, c.Workspaces) + c.growth(TickServices, c.Services)
-	return load{
-		messages: c.granted() + pollsPerSecond*c.owned(),
-		core: nanosecond * (ticksPerSecond*tick + heard*c.slopes[DemandLines].Rate +
-			c.granted()*(c.at(RequestUpstreams, c.Upstreams)+c.at(SessionTime, 1)) + c.at(PollTime, c.owned())),
-		mb: (c.growth(MemoryUpstreams, c.Upstreams) + c.Services*c.growth(MemoryWorkspaces, c.Workspaces) +
-			c.growth(MemoryDemand, lines*c.owners())) / megabyte,
-		kb: (c.granted()*c.frame(c.at(WireGrant, nameBytes)) + c.at(PollBytes, c.owned())) / kilobyte,
+// ownerCost holds every router's demand and grants the slots of its upstreams.
+func (c *calculator) ownerCost() roleCost {
+	lines := c.demandLines()
+	receivedLines := c.costAt(DemandBytes, lines) / c.slopes[WireDemand].Rate * c.ownerCount()
+	tickTime := c.costAt(TickUpstreams, c.Upstreams) + c.growth(TickWorkspaces, c.Workspaces) + c.growth(TickServices, c.Services)
+	return roleCost{
+		messagesPerSecond: c.grantedPerSecond() + pollsPerSecond*c.ownedUpstreams(),
+		coreFraction: nanosecond * (ticksPerSecond*tickTime + receivedLines*c.slopes[DemandLines].Rate +
+			c.grantedPerSecond()*(c.costAt(RequestUpstreams, c.Upstreams)+c.costAt(SessionTime, 1)) + c.costAt(PollTime, c.ownedUpstreams())),
+		memoryMB: (c.growth(MemoryUpstreams, c.Upstreams) + c.Services*c.growth(MemoryWorkspaces, c.Workspaces) +
+			c.growth(MemoryDemand, lines*c.ownerCount())) / megabyte,
+		trafficKBPerSecond: (c.grantedPerSecond()*c.withFraming(c.costAt(WireGrant, nameBytes)) + c.costAt(PollBytes, c.ownedUpstreams())) / kilobyte,
 	}
 }
 
-// claimWriter remembers the keys of every shard and writes open segments in
+// claimWriterCost remembers the keys of every shard and writes open segments in
 // rounds.
-func (c *calc) claimWriter() load {
-	rounds := c.rounds() / c.Routers
-	held := c.inShard()
-	return load{
-		messages: 2 * rounds,
-		core:     nanosecond * rounds * c.at(ClaimsRound, c.open()),
-		mb:       claims.Shards * c.at(MemoryShard, held) / megabyte,
-		kb:       2 * rounds * onPlatform(c.at(WireShard, c.open())) / kilobyte,
-		reads:    c.rounds(),
-		writes:   c.rounds(),
+func (c *calculator) claimWriterCost() roleCost {
+	roundsPerRouter := c.claimRoundsPerSecond() / c.Routers
+	claimsInShard := c.claimsPerShard()
+	return roleCost{
+		messagesPerSecond:  2 * roundsPerRouter,
+		coreFraction:       nanosecond * roundsPerRouter * c.costAt(ClaimsRound, c.openSegmentEntries()),
+		memoryMB:           claims.Shards * c.costAt(MemoryShard, claimsInShard) / megabyte,
+		trafficKBPerSecond: 2 * roundsPerRouter * base64Bytes(c.costAt(WireShard, c.openSegmentEntries())) / kilobyte,
+		readsPerSecond:     c.claimRoundsPerSecond(),
+		writesPerSecond:    c.claimRoundsPerSecond(),
 	}
 }
 
-// watcher follows the settings and tells every peer what it holds.
-func (c *calc) watcher() load {
-	perChange := c.changeTime()
-	announced := c.changesPerSecond() * c.peers()
-	versions := c.at(WireVersions, c.Teams+1)
-	watches := c.at(PlatformWatches, c.Routers) / c.Routers
-	object := onPlatform(c.at(WireObject, c.Workspaces/c.Teams))
-	return load{
-		messages: announced + watches,
-		core:     c.changesPerSecond()*perChange + nanosecond*announced*c.at(SessionTime, c.Teams+1),
-		mb:       (c.growth(MemoryTree, c.Workspaces) + c.growth(MemoryTreeUp, c.Upstreams)) / megabyte,
-		kb:       (announced*c.frame(versions) + c.changesPerSecond()*object) / kilobyte,
-		reads:    c.at(PlatformWatches, c.Routers) + c.Routers*c.growth(PlatformChanges, c.changesPerSecond()),
-		writes:   c.changesPerSecond(),
+// watcherCost follows the settings and tells every peer what it holds.
+func (c *calculator) watcherCost() roleCost {
+	perChange := c.changeSeconds()
+	announced := c.changesPerSecond() * c.peerCount()
+	versions := c.costAt(WireVersions, c.Teams+1)
+	watches := c.costAt(PlatformWatches, c.Routers) / c.Routers
+	object := base64Bytes(c.costAt(WireObject, c.Workspaces/c.Teams))
+	return roleCost{
+		messagesPerSecond:  announced + watches,
+		coreFraction:       c.changesPerSecond()*perChange + nanosecond*announced*c.costAt(SessionTime, c.Teams+1),
+		memoryMB:           (c.growth(MemoryTree, c.Workspaces) + c.growth(MemoryTreeUpstreams, c.Upstreams)) / megabyte,
+		trafficKBPerSecond: (announced*c.withFraming(versions) + c.changesPerSecond()*object) / kilobyte,
+		readsPerSecond:     c.costAt(PlatformWatches, c.Routers) + c.Routers*c.growth(PlatformChanges, c.changesPerSecond()),
+		writesPerSecond:    c.changesPerSecond(),
 	}
 }
 
-// changeTime is the seconds of processor time that one change of the settings
+// changeSeconds is the seconds of processor time that one change of the settings
 // takes on one router, and configureTime the part of it on the scheduler's
 // goroutine, in which nothing is dispatched.
-func (c *calc) changeTime() float64 {
-	return nanosecond*c.at(TreeWorkspaces, c.Workspaces) + c.configureTime()
+func (c *calculator) changeSeconds() float64 {
+	return nanosecond*c.costAt(TreeWorkspaces, c.Workspaces) + c.configureSeconds()
 }
 
-func (c *calc) configureTime() float64 {
+func (c *calculator) configureSeconds() float64 {
 	return nanosecond * (c.Services*c.growth(ConfigureWorkspaces, c.Workspaces) +
-		c.at(ConfigureUpstreams, c.Upstreams) + c.growth(ConfigureRouters, c.Routers))
+		c.costAt(ConfigureUpstreams, c.Upstreams) + c.growth(ConfigureRouters, c.Routers))
 }
 
-// peer holds a session with every other router and everybody's counters.
-func (c *calc) peer() load {
-	beats := beatsPerSecond * c.peers()
-	usage := exchangesPerSecond * c.peers()
-	entries := c.entries()
-	heard := c.at(UsageEntries, entries) + c.growth(UsageMoved, entries)
-	return load{
-		messages: beats + usage,
-		core: nanosecond * (memberTicks*c.at(MembershipTick, c.Routers) + beats*(c.at(MembershipBeat, c.Routers)+c.at(SessionTime, 1)) +
-			usage*(heard+c.at(SessionTime, entries)) + ticksPerSecond*c.growth(TickRouters, c.Routers)),
-		mb: (c.at(SessionMemory, c.peers()) + c.growth(MemoryMembers, c.Routers) + c.growth(MemoryRouters, c.Routers) +
-			c.growth(MemoryCounters, c.origins()*c.Workspaces)) / megabyte,
-		kb: (c.peers()*(c.at(BeatBytes, c.Routers)+c.at(UsageBytes, entries)) + (beats+usage)*c.at(SessionBytes, 1)) / kilobyte,
+// peerCost holds a session with every other router and everybody's counters.
+func (c *calculator) peerCost() roleCost {
+	heartbeats := heartbeatsPerSecond * c.peerCount()
+	exchanges := exchangesPerSecond * c.peerCount()
+	entries := c.countersPerExchange()
+	receiveTime := c.costAt(UsageEntries, entries) + c.growth(UsageMoved, entries)
+	return roleCost{
+		messagesPerSecond: heartbeats + exchanges,
+		coreFraction: nanosecond * (membershipTicksPerSecond*c.costAt(MembershipTick, c.Routers) + heartbeats*(c.costAt(MembershipHeartbeat, c.Routers)+c.costAt(SessionTime, 1)) +
+			exchanges*(receiveTime+c.costAt(SessionTime, entries)) + ticksPerSecond*c.growth(TickRouters, c.Routers)),
+		memoryMB: (c.costAt(SessionMemory, c.peerCount()) + c.growth(MemoryMembers, c.Routers) + c.growth(MemoryRouters, c.Routers) +
+			c.growth(MemoryCounters, c.originCount()*c.Workspaces)) / megabyte,
+		trafficKBPerSecond: (c.peerCount()*(c.costAt(HeartbeatBytes, c.Routers)+c.costAt(UsageBytes, entries)) + (heartbeats+exchanges)*c.costAt(SessionBytes, 1)) / kilobyte,
 	}
 }
 
-// platform reads the list of VMs, upstreams included.
-func (c *calc) platform() load {
-	reads := c.at(PlatformVMs, c.Routers)
+// platformCost reads the list of VMs, upstreams included.
+func (c *calculator) platformCost() roleCost {
+	reads := c.costAt(PlatformVMs, c.Routers)
 	vms := c.Routers + c.Upstreams
 	perRouter := reads / c.Routers
-	return load{
-		messages: perRouter,
-		core:     nanosecond * perRouter * c.at(VMsDecode, vms),
-		mb:       c.at(WireVMs, vms) / megabyte,
-		kb:       perRouter * c.at(WireVMs, vms) / kilobyte,
-		reads:    reads,
+	return roleCost{
+		messagesPerSecond:  perRouter,
+		coreFraction:       nanosecond * perRouter * c.costAt(VMsDecode, vms),
+		memoryMB:           c.costAt(WireVMs, vms) / megabyte,
+		trafficKBPerSecond: perRouter * c.costAt(WireVMs, vms) / kilobyte,
+		readsPerSecond:     reads,
 	}
 }
 
-// figure is one line of a role's table.
-type figure struct {
+// reportMetric is one line of a role's table.
+type reportMetric struct {
 	role      Role
 	name      string
 	unit      string
-	value     func(*calc) float64
-	limit     func(*calc) float64
+	value     func(*calculator) float64
+	limit     func(*calculator) float64
 	mechanism string
 }
 
-func constant(limit float64) func(*calc) float64 { return func(*calc) float64 { return limit } }
+func constantLimit(limit float64) func(*calculator) float64 {
+	return func(*calculator) float64 { return limit }
+}
 
-// figures lists all lines in the order of the roles.
-func figures() []figure {
-	var list []figure
-	list = append(list, costs(Daemon, (*calc).daemon, "all roles together")...)
-	for _, l := range loads {
-		list = append(list, costs(l.role, l.of, mechanisms[l.role])...)
-		list = append(list, states[l.role]...)
+// reportMetrics lists all lines in the order of the roles.
+func reportMetrics() []reportMetric {
+	var rows []reportMetric
+	rows = append(rows, costMetrics(RoleDaemon, (*calculator).daemonCost, "all roles together")...)
+	for _, l := range roleCosts {
+		rows = append(rows, costMetrics(l.role, l.of, mechanisms[l.role])...)
+		rows = append(rows, roleMetrics[l.role]...)
 	}
-	return list
+	return rows
 }
 
-// costs are the lines that every role has.
-func costs(role Role, of func(*calc) load, mechanism string) []figure {
-	list := []figure{
-		{role, "messages", "1/s", func(c *calc) float64 { return of(c).messages }, nil, mechanism},
-		{role, "processor", "% of a core", func(c *calc) float64 { return 100 * of(c).core }, func(c *calc) float64 { return 100 * c.MaxCore }, mechanism},
-		{role, "memory", "MB", func(c *calc) float64 { return of(c).mb }, func(c *calc) float64 { return c.MaxMB }, mechanism},
-		{role, "traffic", "KB/s", func(c *calc) float64 { return of(c).kb }, func(c *calc) float64 { return c.MaxKB }, mechanism},
+// costMetrics are the lines that every role has.
+func costMetrics(role Role, costOf func(*calculator) roleCost, mechanism string) []reportMetric {
+	rows := []reportMetric{
+		{role, "messages", "1/s", func(c *calculator) float64 { return costOf(c).messagesPerSecond }, nil, mechanism},
+		{role, "processor", "% of a core", func(c *calculator) float64 { return 100 * costOf(c).coreFraction }, func(c *calculator) float64 { return 100 * c.MaxCore }, mechanism},
+		{role, "memory", "MB", func(c *calculator) float64 { return costOf(c).memoryMB }, func(c *calculator) float64 { return c.MaxMB }, mechanism},
+		{role, "traffic", "KB/s", func(c *calculator) float64 { return costOf(c).trafficKBPerSecond }, func(c *calculator) float64 { return c.MaxKB }, mechanism},
 	}
-	if role == Daemon || role == Claims || role == Watcher || role == Platform {
-		list = append(list, figure{role, "platform reads, fleet", "1/s", func(c *calc) float64 { return of(c).reads }, func(c *calc) float64 { return c.MaxReads }, mechanism})
+	if role == RoleDaemon || role == RoleClaims || role == RoleWatcher || role == RolePlatform {
+		rows = append(rows, reportMetric{role, "platform reads, fleet", "1/s", func(c *calculator) float64 { return costOf(c).readsPerSecond }, func(c *calculator) float64 { return c.MaxReads }, mechanism})
 	}
-	if role == Daemon || role == Claims || role == Watcher {
-		list = append(list, figure{role, "platform writes, fleet", "1/s", func(c *calc) float64 { return of(c).writes }, func(c *calc) float64 { return c.MaxWrites }, mechanism})
+	if role == RoleDaemon || role == RoleClaims || role == RoleWatcher {
+		rows = append(rows, reportMetric{role, "platform writes, fleet", "1/s", func(c *calculator) float64 { return costOf(c).writesPerSecond }, func(c *calculator) float64 { return c.MaxWrites }, mechanism})
 	}
-	return list
+	return rows
 }
 
 // mechanisms name what carries each role today.
 var mechanisms = map[Role]string{
-	Entry:    "demand to all owners, reports per request",
-	Owner:    "all upstreams known, own ones polled",
-	Claims:   "shards of claims, rounds shared by all routers",
-	Watcher:  "a watch per router, versions to all peers",
-	Peer:     "full mesh, counters to all peers",
-	Platform: "VM list read by every router",
+	RoleEntry:    "demand to all owners, reports per request",
+	RoleOwner:    "all upstreams known, own ones polled",
+	RoleClaims:   "shards of claims, rounds shared by all routers",
+	RoleWatcher:  "a watch per router, versions to all peers",
+	RolePeer:     "full mesh, counters to all peers",
+	RolePlatform: "VM list read by every router",
 }
 
-// states are the lines that only one role has: state, staleness and bounds.
-var states = map[Role][]figure{
-	Entry: {
-		{Entry, "requests waiting", "requests", func(c *calc) float64 { return c.lines() * c.Waiting }, nil, "queue per workspace"},
-		{Entry, "requests running", "requests", func(c *calc) float64 { return c.running() }, nil, "one goroutine each"},
-		{Entry, "learned costs", "keys", func(c *calc) float64 { return c.Workspaces }, constant(estimate.DefaultCapacity), "least recently updated key makes room"},
-		{Entry, "histogram series", "pairs", func(c *calc) float64 { return c.Workspaces }, constant(metrics.MaxSeries), "later pairs share one series"},
-		{Entry, "staleness of demand", "s", func(*calc) float64 { return scheduler.DefaultDemandInterval.Seconds() }, nil, "batched demand"},
+// roleMetrics are the lines that only one role has: state, staleness and bounds.
+var roleMetrics = map[Role][]reportMetric{
+	RoleEntry: {
+		{RoleEntry, "requests waiting", "requests", func(c *calculator) float64 { return c.demandLines() * c.Waiting }, nil, "queue per workspace"},
+		{RoleEntry, "requests running", "requests", func(c *calculator) float64 { return c.runningRequests() }, nil, "one goroutine each"},
+		{RoleEntry, "learned costs", "keys", func(c *calculator) float64 { return c.Workspaces }, constantLimit(estimate.DefaultCapacity), "least recently updated key makes room"},
+		{RoleEntry, "histogram series", "pairs", func(c *calculator) float64 { return c.Workspaces }, constantLimit(metrics.MaxSeries), "later pairs share one series"},
+		{RoleEntry, "staleness of demand", "s", func(*calculator) float64 { return scheduler.DefaultDemandInterval.Seconds() }, nil, "batched demand"},
 	},
-	Owner: {
-		{Owner, "upstreams owned", "upstreams", (*calc).owned, nil, "rendezvous hash"},
-		{Owner, "lines of demand heard", "lines", func(c *calc) float64 { return c.lines() * c.owners() }, nil, "demand from all routers"},
-		{Owner, "staleness of load reports", "s", func(*calc) float64 { return upstream.PollInterval.Seconds() }, nil, "poll of each owned upstream"},
-		{Owner, "staleness of counters", "s", (*calc).stale, nil, "exchange with all peers"},
-		{Owner, "fairness bound", "s of own part", func(c *calc) float64 { return c.bound(c.stale()) }, nil, "extrapolated counters"},
+	RoleOwner: {
+		{RoleOwner, "upstreams owned", "upstreams", (*calculator).ownedUpstreams, nil, "rendezvous hash"},
+		{RoleOwner, "lines of demand heard", "lines", func(c *calculator) float64 { return c.demandLines() * c.ownerCount() }, nil, "demand from all routers"},
+		{RoleOwner, "staleness of load reports", "s", func(*calculator) float64 { return upstream.PollInterval.Seconds() }, nil, "poll of each owned upstream"},
+		{RoleOwner, "staleness of counters", "s", (*calculator).counterStaleness, nil, "exchange with all peers"},
+		{RoleOwner, "fairness bound", "s of own part", func(c *calculator) float64 { return c.fairnessBound(c.counterStaleness()) }, nil, "extrapolated counters"},
 	},
-	Claims: {
-		{Claims, "claims remembered", "claims", func(c *calc) float64 { return c.claimed() * retained }, (*calc).shardRoom, "keys remembered by every router"},
-		{Claims, "mean wait, all shards in use", "s", func(c *calc) float64 { return c.at(ClaimWait, c.Routers) }, func(c *calc) float64 { return c.MaxFirst }, "rounds shared by all routers"},
+	RoleClaims: {
+		{RoleClaims, "claims remembered", "claims", func(c *calculator) float64 { return c.claimsPerSecond() * claimRetentionSeconds }, (*calculator).claimCapacity, "keys remembered by every router"},
+		{RoleClaims, "mean wait, all shards in use", "s", func(c *calculator) float64 { return c.costAt(ClaimWait, c.Routers) }, func(c *calculator) float64 { return c.MaxFirst }, "rounds shared by all routers"},
 	},
-	Watcher: {
-		{Watcher, "root object", "B", func(c *calc) float64 { return c.at(WireRoot, c.Upstreams) + c.growth(WireRootTeams, c.Teams) }, constant(objectstore.MaxValueBytes), "one object of teams and upstreams"},
-		{Watcher, "staleness of settings", "s", func(c *calc) float64 { return objectstore.DefaultWatchInterval.Seconds() + c.changeTime() }, func(c *calc) float64 { return c.MaxStale }, "waiting watch"},
-		{Watcher, "time in the scheduler per change", "ms", func(c *calc) float64 { return 1e3 * c.configureTime() }, nil, "whole settings configured anew"},
+	RoleWatcher: {
+		{RoleWatcher, "root object", "B", func(c *calculator) float64 { return c.costAt(WireRoot, c.Upstreams) + c.growth(WireRootTeams, c.Teams) }, constantLimit(objectstore.MaxValueBytes), "one object of teams and upstreams"},
+		{RoleWatcher, "staleness of settings", "s", func(c *calculator) float64 { return objectstore.DefaultWatchInterval.Seconds() + c.changeSeconds() }, func(c *calculator) float64 { return c.MaxStale }, "waiting watch"},
+		{RoleWatcher, "time in the scheduler per change", "ms", func(c *calculator) float64 { return 1e3 * c.configureSeconds() }, nil, "whole settings configured anew"},
 	},
-	Peer: {
-		{Peer, "sessions", "sessions", (*calc).peers, nil, "full mesh"},
-		{Peer, "counters held", "counters", func(c *calc) float64 { return c.origins() * c.Workspaces }, nil, "one per incarnation and workspace"},
-		{Peer, "told at once to a router that starts", "MB", (*calc).toldNewcomer, func(c *calc) float64 { return c.at(SessionQueue, c.Workspaces) / megabyte }, "one queue per session, which ends when it is full"},
-		{Peer, "received by a router that starts", "MB", (*calc).coldStart, nil, "all peers tell all counters"},
-		{Peer, "told to routers that start, mean", "KB/s", (*calc).toldADay, func(c *calc) float64 { return c.MaxKB }, "all peers tell all counters"},
-		{Peer, "scheduler time of a router that starts", "s", (*calc).coldTime, func(c *calc) float64 { return c.MaxStale }, "owners worked out anew per session"},
+	RolePeer: {
+		{RolePeer, "sessions", "sessions", (*calculator).peerCount, nil, "full mesh"},
+		{RolePeer, "counters held", "counters", func(c *calculator) float64 { return c.originCount() * c.Workspaces }, nil, "one per incarnation and workspace"},
+		{RolePeer, "told at once to a router that starts", "MB", (*calculator).introductionMB, func(c *calculator) float64 { return c.costAt(SessionQueue, c.Workspaces) / megabyte }, "one queue per session, which ends when it is full"},
+		{RolePeer, "received by a router that starts", "MB", (*calculator).startReceivedMB, nil, "all peers tell all counters"},
+		{RolePeer, "told to routers that start, mean", "KB/s", (*calculator).meanIntroductionKBPerSecond, func(c *calculator) float64 { return c.MaxKB }, "all peers tell all counters"},
+		{RolePeer, "scheduler time of a router that starts", "s", (*calculator).startSchedulerSeconds, func(c *calculator) float64 { return c.MaxStale }, "owners worked out anew per session"},
 	},
-	Platform: {
-		{Platform, "VMs listed", "VMs", func(c *calc) float64 { return c.Routers + c.Upstreams }, nil, "whole list"},
+	RolePlatform: {
+		{RolePlatform, "VMs listed", "VMs", func(c *calculator) float64 { return c.Routers + c.Upstreams }, nil, "whole list"},
 	},
 }
 
-// toldNewcomer is what one peer tells a router that newly appears, in MB: its
+// introductionMB is what one peer tells a router that newly appears, in MB: its
 // own counters and those of every incarnation that is gone.
-func (c *calc) toldNewcomer() float64 {
+func (c *calculator) introductionMB() float64 {
 	perCounter := c.slopes[IntroduceRelays].Rate / relayWorkspaces
-	return (c.at(IntroduceBytes, c.Workspaces) + perCounter*c.gone()*c.Workspaces) / megabyte
+	return (c.costAt(IntroduceBytes, c.Workspaces) + perCounter*c.removedIncarnations()*c.Workspaces) / megabyte
 }
 
-// coldStart is what all peers tell a router that starts, in MB.
-func (c *calc) coldStart() float64 { return c.peers() * c.toldNewcomer() }
+// startReceivedMB is what all peers tell a router that starts, in MB.
+func (c *calculator) startReceivedMB() float64 { return c.peerCount() * c.introductionMB() }
 
-// toldADay is the mean of what one router tells those that start, in KB a
+// meanIntroductionKBPerSecond is the mean of what one router tells those that start, in KB a
 // second.
-func (c *calc) toldADay() float64 {
-	return (c.Failed + c.Replaced) / secondsPerDay * c.toldNewcomer() * megabyte / kilobyte
+func (c *calculator) meanIntroductionKBPerSecond() float64 {
+	return (c.Failed + c.Replaced) / secondsPerDay * c.introductionMB() * megabyte / kilobyte
 }
 
-// coldTime is how long a new router's scheduler works on its sessions: the
+// startSchedulerSeconds is how long a new router's scheduler works on its sessions: the
 // peers change twice for each.
-func (c *calc) coldTime() float64 {
-	return nanosecond * c.peers() * (c.growth(PeersRouters, c.Routers) + c.at(PeersUpstreams, c.Upstreams))
+func (c *calculator) startSchedulerSeconds() float64 {
+	return nanosecond * c.peerCount() * (c.growth(PeersRouters, c.Routers) + c.costAt(PeersUpstreams, c.Upstreams))
 }
--- a/capacity/slope.go
+++ b/capacity/slope.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Name names a slope.
-type Name string
+// SlopeName names a slope.
+type SlopeName string
 
 // Point is one measured size.
 type Point struct {
@@ -19,26 +19,26 @@
 
 // Slope is a cost measured against a size, with the curve that fits it.
 type Slope struct {
-	Name Name `json:"name"`
+	Name SlopeName `json:"name"`
 	// Unit of the value, and Against what the size counts.
-	Unit    string `json:"unit"`
-	Against string `json:"against"`
-	// Machine says that the value is a time, which holds for the machine it
+	Unit     string `json:"unit"`
+	SizeUnit string `json:"against"`
+	// MachineDependent says that the value is a time, which holds for the machine it
 	// was measured on only.
-	Machine bool    `json:"machine,omitempty"`
-	Points  []Point `json:"points"`
-	Shape   Shape   `json:"shape"`
-	Base    float64 `json:"base"`
-	Rate    float64 `json:"rate"`
-	// Error is the worst relative distance of a point from the curve.
-	Error float64 `json:"error"`
+	MachineDependent bool    `json:"machine,omitempty"`
+	Points           []Point `json:"points"`
+	Shape            Shape   `json:"shape"`
+	Base             float64 `json:"base"`
+	Rate             float64 `json:"rate"`
+	// MaxRelativeError is the worst relative distance of a point from the curve.
+	MaxRelativeError float64 `json:"error"`
 }
 
-// At returns the fitted cost at a size.
-func (s Slope) At(size float64) float64 { return s.Base + s.Growth(size) }
+// CostAt returns the fitted cost at a size.
+func (s Slope) CostAt(size float64) float64 { return s.Base + s.Growth(size) }
 
 // Growth returns the part of the cost that comes with the size.
-func (s Slope) Growth(size float64) float64 { return s.Rate * s.Shape.of(size) }
+func (s Slope) Growth(size float64) float64 { return s.Rate * s.Shape.factor(size) }
 
 // Slopes is the outcome of one Measure.
 type Slopes struct {
@@ -52,7 +52,7 @@
 }
 
 // MissingError is a slope that a report needs and the file lacks.
-type MissingError struct{ Name Name }
+type MissingError struct{ Name SlopeName }
 
 // Error names the slope.
 func (e *MissingError) Error() string {
@@ -60,7 +60,7 @@
 }
 
 // Get returns a slope or a *MissingError.
-func (s *Slopes) Get(name Name) (Slope, error) {
+func (s *Slopes) Get(name SlopeName) (Slope, error) {
 	for _, slope := range s.Slopes {
 		if slope.Name == name {
 			return slope, nil
@@ -70,10 +70,10 @@
 }
 
 //go:embed slopes.json
-var embedded []byte
+var embeddedSlopes []byte
 
 // Load returns the slopes that the program was built with.
-func Load() (*Slopes, error) { return Parse(embedded) }
+func Load() (*Slopes, error) { return Parse(embeddedSlopes) }
 
 // Parse reads a file of slopes.
 func Parse(data []byte) (*Slopes, error) {
@@ -96,8 +96,8 @@
 	Quadratic Shape = "quadratic"
 )
 
-// of is the shape's function with rate 1.
-func (s Shape) of(n float64) float64 {
+// factor is the shape's function with rate 1.
+func (s Shape) factor(n float64) float64 {
 	switch s {
 	case Log:
 		return math.Log2(n + 1)
@@ -113,47 +113,47 @@
 }
 
 const (
-	// flatTime and flatCount are the relative errors up to which a time and a
+	// flatTimeError and flatCount are the relative errors up to which a time and a
 	// count are flat: on a shared machine times vary by a quarter.
-	flatTime  = 0.25
-	flatCount = 0.02
-	// fitsTime and fitsCount are the worst relative errors of a shape that
+	flatTimeError  = 0.25
+	flatCountError = 0.02
+	// maxTimeError and fitsCount are the worst relative errors of a shape that
 	// fits. A simpler shape that fits wins over a better one.
-	fitsTime  = 0.15
-	fitsCount = 0.025
+	maxTimeError  = 0.15
+	maxCountError = 0.025
 )
 
 // fit finds the simplest shape that describes the points, or the best one.
 func (s Slope) fit() Slope {
-	flat := s.as(Flat)
-	if flat.Error <= flatCount || s.Machine && flat.Error <= flatTime {
+	flat := s.fitShape(Flat)
+	if flat.MaxRelativeError <= flatCountError || s.MachineDependent && flat.MaxRelativeError <= flatTimeError {
 		return flat
 	}
-	within := fitsCount
-	if s.Machine {
-		within = fitsTime
+	maxError := maxCountError
+	if s.MachineDependent {
+		maxError = maxTimeError
 	}
-	best := s.as(Log)
+	best := s.fitShape(Log)
 	for _, shape := range []Shape{Linear, LogLinear, Quadratic} {
-		if best.Error <= within {
+		if best.MaxRelativeError <= maxError {
 			return best
 		}
-		if next := s.as(shape); next.Error < best.Error {
+		if next := s.fitShape(shape); next.MaxRelativeError < best.MaxRelativeError {
 			best = next
 		}
 	}
 	return best
 }
 
-// as fits one shape by least squares of the relative errors. Neither part may
+// fitShape fits one shape by least squares of the relative errors. Neither part may
 // be negative: costs don't shrink below nothing.
-func (s Slope) as(shape Shape) Slope {
+func (s Slope) fitShape(shape Shape) Slope {
 	s.Shape = shape
 	s.Base, s.Rate = leastSquares(s.Points, shape)
-	s.Error = 0
+	s.MaxRelativeError = 0
 	for _, p := range s.Points {
 		if p.Value > 0 {
-			s.Error = math.Max(s.Error, math.Abs(s.At(p.Size)-p.Value)/p.Value)
+			s.MaxRelativeError = math.Max(s.MaxRelativeError, math.Abs(s.CostAt(p.Size)-p.Value)/p.Value)
 		}
 	}
 	return s
@@ -163,7 +163,7 @@
 	var sw, sx, sy, sxx, sxy float64
 	for _, p := range points {
 		w := 1 / math.Max(p.Value*p.Value, math.SmallestNonzeroFloat32)
-		x := shape.of(p.Size)
+		x := shape.factor(p.Size)
 		sw += w
 		sx += w * x
 		sy += w * p.Value
--- a/capacity/slope_test.go
+++ b/capacity/slope_test.go
@@ -19,40 +19,40 @@
 func TestFitFindsTheShape(t *testing.T) {
 	for _, shape := range []Shape{Flat, Log, Linear, LogLinear, Quadratic} {
 		t.Run(string(shape), func(t *testing.T) {
-			cost := func(n float64) float64 { return 50 + 3*shape.of(n) }
+			cost := func(n float64) float64 { return 50 + 3*shape.factor(n) }
 			slope := Slope{Points: points(cost, 10, 1000, 100_000)}.fit()
 			require.Equal(t, shape, slope.Shape)
-			require.InEpsilon(t, cost(5000), slope.At(5000), 0.01)
+			require.InEpsilon(t, cost(5000), slope.CostAt(5000), 0.01)
 		})
 	}
 }
 
 // A shared machine makes single times a fifth slower. A flat time must not
 // become a curve by that, while a count that grows by as little must show.
-func TestNoiseIsFlatInTimesOnly(t *testing.T) {
+func TestNoiseIsIgnoredInTimesOnly(t *testing.T) {
 	noisy := []Point{{10, 100}, {100, 120}, {1000, 110}}
-	require.Equal(t, Flat, Slope{Machine: true, Points: noisy}.fit().Shape)
+	require.Equal(t, Flat, Slope{MachineDependent: true, Points: noisy}.fit().Shape)
 	require.NotEqual(t, Flat, Slope{Points: []Point{{10, 100}, {100, 110}, {1000, 120}}}.fit().Shape)
 }
 
-func TestFitNeverCostsLessThanNothing(t *testing.T) {
+func TestFitIsNeverNegative(t *testing.T) {
 	falling := Slope{Points: []Point{{10, 300}, {100, 200}, {1000, 100}}}.fit()
-	require.GreaterOrEqual(t, falling.At(1e9), 0.0)
+	require.GreaterOrEqual(t, falling.CostAt(1e9), 0.0)
 	steep := Slope{Points: []Point{{10, 1}, {100, 90}, {1000, 1000}}}.fit()
-	require.GreaterOrEqual(t, steep.At(0), 0.0)
+	require.GreaterOrEqual(t, steep.CostAt(0), 0.0)
 }
 
 func TestMissingSlopeIsNamed(t *testing.T) {
-	_, err := NewReport(Today(), &Slopes{})
+	_, err := NewReport(CurrentFleet(), &Slopes{})
 	var missing *MissingError
 	require.ErrorAs(t, err, &missing)
-	require.Equal(t, needed[0], missing.Name)
+	require.Equal(t, requiredSlopes[0], missing.Name)
 }
 
-func TestEverySlopeThatIsUsedIsMeasured(t *testing.T) {
+func TestRequiredSlopesAreMeasured(t *testing.T) {
 	slopes, err := Load()
 	require.NoError(t, err)
-	for _, name := range needed {
+	for _, name := range requiredSlopes {
 		slope, err := slopes.Get(name)
 		require.NoError(t, err)
 		require.GreaterOrEqual(t, len(slope.Points), 3, name)
@@ -61,26 +61,26 @@
 
 // A fleet just below the size at which a line breaks keeps its limit, and one
 // just above does not.
-func TestBreaksAtIsTheEdge(t *testing.T) {
+func TestLimitBreaksAtTheReportedSize(t *testing.T) {
 	slopes, err := Load()
 	require.NoError(t, err)
-	c, err := newCalc(Destination(), slopes)
+	c, err := newCalculator(TargetFleet(), slopes)
 	require.NoError(t, err)
-	for _, fig := range figures() {
-		if fig.limit == nil || fig.breaksAt(c) == 0 {
+	for _, metric := range reportMetrics() {
+		if metric.limit == nil || metric.routersAtLimit(c) == 0 {
 			continue
 		}
-		t.Run(fmt.Sprint(fig.role, " ", fig.name), func(t *testing.T) {
-			edge := fig.breaksAt(c) / c.Routers
-			below, above := c.scaled(edge*0.99), c.scaled(edge*1.01)
-			require.LessOrEqual(t, fig.value(below), fig.limit(below))
-			require.Greater(t, fig.value(above), fig.limit(above))
+		t.Run(fmt.Sprint(metric.role, " ", metric.name), func(t *testing.T) {
+			limitScale := metric.routersAtLimit(c) / c.Routers
+			below, above := c.scaled(limitScale*0.99), c.scaled(limitScale*1.01)
+			require.LessOrEqual(t, metric.value(below), metric.limit(below))
+			require.Greater(t, metric.value(above), metric.limit(above))
 		})
 	}
 }
 
 func TestNumbersHaveThreeDigits(t *testing.T) {
 	for want, v := range map[string]float64{"0": 0.0001, "0.012": 0.012, "1.23": 1.234, "730": 730, "6300": 6300, "80k": 80_000, "1.2M": 1.2e6, "39G": 39e9} {
-		require.Equal(t, want, number(v))
+		require.Equal(t, want, formatNumber(v))
 	}
 }
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -17,10 +17,10 @@
 // Tables renders a report.
 func (r *Report) Tables() []Table {
 	tables := []Table{r.summary()}
-	for _, role := range roles() {
+	for _, role := range allRoles() {
 		tables = append(tables, roleTable(string(role), r.Rows, role))
 	}
-	return append(tables, r.planTable(), roleTable("plan, one router", r.Planned, Daemon), r.eventTable())
+	return append(tables, r.planTable(), roleTable("plan, one router", r.PlannedRows, RoleDaemon), r.eventTable())
 }
 
 // Table renders the slopes with their points.
@@ -28,29 +28,29 @@
 	t := Table{Title: "slopes", Header: []string{"SLOPE", "SHAPE", "BASE", "RATE", "UNIT", "AGAINST", "WORST ERROR", "MACHINE'S", "MEASURED"}}
 	for _, slope := range s.Slopes {
 		machine := "-"
-		if slope.Machine {
+		if slope.MachineDependent {
 			machine = "yes"
 		}
 		t.Rows = append(t.Rows, []string{
-			string(slope.Name), string(slope.Shape), number(slope.Base), fmt.Sprintf("%.3g", slope.Rate), slope.Unit, slope.Against,
-			fmt.Sprintf("%.0f %%", 100*slope.Error), machine, slope.measured(),
+			string(slope.Name), string(slope.Shape), formatNumber(slope.Base), fmt.Sprintf("%.3g", slope.Rate), slope.Unit, slope.SizeUnit,
+			fmt.Sprintf("%.0f %%", 100*slope.MaxRelativeError), machine, slope.formatPoints(),
 		})
 	}
 	return t
 }
 
-// measured lists the points as size and value.
-func (s Slope) measured() string {
+// formatPoints lists the points as size and value.
+func (s Slope) formatPoints() string {
 	var points []string
 	for _, p := range s.Points {
-		points = append(points, number(p.Size)+": "+number(p.Value))
+		points = append(points, formatNumber(p.Size)+": "+formatNumber(p.Value))
 	}
 	return strings.Join(points, ", ")
 }
 
-func roles() []Role {
-	list := []Role{Daemon}
-	for _, l := range loads {
+func allRoles() []Role {
+	list := []Role{RoleDaemon}
+	for _, l := range roleCosts {
 		list = append(list, l.role)
 	}
 	return list
@@ -59,8 +59,8 @@
 // summary says what breaks, the first line first.
 func (r *Report) summary() Table {
 	t := Table{Title: "what breaks first", Header: []string{"ROLE", "FIGURE", "BREAKS AT ROUTERS", "MECHANISM"}}
-	for _, row := range byBreak(r.Rows) {
-		t.Rows = append(t.Rows, []string{string(row.Role), row.Figure, edge(row.BreaksAt), row.Mechanism})
+	for _, row := range sortedByBreak(r.Rows) {
+		t.Rows = append(t.Rows, []string{string(row.Role), row.Metric, formatRouters(row.BreaksAtRouters), row.Mechanism})
 	}
 	return t
 }
@@ -69,18 +69,18 @@
 	t := Table{Title: title, Header: []string{"FIGURE", "VALUE", "LIMIT", "UNIT", "BREAKS AT ROUTERS", "MECHANISM"}}
 	for _, row := range rows {
 		if row.Role == role {
-			t.Rows = append(t.Rows, []string{row.Figure, value(row), optional(row.Limit), row.Unit, edge(row.BreaksAt), row.Mechanism})
+			t.Rows = append(t.Rows, []string{row.Metric, formatValue(row), formatOptional(row.Limit), row.Unit, formatRouters(row.BreaksAtRouters), row.Mechanism})
 		}
 	}
 	return t
 }
 
-// value marks a broken limit.
-func value(row Row) string {
-	if row.Broken() {
-		return number(row.Value) + " !"
+// formatValue marks a broken limit.
+func formatValue(row Row) string {
+	if row.ExceedsLimit() {
+		return formatNumber(row.Value) + " !"
 	}
-	return number(row.Value)
+	return formatNumber(row.Value)
 }
 
 func (r *Report) planTable() Table {
@@ -90,8 +90,8 @@
 	}
 	for _, s := range r.Plan {
 		t.Rows = append(t.Rows, []string{
-			s.Today, edge(s.StopsAt), s.Replacement, number(s.Messages), number(100 * s.Core),
-			number(s.MB), number(s.KB), number(s.Reads), number(s.Writes),
+			s.Current, formatRouters(s.StopsAtRouters), s.Replacement, formatNumber(s.MessagesPerSecond), formatNumber(100 * s.CoreFraction),
+			formatNumber(s.MemoryMB), formatNumber(s.KBPerSecond), formatNumber(s.ReadsPerSecond), formatNumber(s.WritesPerSecond),
 		})
 	}
 	return t
@@ -107,28 +107,28 @@
 	}
 	for _, e := range r.Events {
 		t.Rows = append(t.Rows, []string{
-			e.Name, number(e.Routers), optional(e.PerDay), number(e.Moved), number(e.Lost), number(e.Noticed), number(e.Served),
-			number(e.Cut), number(e.Messages), number(e.KB), number(e.Scheduler), number(e.Rejoin), number(e.RejoinTime),
+			e.Name, formatNumber(e.Routers), formatOptional(e.PerDay), formatNumber(e.MovedUpstreams), formatNumber(e.LostUpstreams), formatNumber(e.NoticedSeconds), formatNumber(e.ServedSeconds),
+			formatNumber(e.CutRequests), formatNumber(e.Messages), formatNumber(e.KB), formatNumber(e.SchedulerSeconds), formatNumber(e.RejoinMB), formatNumber(e.RejoinSeconds),
 		})
 	}
 	return t
 }
 
-// edge renders a number of routers; a line that does not grow with the fleet
+// formatRouters renders a number of routers; a line that does not grow with the fleet
 // and is broken anyway breaks at any size.
-func edge(routers float64) string {
+func formatRouters(routers float64) string {
 	if routers > 0 && routers < 1 {
 		return "any"
 	}
-	return optional(routers)
+	return formatOptional(routers)
 }
 
-// optional renders a figure that may be missing.
-func optional(v float64) string {
+// formatOptional renders a figure that may be missing.
+func formatOptional(v float64) string {
 	if v == 0 {
 		return "-"
 	}
-	return number(v)
+	return formatNumber(v)
 }
 
 const (
@@ -137,23 +137,23 @@
 	billion  = 1e9
 )
 
-// number renders three digits: no figure is known better.
-func number(v float64) string {
+// formatNumber renders three digits: no figure is known better.
+func formatNumber(v float64) string {
 	switch size := math.Abs(v); {
 	case size >= billion:
-		return digits(v/billion) + "G"
+		return formatDigits(v/billion) + "G"
 	case size >= million:
-		return digits(v/million) + "M"
+		return formatDigits(v/million) + "M"
 	case size >= 10*thousand:
-		return digits(v/thousand) + "k"
+		return formatDigits(v/thousand) + "k"
 	case size < 0.0005:
 		return "0"
 	default:
-		return digits(v)
+		return formatDigits(v)
 	}
 }
 
-func digits(v float64) string {
+func formatDigits(v float64) string {
 	if math.Abs(v) >= thousand {
 		return strconv.FormatFloat(v, 'f', 0, 64)
 	}
--- a/cmd/figstile/internal/cli/capacity.go
+++ b/cmd/figstile/internal/cli/capacity.go
@@ -73,9 +73,9 @@
 	if err != nil {
 		return err
 	}
-	fleet := capacity.Today()
+	fleet := capacity.CurrentFleet()
 	if c.Profile == "destination" {
-		fleet = capacity.Destination()
+		fleet = capacity.TargetFleet()
 	}
 	c.applyTo(&fleet)
 	report, err := capacity.NewReport(fleet, slopes)
@@ -150,5 +150,5 @@
 		return
 	}
 	fmt.Fprintf(o.w, "%-24s %-9s %.4g + %.4g %s against %s, error %.0f %%\n",
-		s.Name, s.Shape, s.Base, s.Rate, s.Unit, s.Against, 100*s.Error)
+		s.Name, s.Shape, s.Base, s.Rate, s.Unit, s.SizeUnit, 100*s.MaxRelativeError)
 }
--- a/cmd/figstile/internal/cli/capacity_test.go
+++ b/cmd/figstile/internal/cli/capacity_test.go
@@ -50,7 +50,7 @@
 	var report capacity.Report
 	out := runWithoutRouter(t, "capacity", "--profile=destination", "--routers=100", "--max-mb=64", "--output=json")
 	require.NoError(t, json.Unmarshal([]byte(out), &report))
-	want := capacity.Destination()
+	want := capacity.TargetFleet()
 	want.Routers, want.MaxMB = 100, 64
 	require.Equal(t, want, report.Fleet)
 }
--- a/cmd/figstile/internal/cli/load.go
+++ b/cmd/figstile/internal/cli/load.go
@@ -50,7 +50,7 @@
 }
 
 func (l loadCommand) options(a *app) (loadgen.Options, error) {
-	options := loadgen.Options{Direct: l.Direct, Arrive: l.Arrive, Grace: l.Grace}
+	options := loadgen.Options{Direct: l.Direct, EntryRouters: l.Arrive, Grace: l.Grace}
 	data, err := os.ReadFile(l.Workload)
 	if err != nil {
 		return options, err
@@ -81,9 +81,9 @@
 		return fleet, fmt.Errorf("--admin names %d routers and --targets %d", len(l.Admin), len(l.Targets))
 	}
 	for i, url := range l.Targets {
-		router := loadgen.Router{Name: state.Router(fmt.Sprintf("target-%d", i+1)), Callers: strings.TrimSuffix(url, "/")}
+		router := loadgen.Router{Name: state.Router(fmt.Sprintf("target-%d", i+1)), CallerURL: strings.TrimSuffix(url, "/")}
 		if len(l.Admin) > 0 {
-			router.Admin = strings.TrimSuffix(l.Admin[i], "/")
+			router.AdminURL = strings.TrimSuffix(l.Admin[i], "/")
 		}
 		fleet.Routers = append(fleet.Routers, router)
 	}
--- a/devfleet/fleet.go
+++ b/devfleet/fleet.go
@@ -300,9 +300,9 @@
 	for i, router := range f.Routers {
 		addresses := router.Addresses()
 		description.Routers = append(description.Routers, loadgen.Router{
-			Name:    state.Router(fmt.Sprintf("router-%d", i+1)),
-			Callers: "http://" + addresses.Callers,
-			Admin:   "http://" + addresses.Admin,
+			Name:      state.Router(fmt.Sprintf("router-%d", i+1)),
+			CallerURL: "http://" + addresses.Callers,
+			AdminURL:  "http://" + addresses.Admin,
 		})
 	}
 	for service, upstreams := range f.upstreams {
--- a/devfleet/fleet_test.go
+++ b/devfleet/fleet_test.go
@@ -24,7 +24,7 @@
 func TestEveryLoadIsValid(t *testing.T) {
 	for _, sample := range samples() {
 		for _, load := range Loads() {
-			require.NoError(t, sample.Workload(time.Second, load).Check())
+			require.NoError(t, sample.Workload(time.Second, load).Validate())
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	for _, v := range []Verdict{evidence.checkOwnAnswers(), evidence.checkCallersAnswered(), evidence.checkKeyedOnce(), evidence.checkUnkeyedOnce()} {
 		require.True(t, v.Held, "%s: %s", v.Promise, v.Checked)
 	}
-	require.Len(t, res.Records, res.Intended)
+	require.Len(t, res.Records, res.ScheduledRequests)
 
 	var text, svg bytes.Buffer
 	require.NoError(t, fleet.WriteAddresses(&text))
--- a/devfleet/once.go
+++ b/devfleet/once.go
@@ -43,7 +43,7 @@
 	evidence.Ledgers = f.Entries()
 	evidence.ServiceMetrics = res.Services
 	evidence.Change.FinalVersions = f.versions()
-	evidence.Change.RevertedRouter = res.Reverted()
+	evidence.Change.RevertedRouter = res.FindVersionRollback()
 	return Trial{Result: res, Verdicts: evidence.Check()}, nil
 }
 
--- a/devfleet/promises.go
+++ b/devfleet/promises.go
@@ -111,8 +111,8 @@
 			continue
 		}
 		served++
-		if !r.Own {
-			return brokenVerdict(promise, "%s of %s through %s got another answer, body %.12s", r.Class, r.Workspace, r.Router, r.Digest)
+		if !r.MatchesRequest {
+			return brokenVerdict(promise, "%s of %s through %s got another answer, body %.12s", r.Class, r.Workspace, r.Router, r.BodyDigest)
 		}
 	}
 	if served == 0 {
@@ -124,10 +124,10 @@
 func (e Evidence) checkCallersAnswered() Verdict {
 	const promise = "every caller who stayed got an answer or a refusal"
 	for _, r := range e.Records {
-		if !r.Left && r.Broken != "" {
-			return brokenVerdict(promise, "%s of %s through %s: %s", r.Class, r.Workspace, r.Router, r.Broken)
+		if !r.CallerLeft && r.ConnectionError != "" {
+			return brokenVerdict(promise, "%s of %s through %s: %s", r.Class, r.Workspace, r.Router, r.ConnectionError)
 		}
-		if !r.Left && r.Status != 200 && r.Ran == "" {
+		if !r.CallerLeft && r.Status != 200 && r.Ran == "" {
 			return brokenVerdict(promise, "%s of %s through %s: status %d says not whether it ran", r.Class, r.Workspace, r.Router, r.Status)
 		}
 	}
@@ -144,8 +144,8 @@
 	reportedNotRun := make(map[string]bool)
 	mayHaveRun := make(map[string]bool)
 	for _, r := range e.Records {
-		reportedNotRun[r.Digest] = reportedNotRun[r.Digest] || r.Ran == result.RanNo.String()
-		mayHaveRun[r.Digest] = mayHaveRun[r.Digest] || r.Ran != result.RanNo.String()
+		reportedNotRun[r.BodyDigest] = reportedNotRun[r.BodyDigest] || r.Ran == result.RanNo.String()
+		mayHaveRun[r.BodyDigest] = mayHaveRun[r.BodyDigest] || r.Ran != result.RanNo.String()
 	}
 	refused := 0
 	for digest := range reportedNotRun {
@@ -187,7 +187,7 @@
 	}
 	resent := 0
 	for _, r := range e.Records {
-		if r.Again {
+		if r.Resent {
 			resent++
 		}
 	}
@@ -267,23 +267,23 @@
 
 func checkFairnessGap(s loadgen.Service) Verdict {
 	promise := fmt.Sprintf("the fairness gap of %s stays within its bound", s.Name)
-	limit := min(s.Bound, gapReachFraction*s.Reach)
-	if s.BusySamples == 0 {
+	limit := min(s.GapLimit, gapReachFraction*s.SingleWorkspaceGap)
+	if s.BusySlotSamples == 0 {
 		return brokenVerdict(promise, "no work waited")
 	}
-	if s.Gap > limit {
-		return brokenVerdict(promise, "gap %.1f, limit %.1f (bound %.1f)", s.Gap, limit, s.Bound)
+	if s.MaxGap > limit {
+		return brokenVerdict(promise, "gap %.1f, limit %.1f (bound %.1f)", s.MaxGap, limit, s.GapLimit)
 	}
-	return heldVerdict(promise, "gap %.1f, limit %.1f (bound %.1f; serving one workspace only would show %.1f)", s.Gap, limit, s.Bound, s.Reach)
+	return heldVerdict(promise, "gap %.1f, limit %.1f (bound %.1f; serving one workspace only would show %.1f)", s.MaxGap, limit, s.GapLimit, s.SingleWorkspaceGap)
 }
 
 func checkStarvation(s loadgen.Service) Verdict {
 	promise := fmt.Sprintf("no workspace starves on %s", s.Name)
-	if s.Least.Workspace == "" {
+	if s.MinReceivedShare.Workspace == "" {
 		return brokenVerdict(promise, "no workspace waited long enough to tell")
 	}
-	if s.Least.Part < minServedFraction {
-		return brokenVerdict(promise, "%s got %.2f of its share in the %.1f s that it waited", s.Least.Workspace, s.Least.Part, s.Least.Seconds)
+	if s.MinReceivedShare.Fraction < minServedFraction {
+		return brokenVerdict(promise, "%s got %.2f of its share in the %.1f s that it waited", s.MinReceivedShare.Workspace, s.MinReceivedShare.Fraction, s.MinReceivedShare.WaitingSeconds)
 	}
-	return heldVerdict(promise, "the least is %s with %.2f of its share", s.Least.Workspace, s.Least.Part)
+	return heldVerdict(promise, "the least is %s with %.2f of its share", s.MinReceivedShare.Workspace, s.MinReceivedShare.Fraction)
 }
--- a/devfleet/workload.go
+++ b/devfleet/workload.go
@@ -93,46 +93,46 @@
 	return []loadgen.Class{
 		{
 			Name: s.Draft, Service: s.Engines, Kind: config.KindEngine, Path: "/v1/chat/completions", Stream: true,
-			Prompt: loadgen.Size{Median: 200, Sigma: 0.5, Max: 1000}, Output: loadgen.Size{Median: 60, Sigma: 0.7, Max: 240},
-			Abandoned: 0.01, AbandonAfterMS: 500,
+			PromptTokens: loadgen.SizeDistribution{Median: 200, Sigma: 0.5, Max: 1000}, OutputTokens: loadgen.SizeDistribution{Median: 60, Sigma: 0.7, Max: 240},
+			AbandonedFraction: 0.01, AbandonAfterMS: 500,
 		},
 		{
 			Name: s.Blurb, Service: s.Engines, Kind: config.KindEngine, Path: "/v1/chat/completions", Stream: true,
-			Prompt: loadgen.Size{Median: 40, Sigma: 0.5, Max: 200}, Output: loadgen.Size{Median: 12, Sigma: 0.6, Max: 60},
+			PromptTokens: loadgen.SizeDistribution{Median: 40, Sigma: 0.5, Max: 200}, OutputTokens: loadgen.SizeDistribution{Median: 12, Sigma: 0.6, Max: 60},
 		},
 		{
 			// A deadline this short cannot be met in a rush, so that some are
 			// refused and others end while they run.
 			Name: s.Urgent, Service: s.Engines, Kind: config.KindEngine, Path: "/v1/chat/completions", Stream: true,
-			Prompt: loadgen.Size{Median: 40, Sigma: 0.5, Max: 200}, Output: loadgen.Size{Median: 8, Sigma: 0.6, Max: 40},
+			PromptTokens: loadgen.SizeDistribution{Median: 40, Sigma: 0.5, Max: 200}, OutputTokens: loadgen.SizeDistribution{Median: 8, Sigma: 0.6, Max: 40},
 			DeadlineMS: 400,
 		},
 		{
 			Name: s.Page, Service: s.Workers, Kind: config.KindWorker, Path: "/" + s.Page,
-			Busy: loadgen.Size{Median: 100, Sigma: 0.5, Max: 500},
+			BusyMS: loadgen.SizeDistribution{Median: 100, Sigma: 0.5, Max: 500},
 		},
 		{
 			Name: s.Booking, Service: s.Workers, Kind: config.KindWorker, Path: "/" + s.Booking,
-			Busy:  loadgen.Size{Median: 100, Sigma: 0.5, Max: 500},
-			Keyed: 1, Resent: 0.2, ResendAfterMS: 300,
+			BusyMS:        loadgen.SizeDistribution{Median: 100, Sigma: 0.5, Max: 500},
+			KeyedFraction: 1, ResentFraction: 0.2, ResendAfterMS: 300,
 		},
 	}
 }
 
 // arrivals come evenly, or with blurbs in bursts and pages on and off.
-func (s Sample) arrivals(r rates, uneven bool) []loadgen.Arrival {
-	blurbs := loadgen.Arrival{Class: s.Blurb, Process: loadgen.Poisson, Rate: r.blurbs}
-	pages := loadgen.Arrival{Class: s.Page, Process: loadgen.Poisson, Rate: r.pages}
+func (s Sample) arrivals(r rates, uneven bool) []loadgen.ArrivalStream {
+	blurbs := loadgen.ArrivalStream{Class: s.Blurb, Process: loadgen.Poisson, Rate: r.blurbs}
+	pages := loadgen.ArrivalStream{Class: s.Page, Process: loadgen.Poisson, Rate: r.pages}
 	if uneven {
-		blurbs.Process, blurbs.Burst = loadgen.Bursts, burstSize
+		blurbs.Process, blurbs.BurstSize = loadgen.Bursts, burstSize
 		pages.Process, pages.OnSeconds, pages.OffSeconds = loadgen.OnOff, 2, 1
 	}
-	all := []loadgen.Arrival{
+	all := []loadgen.ArrivalStream{
 		{Class: s.Draft, Process: loadgen.Poisson, Rate: r.drafts},
 		blurbs,
 		{Class: s.Urgent, Process: loadgen.Poisson, Rate: r.urgent},
 		pages,
 		{Class: s.Booking, Process: loadgen.Poisson, Rate: r.bookings},
 	}
-	return slices.DeleteFunc(all, func(a loadgen.Arrival) bool { return a.Rate == 0 })
+	return slices.DeleteFunc(all, func(a loadgen.ArrivalStream) bool { return a.Rate == 0 })
 }
--- a/loadgen/fleet.go
+++ b/loadgen/fleet.go
@@ -17,10 +17,10 @@
 
 // Router is one router's base URLs.
 type Router struct {
-	Name    state.Router `json:"name"`
-	Callers string       `json:"callers"`
-	// Admin may be empty; the router's status is then not read.
-	Admin string `json:"admin,omitempty"`
+	Name      state.Router `json:"name"`
+	CallerURL string       `json:"callers"`
+	// AdminURL may be empty; the router's status is then not read.
+	AdminURL string `json:"admin,omitempty"`
 }
 
 // Upstream is one upstream's base URL.
--- a/loadgen/group.go
+++ b/loadgen/group.go
@@ -16,12 +16,12 @@
 	Served    int             `json:"served"`
 	Refused   int             `json:"refused"`
 	Cost      float64         `json:"cost"`
-	// Wait is until the answer's head, Pause the longest one in a stream;
+	// HeaderLatency is until the answer's head, Pause the longest one in a stream;
 	// all but Pause count from the intended time.
-	Wait  Percentiles `json:"wait"`
-	First Percentiles `json:"first_token"`
-	Pause Percentiles `json:"longest_pause"`
-	Total Percentiles `json:"total"`
+	HeaderLatency    Percentiles `json:"wait"`
+	FirstByteLatency Percentiles `json:"first_token"`
+	MaxEventGap      Percentiles `json:"longest_pause"`
+	TotalLatency     Percentiles `json:"total"`
 }
 
 // Percentiles are in milliseconds.
@@ -34,44 +34,44 @@
 
 // histograms collect one group's times in microseconds.
 type histograms struct {
-	wait, first, pause, total *hdrhistogram.Histogram
+	headerLatency, firstByteLatency, maxEventGap, totalLatency *hdrhistogram.Histogram
 }
 
 // maxMicroseconds bounds the histograms: an hour.
 const maxMicroseconds = int64(time.Hour / time.Microsecond)
 
 func newHistograms() *histograms {
-	fresh := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicroseconds, 3) }
-	return &histograms{wait: fresh(), first: fresh(), pause: fresh(), total: fresh()}
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicroseconds, 3) }
+	return &histograms{headerLatency: newHistogram(), firstByteLatency: newHistogram(), maxEventGap: newHistogram(), totalLatency: newHistogram()}
 }
 
-func groups(w Workload, records []Record) []Group {
+func groupRecords(w Workload, records []Record) []Group {
 	type key struct {
 		workspace state.Workspace
 		class     string
 	}
-	byKey := make(map[key]*Group)
-	times := make(map[key]*histograms)
+	groupsByKey := make(map[key]*Group)
+	histogramsByKey := make(map[key]*histograms)
 	for _, r := range records {
 		k := key{r.Workspace, r.Class}
-		if byKey[k] == nil {
-			byKey[k] = &Group{Workspace: r.Workspace, Class: r.Class}
-			times[k] = newHistograms()
+		if groupsByKey[k] == nil {
+			groupsByKey[k] = &Group{Workspace: r.Workspace, Class: r.Class}
+			histogramsByKey[k] = newHistograms()
 		}
-		byKey[k].add(r, times[k])
+		groupsByKey[k].add(r, histogramsByKey[k])
 	}
-	var found []Group
+	var list []Group
 	for _, ws := range w.Workspaces {
 		for _, c := range w.Classes {
 			k := key{ws.Name, c.Name}
-			if byKey[k] == nil {
+			if groupsByKey[k] == nil {
 				continue
 			}
-			byKey[k].take(times[k])
-			found = append(found, *byKey[k])
+			groupsByKey[k].setPercentiles(histogramsByKey[k])
+			list = append(list, *groupsByKey[k])
 		}
 	}
-	return found
+	return list
 }
 
 func (g *Group) add(r Record, h *histograms) {
@@ -84,25 +84,25 @@
 		return
 	}
 	g.Served++
-	record(h.wait, r.Head-r.Intended)
-	record(h.first, r.First-r.Intended)
-	record(h.pause, r.Slowest)
-	record(h.total, r.End-r.Intended)
+	recordDuration(h.headerLatency, r.HeaderAt-r.IntendedAt)
+	recordDuration(h.firstByteLatency, r.FirstByteAt-r.IntendedAt)
+	recordDuration(h.maxEventGap, r.MaxEventGap)
+	recordDuration(h.totalLatency, r.EndedAt-r.IntendedAt)
 }
 
-func (g *Group) take(h *histograms) {
-	g.Wait = percentiles(h.wait)
-	g.First = percentiles(h.first)
-	g.Pause = percentiles(h.pause)
-	g.Total = percentiles(h.total)
+func (g *Group) setPercentiles(h *histograms) {
+	g.HeaderLatency = percentiles(h.headerLatency)
+	g.FirstByteLatency = percentiles(h.firstByteLatency)
+	g.MaxEventGap = percentiles(h.maxEventGap)
+	g.TotalLatency = percentiles(h.totalLatency)
 }
 
-// record keeps a time within the histogram's range.
-func record(h *hdrhistogram.Histogram, d time.Duration) {
+// recordDuration keeps a time within the histogram's range.
+func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 0), maxMicroseconds))
 }
 
 func percentiles(h *hdrhistogram.Histogram) Percentiles {
-	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / thousandths }
-	return Percentiles{P50: at(50), P95: at(95), P99: at(99), Max: float64(h.Max()) / thousandths}
+	quantile := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / thousandths }
+	return Percentiles{P50: quantile(50), P95: quantile(95), P99: quantile(99), Max: float64(h.Max()) / thousandths}
 }
--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const small = `{
+const smallWorkload = `{
   "name": "small", "seed": 7, "seconds": 20,
   "classes": [
     {"name": "page", "service": "kiosco-web", "kind": "worker", "path": "/page", "busy": {"median": 20, "sigma": 0.5, "max": 100}},
@@ -23,19 +23,19 @@
 }`
 
 func TestScheduleIsRepeatable(t *testing.T) {
-	w, err := Parse([]byte(small))
+	w, err := Parse([]byte(smallWorkload))
 	require.NoError(t, err)
 	calls := w.Schedule()
 	require.Equal(t, calls, w.Schedule())
 	counts := make(map[int]int)
 	bodies := make(map[string]int)
 	for _, c := range calls {
-		counts[c.Workspace]++
+		counts[c.WorkspaceIndex]++
 		bodies[c.Body]++
-		if c.Workspace == 1 && c.Class == 0 {
-			require.Less(t, c.At%(4*time.Second), time.Second, "a request while the source is off")
+		if c.WorkspaceIndex == 1 && c.ClassIndex == 0 {
+			require.Less(t, c.SendAt%(4*time.Second), time.Second, "a request while the source is off")
 		}
-		if c.Again {
+		if c.Resent {
 			require.Equal(t, 2, bodies[c.Body])
 		}
 	}
@@ -43,10 +43,10 @@
 	require.InDelta(t, 250+160, counts[1], 120)
 }
 
-func TestFaultyWorkloadsAreRefused(t *testing.T) {
+func TestInvalidWorkloadsAreRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"unknown field": `{"seconds": 1, "colour": "red"}`,
-		"trailing data": small + "{}",
+		"trailing data": smallWorkload + "{}",
 		"no class":      `{"seconds": 1, "workspaces": [{"name": "a", "share": 1, "arrivals": [{"class": "x", "process": "poisson", "rate": 1}]}]}`,
 		"no rate":       `{"seconds": 1, "workspaces": [{"name": "a", "share": 0}]}`,
 	} {
@@ -55,24 +55,24 @@
 	}
 }
 
-func TestGap(t *testing.T) {
+func TestFairnessGap(t *testing.T) {
 	g := newGapTracker([]float64{0.5, 0.25, 0.25})
-	both := []bool{true, true, false}
-	require.Zero(t, g.observe([]float64{0, 0, 0}, both))
-	require.Zero(t, g.observe([]float64{10, 5, 90}, both), "by their shares; the third waits for nothing")
-	require.InDelta(t, 10*4/3.0, g.observe([]float64{10, 15, 90}, both), 1e-9)
-	require.InDelta(t, 15*4/3.0, g.observe([]float64{40, 15, 90}, both), 1e-9, "ahead and behind add up")
+	firstTwoWaiting := []bool{true, true, false}
+	require.Zero(t, g.observe([]float64{0, 0, 0}, firstTwoWaiting))
+	require.Zero(t, g.observe([]float64{10, 5, 90}, firstTwoWaiting), "by their shares; the third waits for nothing")
+	require.InDelta(t, 10*4/3.0, g.observe([]float64{10, 15, 90}, firstTwoWaiting), 1e-9)
+	require.InDelta(t, 15*4/3.0, g.observe([]float64{40, 15, 90}, firstTwoWaiting), 1e-9, "ahead and behind add up")
 	require.Zero(t, g.observe([]float64{40, 25, 90}, []bool{true, false, false}))
-	require.Zero(t, g.observe([]float64{40, 25, 90}, both), "a new common backlog starts from nothing")
-	require.Less(t, g.own[0]/g.due[0], 1.0)
+	require.Zero(t, g.observe([]float64{40, 25, 90}, firstTwoWaiting), "a new common backlog starts from nothing")
+	require.Less(t, g.servedWhileWaiting[0]/g.dueWhileWaiting[0], 1.0)
 }
 
 func TestPercentilesCountFromTheIntendedTime(t *testing.T) {
-	w, err := Parse([]byte(small))
+	w, err := Parse([]byte(smallWorkload))
 	require.NoError(t, err)
-	records := []Record{{Workspace: "laredo", Class: "page", Status: 200, Whole: true, Intended: time.Second, Sent: 3 * time.Second, Head: 4 * time.Second, First: 4 * time.Second, End: 5 * time.Second}}
-	g := groups(w, records)
+	records := []Record{{Workspace: "laredo", Class: "page", Status: 200, Complete: true, IntendedAt: time.Second, SentAt: 3 * time.Second, HeaderAt: 4 * time.Second, FirstByteAt: 4 * time.Second, EndedAt: 5 * time.Second}}
+	g := groupRecords(w, records)
 	require.Len(t, g, 1)
-	require.InEpsilon(t, 3000, g[0].Wait.P50, 0.01)
-	require.InEpsilon(t, 4000, g[0].Total.Max, 0.01)
+	require.InEpsilon(t, 3000, g[0].HeaderLatency.P50, 0.01)
+	require.InEpsilon(t, 4000, g[0].TotalLatency.Max, 0.01)
 }
--- a/loadgen/observe.go
+++ b/loadgen/observe.go
@@ -22,30 +22,30 @@
 
 // Sample is the fleet at one moment of the run.
 type Sample struct {
-	At       time.Duration             `json:"at"`
-	Services map[state.Service]*Moment `json:"services"`
-	Control  map[state.Router]Control  `json:"control,omitempty"`
+	At       time.Duration                    `json:"at"`
+	Services map[state.Service]*ServiceSample `json:"services"`
+	Control  map[state.Router]ControlTraffic  `json:"control,omitempty"`
 
-	kinds    map[state.Router]map[string]daemon.KindTraffic
-	versions map[state.Router]map[string]uint64
-	loads    map[state.Upstream]loadRow
+	trafficByKind  map[state.Router]map[string]daemon.KindTraffic
+	objectVersions map[state.Router]map[string]uint64
+	loads          map[state.Upstream]upstreamLoad
 }
 
-type loadRow struct {
+type upstreamLoad struct {
 	service state.Service
 	report  state.LoadReport
 }
 
-// Control is a router's control traffic since its start.
-type Control struct {
+// ControlTraffic is a router's control traffic since its start.
+type ControlTraffic struct {
 	BytesIn     uint64 `json:"bytes_in"`
 	BytesOut    uint64 `json:"bytes_out"`
 	MessagesIn  uint64 `json:"messages_in"`
 	MessagesOut uint64 `json:"messages_out"`
 }
 
-// Moment is one service at one moment.
-type Moment struct {
+// ServiceSample is one service at one moment.
+type ServiceSample struct {
 	// Served is each workspace's cost so far, by the tokens and answers that
 	// its callers received.
 	Served []float64 `json:"served"`
@@ -59,7 +59,7 @@
 	Slots   int `json:"slots"`
 }
 
-func (m *Moment) waits() bool {
+func (m *ServiceSample) anyWaiting() bool {
 	for _, n := range m.Waiting {
 		if n > 0 {
 			return true
@@ -70,43 +70,43 @@
 
 // observer takes samples of a run.
 type observer struct {
-	run     *runner
+	runner  *runner
 	client  *http.Client
 	gaps    map[state.Service]*gapTracker
 	samples []*Sample
-	// missed counts status and load reports that did not come.
-	missed int
+	// missedReports counts status and load reports that did not come.
+	missedReports int
 }
 
 func newObserver(r *runner) *observer {
-	o := &observer{run: r, client: &http.Client{Timeout: observeTimeout}, gaps: make(map[state.Service]*gapTracker)}
+	o := &observer{runner: r, client: &http.Client{Timeout: observeTimeout}, gaps: make(map[state.Service]*gapTracker)}
 	for _, service := range r.workload.services() {
 		o.gaps[service] = newGapTracker(r.workload.shares())
 	}
 	return o
 }
 
-// look keeps one sample, unless the run ended while it was taken.
-func (o *observer) look(ctx context.Context) {
-	sample := o.sample(ctx)
+// addSample keeps one sample, unless the run ended while it was taken.
+func (o *observer) addSample(ctx context.Context) {
+	sample := o.takeSample(ctx)
 	if ctx.Err() == nil {
 		o.samples = append(o.samples, sample)
 	}
 }
 
-// sample asks all routers and upstreams at once.
-func (o *observer) sample(ctx context.Context) *Sample {
+// takeSample asks all routers and upstreams at once.
+func (o *observer) takeSample(ctx context.Context) *Sample {
 	s := &Sample{
-		At:       o.run.since(),
-		Services: make(map[state.Service]*Moment),
-		Control:  make(map[state.Router]Control),
-		kinds:    make(map[state.Router]map[string]daemon.KindTraffic),
-		versions: make(map[state.Router]map[string]uint64),
-		loads:    make(map[state.Upstream]loadRow),
-	}
-	statuses := o.fetch(ctx, s)
+		At:             o.runner.elapsed(),
+		Services:       make(map[state.Service]*ServiceSample),
+		Control:        make(map[state.Router]ControlTraffic),
+		trafficByKind:  make(map[state.Router]map[string]daemon.KindTraffic),
+		objectVersions: make(map[state.Router]map[string]uint64),
+		loads:          make(map[state.Upstream]upstreamLoad),
+	}
+	statuses := o.fetchReports(ctx, s)
 	for service, tracker := range o.gaps {
-		m := o.moment(service, statuses)
+		m := o.sampleService(service, statuses)
 		waiting := make([]bool, len(m.Waiting))
 		for i, n := range m.Waiting {
 			waiting[i] = n > 0
@@ -123,19 +123,19 @@
 	return s
 }
 
-// moment takes the backlog from the routers. The callers' own view counts
+// sampleService takes the backlog from the routers. The callers' own view counts
 // requests as waiting that an upstream has begun and not yet answered.
-func (o *observer) moment(service state.Service, statuses []daemon.Status) *Moment {
-	counters := o.run.counters[service]
-	m := &Moment{Served: make([]float64, len(counters)), Waiting: make([]int, len(counters))}
+func (o *observer) sampleService(service state.Service, statuses []daemon.Status) *ServiceSample {
+	counters := o.runner.counters[service]
+	m := &ServiceSample{Served: make([]float64, len(counters)), Waiting: make([]int, len(counters))}
 	for i := range counters {
-		m.Served[i] = counters[i].total()
+		m.Served[i] = counters[i].totalCost()
 		if len(statuses) == 0 {
 			m.Waiting[i] = int(counters[i].waiting.Load())
 		}
 	}
 	index := make(map[state.Workspace]int)
-	for i, ws := range o.run.workload.Workspaces {
+	for i, ws := range o.runner.workload.Workspaces {
 		index[ws.Name] = i
 	}
 	for _, status := range statuses {
@@ -153,54 +153,54 @@
 	return m
 }
 
-// fetch reads every status and load report into the sample.
-func (o *observer) fetch(ctx context.Context, s *Sample) []daemon.Status {
+// fetchReports reads every status and load report into the sample.
+func (o *observer) fetchReports(ctx context.Context, s *Sample) []daemon.Status {
 	var (
 		mu       sync.Mutex
 		group    sync.WaitGroup
 		statuses []daemon.Status
 	)
-	take := func(err error, keep func()) {
+	collect := func(err error, keep func()) {
 		mu.Lock()
 		defer mu.Unlock()
 		if err != nil {
-			o.missed++
+			o.missedReports++
 			return
 		}
 		keep()
 	}
-	for _, router := range o.run.fleet.Routers {
-		if router.Admin == "" || o.run.direct {
+	for _, router := range o.runner.fleet.Routers {
+		if router.AdminURL == "" || o.runner.direct {
 			continue
 		}
 		group.Go(func() {
 			var status daemon.Status
-			err := o.get(ctx, router.Admin+"/status", &status)
-			take(err, func() {
+			err := o.getJSON(ctx, router.AdminURL+"/status", &status)
+			collect(err, func() {
 				statuses = append(statuses, status)
-				s.Control[router.Name] = Control(status.Control)
-				s.kinds[router.Name] = status.Kinds
-				s.versions[router.Name] = status.Versions
+				s.Control[router.Name] = ControlTraffic(status.Control)
+				s.trafficByKind[router.Name] = status.Kinds
+				s.objectVersions[router.Name] = status.Versions
 			})
 		})
 	}
-	for _, u := range o.run.fleet.Upstreams {
+	for _, u := range o.runner.fleet.Upstreams {
 		group.Go(func() {
-			row := loadRow{service: u.Service}
-			err := o.get(ctx, u.URL+"/load", &row.report)
-			take(err, func() { s.loads[u.Name] = row })
+			row := upstreamLoad{service: u.Service}
+			err := o.getJSON(ctx, u.URL+"/load", &row.report)
+			collect(err, func() { s.loads[u.Name] = row })
 		})
 	}
 	group.Wait()
 	return statuses
 }
 
-func (o *observer) get(ctx context.Context, url string, into any) error {
+func (o *observer) getJSON(ctx context.Context, url string, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	if token := o.run.fleet.StatusToken; token != "" {
+	if token := o.runner.fleet.StatusToken; token != "" {
 		request.Header.Set("Authorization", "Bearer "+token)
 	}
 	response, err := o.client.Do(request)
@@ -219,7 +219,7 @@
 	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
 	for {
-		o.look(ctx)
+		o.addSample(ctx)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
--- a/loadgen/plot.go
+++ b/loadgen/plot.go
@@ -62,7 +62,7 @@
 func (r *Result) plotServed(service state.Service) (*plot.Plot, error) {
 	p := newPlot(string(service) + ": served")
 	for i, workspace := range r.Workspaces {
-		line, err := r.line(func(s *Sample) float64 { return s.Services[service].Served[i] })
+		line, err := r.newLine(func(s *Sample) float64 { return s.Services[service].Served[i] })
 		if err != nil {
 			return nil, err
 		}
@@ -76,11 +76,11 @@
 
 func (r *Result) plotGap(service Service) (*plot.Plot, error) {
 	p := newPlot(string(service.Name) + ": fairness gap and its bound")
-	gap, err := r.line(func(s *Sample) float64 { return s.Services[service.Name].Gap })
+	gap, err := r.newLine(func(s *Sample) float64 { return s.Services[service.Name].Gap })
 	if err != nil {
 		return nil, err
 	}
-	bound, err := r.line(func(*Sample) float64 { return service.Bound })
+	bound, err := r.newLine(func(*Sample) float64 { return service.GapLimit })
 	if err != nil {
 		return nil, err
 	}
@@ -89,7 +89,7 @@
 	return p, nil
 }
 
-func (r *Result) line(value func(*Sample) float64) (*plotter.Line, error) {
+func (r *Result) newLine(value func(*Sample) float64) (*plotter.Line, error) {
 	points := make(plotter.XYs, len(r.Samples))
 	for i, s := range r.Samples {
 		points[i] = plotter.XY{X: s.At.Seconds(), Y: value(s)}
--- a/loadgen/record.go
+++ b/loadgen/record.go
@@ -10,35 +10,35 @@
 // Record is what one caller saw. Times count from the start of the run; zero
 // means that it did not happen.
 type Record struct {
-	Workspace state.Workspace
-	Service   state.Service
-	Class     string
-	Intended  time.Duration
-	Sent      time.Duration
-	// Head is when the answer's head came, First its first token.
-	Head  time.Duration
-	First time.Duration
-	End   time.Duration
-	// Slowest is the longest pause between two parts of a stream.
-	Slowest time.Duration
-	Status  int
-	Code    result.Code
+	Workspace  state.Workspace
+	Service    state.Service
+	Class      string
+	IntendedAt time.Duration
+	SentAt     time.Duration
+	// HeaderAt is when the answer's head came, First its first token.
+	HeaderAt    time.Duration
+	FirstByteAt time.Duration
+	EndedAt     time.Duration
+	// MaxEventGap is the longest pause between two parts of a stream.
+	MaxEventGap time.Duration
+	Status      int
+	Code        result.Code
 	// Ran is the fleet's statement; empty if it made none.
-	Ran    string
-	Digest string
-	Key    string
-	Again  bool
-	// Left is set if the caller went away before the end.
-	Left bool
-	// Broken is what ended the connection before a result was known.
-	Broken string
-	// Whole says that the answer ended cleanly, Own that it is the whole
+	Ran        string
+	BodyDigest string
+	Key        string
+	Resent     bool
+	// CallerLeft is set if the caller went away before the end.
+	CallerLeft bool
+	// ConnectionError is what ended the connection before a result was known.
+	ConnectionError string
+	// Complete says that the answer ended cleanly, Own that it is the whole
 	// answer to this request's body.
-	Whole  bool
-	Own    bool
-	Cost   float64
-	Router string
+	Complete       bool
+	MatchesRequest bool
+	Cost           float64
+	Router         string
 }
 
 // Served tells whether the caller got an answer that claims to be its own.
-func (r Record) Served() bool { return r.Status == 200 && r.Whole }
+func (r Record) Served() bool { return r.Status == 200 && r.Complete }
--- a/loadgen/result.go
+++ b/loadgen/result.go
@@ -14,17 +14,17 @@
 
 // Result is what a run showed.
 type Result struct {
-	Workload   string            `json:"workload"`
-	Direct     bool              `json:"direct"`
-	Seconds    float64           `json:"seconds"`
-	Intended   int               `json:"intended"`
-	Workspaces []state.Workspace `json:"workspaces"`
-	Codes      map[string]int    `json:"codes"`
-	Groups     []Group           `json:"groups"`
-	Services   []Service         `json:"services"`
-	Control    []ControlRate     `json:"control"`
-	// Kinds are the control messages that all routers sent, by kind.
-	Kinds []KindRate `json:"control_kinds"`
+	Workload          string            `json:"workload"`
+	Direct            bool              `json:"direct"`
+	Seconds           float64           `json:"seconds"`
+	ScheduledRequests int               `json:"intended"`
+	Workspaces        []state.Workspace `json:"workspaces"`
+	RequestsByOutcome map[string]int    `json:"codes"`
+	Groups            []Group           `json:"groups"`
+	Services          []Service         `json:"services"`
+	ControlRates      []ControlRate     `json:"control"`
+	// ControlKindRates are the control messages that all routers sent, by kind.
+	ControlKindRates []KindRate `json:"control_kinds"`
 	// MissedSamples counts status and load reports that did not come.
 	MissedSamples int       `json:"missed_samples"`
 	Samples       []*Sample `json:"samples"`
@@ -36,27 +36,27 @@
 type Service struct {
 	Name   state.Service `json:"name"`
 	Served float64       `json:"served"`
-	// Gap is the worst sampled fairness gap, Bound its limit, and Reach what
+	// MaxGap is the worst sampled fairness gap, Bound its limit, and Reach what
 	// a fleet that served only one workspace would have shown.
-	Gap   float64 `json:"gap"`
-	Bound float64 `json:"bound"`
-	Reach float64 `json:"reach"`
-	// Busy is the part of the slots in use while work waited, of
+	MaxGap             float64 `json:"gap"`
+	GapLimit           float64 `json:"bound"`
+	SingleWorkspaceGap float64 `json:"reach"`
+	// BusySlotFraction is the part of the slots in use while work waited, of
 	// BusySamples samples.
-	Busy        float64 `json:"busy"`
-	BusySamples int     `json:"busy_samples"`
-	// Least is the workspace that got the least part of its share while it
+	BusySlotFraction float64 `json:"busy"`
+	BusySlotSamples  int     `json:"busy_samples"`
+	// MinReceivedShare is the workspace that got the least part of its share while it
 	// waited.
-	Least Portion `json:"least"`
-	// Portions are all workspaces that waited.
-	Portions []Portion `json:"portions"`
+	MinReceivedShare ReceivedShare `json:"least"`
+	// ReceivedShares are all workspaces that waited.
+	ReceivedShares []ReceivedShare `json:"portions"`
 }
 
-// Portion is what a workspace got of its share while it waited; 1 is all.
-type Portion struct {
-	Workspace state.Workspace `json:"workspace"`
-	Part      float64         `json:"part"`
-	Seconds   float64         `json:"seconds"`
+// ReceivedShare is what a workspace got of its share while it waited; 1 is all.
+type ReceivedShare struct {
+	Workspace      state.Workspace `json:"workspace"`
+	Fraction       float64         `json:"part"`
+	WaitingSeconds float64         `json:"seconds"`
 }
 
 // ControlRate is one router's control traffic per second.
@@ -76,43 +76,43 @@
 	Bytes    float64 `json:"bytes"`
 }
 
-// deliverySeconds is allowed for a counter on its way, beside the period of
+// counterDeliverySeconds is allowed for a counter on its way, beside the period of
 // the exchange.
-const deliverySeconds = 0.1
+const counterDeliverySeconds = 0.1
 
 func newResult(r *runner, o *observer, intended int) *Result {
 	res := &Result{
-		Workload:      r.workload.Name,
-		Direct:        r.direct,
-		Seconds:       r.since().Seconds(),
-		Intended:      intended,
-		Codes:         make(map[string]int),
-		MissedSamples: o.missed,
-		Samples:       o.samples,
-		Records:       r.records,
+		Workload:          r.workload.Name,
+		Direct:            r.direct,
+		Seconds:           r.elapsed().Seconds(),
+		ScheduledRequests: intended,
+		RequestsByOutcome: make(map[string]int),
+		MissedSamples:     o.missedReports,
+		Samples:           o.samples,
+		Records:           r.records,
 	}
 	for _, ws := range r.workload.Workspaces {
 		res.Workspaces = append(res.Workspaces, ws.Name)
 	}
 	for _, record := range r.records {
-		res.Codes[outcome(record)]++
+		res.RequestsByOutcome[outcomeName(record)]++
 	}
-	res.Groups = groups(r.workload, r.records)
+	res.Groups = groupRecords(r.workload, r.records)
 	for _, name := range r.workload.services() {
-		res.Services = append(res.Services, o.service(name))
+		res.Services = append(res.Services, o.summariseService(name))
 	}
-	res.Control = controlRates(o.samples)
-	res.Kinds = kindRates(o.samples)
+	res.ControlRates = controlRates(o.samples)
+	res.ControlKindRates = kindRates(o.samples)
 	return res
 }
 
-// outcome names how a request ended.
-func outcome(r Record) string {
+// outcomeName names how a request ended.
+func outcomeName(r Record) string {
 	switch {
-	case r.Left:
+	case r.CallerLeft:
 		return "caller-left"
-	case r.Broken != "":
-		return "connection-broken:" + lastCause(r.Broken)
+	case r.ConnectionError != "":
+		return "connection-broken:" + lastCause(r.ConnectionError)
 	case r.Status == 200 && r.Code == result.OK:
 		return "ok"
 	default:
@@ -127,92 +127,92 @@
 	return " " + strings.TrimSpace(cause)
 }
 
-// service works out the figures of one service from the samples.
-func (o *observer) service(name state.Service) Service {
+// summariseService works out the figures of one service from the samples.
+func (o *observer) summariseService(name state.Service) Service {
 	s := Service{Name: name}
 	tracker := o.gaps[name]
 	busySeconds := 0.0
-	var running, slots, most int
+	var running, slots, maxSlots int
 	for i, sample := range o.samples {
 		m := sample.Services[name]
-		s.Gap = max(s.Gap, m.Gap)
-		most = max(most, m.Slots)
+		s.MaxGap = max(s.MaxGap, m.Gap)
+		maxSlots = max(maxSlots, m.Slots)
 		if i == 0 {
 			continue
 		}
-		before := o.samples[i-1]
-		busySeconds += float64(m.Running) * (sample.At - before.At).Seconds()
-		if m.waits() && before.Services[name].waits() {
+		previous := o.samples[i-1]
+		busySeconds += float64(m.Running) * (sample.At - previous.At).Seconds()
+		if m.anyWaiting() && previous.Services[name].anyWaiting() {
 			running += min(m.Running, m.Slots)
 			slots += m.Slots
-			s.BusySamples++
+			s.BusySlotSamples++
 		}
 	}
 	if slots > 0 {
-		s.Busy = float64(running) / float64(slots)
+		s.BusySlotFraction = float64(running) / float64(slots)
 	}
 	o.addServed(&s)
-	s.Bound = o.bound(name, most, s.Served, busySeconds).Limit()
-	s.Portions = portions(o.run.workload, tracker)
-	s.Least = least(s.Portions)
+	s.GapLimit = o.gapBound(name, maxSlots, s.Served, busySeconds).Limit()
+	s.ReceivedShares = receivedShares(o.runner.workload, tracker)
+	s.MinReceivedShare = minReceivedShare(s.ReceivedShares)
 	return s
 }
 
 func (o *observer) addServed(s *Service) {
-	counters := o.run.counters[s.Name]
-	leastShare := 1.0
+	counters := o.runner.counters[s.Name]
+	minShare := 1.0
 	for i := range counters {
-		s.Served += counters[i].total()
-		leastShare = min(leastShare, o.run.workload.shares()[i])
+		s.Served += counters[i].totalCost()
+		minShare = min(minShare, o.runner.workload.shares()[i])
 	}
-	s.Reach = s.Served / leastShare / float64(len(counters))
+	s.SingleWorkspaceGap = s.Served / minShare / float64(len(counters))
 }
 
-func (o *observer) bound(name state.Service, slots int, served, busySeconds float64) Bound {
-	b := Bound{
-		Slots:        slots,
-		Workspaces:   len(o.run.workload.Workspaces),
-		LeastShare:   slices.Min(o.run.workload.shares()),
-		StaleSeconds: scheduler.DefaultExchangeInterval.Seconds() + deliverySeconds,
+func (o *observer) gapBound(name state.Service, slots int, served, busySeconds float64) GapBound {
+	b := GapBound{
+		Slots:             slots,
+		Workspaces:        len(o.runner.workload.Workspaces),
+		MinShare:          slices.Min(o.runner.workload.shares()),
+		CounterAgeSeconds: scheduler.DefaultExchangeInterval.Seconds() + counterDeliverySeconds,
 	}
 	if busySeconds > 0 {
-		b.Rate = served / busySeconds
+		b.CostPerSlotSecond = served / busySeconds
 	}
-	for _, r := range o.run.records {
+	for _, r := range o.runner.records {
 		if r.Service == name {
-			b.Largest = max(b.Largest, r.Cost)
+			b.MaxCost = max(b.MaxCost, r.Cost)
 		}
 	}
 	return b
 }
 
-func portions(w Workload, g *gapTracker) []Portion {
-	var found []Portion
+func receivedShares(w Workload, g *gapTracker) []ReceivedShare {
+	var received []ReceivedShare
 	for i, ws := range w.Workspaces {
-		if g.due[i] <= 0 {
+		if g.dueWhileWaiting[i] <= 0 {
 			continue
 		}
-		found = append(found, Portion{
-			Workspace: ws.Name,
-			Part:      g.own[i] / g.due[i],
-			Seconds:   float64(g.steps[i]) * observeInterval.Seconds(),
+		received = append(received, ReceivedShare{
+			Workspace:      ws.Name,
+			Fraction:       g.servedWhileWaiting[i] / g.dueWhileWaiting[i],
+			WaitingSeconds: float64(g.waitingSteps[i]) * observeInterval.Seconds(),
 		})
 	}
-	return found
+	return received
 }
 
-// steadySeconds is how long a workspace must have waited for its part to say
+// minWaitingSeconds is how long a workspace must have waited for its part to say
 // anything: within less, one long request decides.
-const steadySeconds = 3
+const minWaitingSeconds = 3
 
-func least(portions []Portion) Portion {
-	var worst Portion
+func minReceivedShare(portions []ReceivedShare) ReceivedShare {
+	var lowest ReceivedShare
 	for _, p := range portions {
-		if p.Seconds >= steadySeconds && (worst.Workspace == "" || p.Part < worst.Part) {
-			worst = p
+		if p.WaitingSeconds >= minWaitingSeconds && (lowest.Workspace == "" || p.Fraction < lowest.Fraction) {
+			lowest = p
 		}
 	}
-	return worst
+	return lowest
 }
 
 func controlRates(samples []*Sample) []ControlRate {
@@ -242,24 +242,24 @@
 	first, last := samples[0], samples[len(samples)-1]
 	seconds := (last.At - first.At).Seconds()
 	sums := make(map[string]KindRate)
-	for router, kinds := range last.kinds {
+	for router, kinds := range last.trafficByKind {
 		for kind, traffic := range kinds {
 			sum := sums[kind]
 			sum.Kind = kind
-			sum.Messages += float64(traffic.Messages-first.kinds[router][kind].Messages) / seconds
-			sum.Bytes += float64(traffic.Bytes-first.kinds[router][kind].Bytes) / seconds
+			sum.Messages += float64(traffic.Messages-first.trafficByKind[router][kind].Messages) / seconds
+			sum.Bytes += float64(traffic.Bytes-first.trafficByKind[router][kind].Bytes) / seconds
 			sums[kind] = sum
 		}
 	}
 	return slices.SortedFunc(maps.Values(sums), func(a, b KindRate) int { return cmp.Compare(b.Bytes, a.Bytes) })
 }
 
-// Reverted names a router that was seen with an older version of an object
+// FindVersionRollback names a router that was seen with an older version of an object
 // after a newer one; empty if there is none.
-func (r *Result) Reverted() string {
+func (r *Result) FindVersionRollback() string {
 	newest := make(map[state.Router]map[string]uint64)
 	for _, s := range r.Samples {
-		for router, versions := range s.versions {
+		for router, versions := range s.objectVersions {
 			if newest[router] == nil {
 				newest[router] = make(map[string]uint64)
 			}
--- a/loadgen/run.go
+++ b/loadgen/run.go
@@ -20,9 +20,9 @@
 	Fleet    Fleet
 	// Direct sends to the upstreams in turn and by no router, as a baseline.
 	Direct bool
-	// Arrive is how many of the routers requests are sent to; all if zero.
+	// EntryRouters is how many of the routers requests are sent to; all if zero.
 	// The others still serve what the first ones cannot.
-	Arrive int
+	EntryRouters int
 	// Grace is how long callers may wait for answers after the last arrival;
 	// DefaultGrace if zero.
 	Grace time.Duration
@@ -37,69 +37,71 @@
 
 // runner is one run under way.
 type runner struct {
-	workload Workload
-	fleet    Fleet
-	direct   bool
-	arrive   int
-	client   *http.Client
-	started  time.Time
+	workload     Workload
+	fleet        Fleet
+	direct       bool
+	entryRouters int
+	client       *http.Client
+	started      time.Time
 
-	upstreams map[state.Service][]Upstream
-	turns     map[state.Service]*atomic.Int64
-	counters  map[state.Service][]counter
+	upstreams     map[state.Service][]Upstream
+	upstreamTurns map[state.Service]*atomic.Int64
+	counters      map[state.Service][]usageCounter
 
 	mu      sync.Mutex
 	records []Record
 }
 
-// counter is a workspace's use of a service as its callers see it.
-type counter struct {
+// usageCounter is a workspace's use of a service as its callers see it.
+type usageCounter struct {
 	// waiting counts requests sent whose answer has not begun.
 	waiting atomic.Int64
-	// served is the cost in thousandths.
-	served atomic.Int64
+	// servedThousandths is the cost in thousandths.
+	servedThousandths atomic.Int64
 }
 
 const thousandths = 1000
 
-func (c *counter) serve(cost float64) { c.served.Add(int64(math.Round(cost * thousandths))) }
+func (c *usageCounter) addCost(cost float64) {
+	c.servedThousandths.Add(int64(math.Round(cost * thousandths)))
+}
 
-func (c *counter) total() float64 { return float64(c.served.Load()) / thousandths }
+func (c *usageCounter) totalCost() float64 { return float64(c.servedThousandths.Load()) / thousandths }
 
 // Run sends the workload and returns what was seen. It ends early with the
 // context.
 func Run(ctx context.Context, options Options) (*Result, error) {
-	if err := options.check(); err != nil {
+	if err := options.validate(); err != nil {
 		return nil, err
 	}
 	r := newRunner(options)
 	calls := options.Workload.Schedule()
-	observing, stopObserving := context.WithCancel(ctx)
+	observeCtx, stopObserving := context.WithCancel(ctx)
 	defer stopObserving()
 	o := newObserver(r)
-	done := make(chan struct{})
+	observerDone := make(chan struct{})
 	go func() {
-		defer close(done)
-		o.observe(observing)
+		defer close(observerDone)
+		o.observe(observeCtx)
 	}()
 	r.sendAll(ctx, calls, options.Grace)
 	stopObserving()
-	<-done
+	<-observerDone
 	return newResult(r, o, len(calls)), ctx.Err()
 }
 
-func (o *Options) check() error {
+func (o *Options) validate() error {
 	if o.Grace == 0 {
 		o.Grace = DefaultGrace
 	}
-	if err := o.Workload.Check(); err != nil {
+	if err := o.Workload.Validate(); err != nil {
 		return err
 	}
 	if !o.Direct && len(o.Fleet.Routers) == 0 {
 		return errors.New("load: no routers to send to")
 	}
-	if o.Arrive <= 0 || o.Arrive > len(o.Fleet.Routers) {
-		o.Arrive = len(o.Fleet.Routers)
+	if o.EntryRouters <= 0 || o.EntryRouters > len(o.Fleet.Routers) {
+		o.EntryRouters = len(o.Fleet.Routers)
 	}
 	byService := upstreamsByService(o.Fleet)
 	for _, service := range o.Workload.services() {
@@ -112,19 +114,19 @@
 
 func newRunner(options Options) *runner {
 	r := &runner{
-		workload:  options.Workload,
-		fleet:     options.Fleet,
-		direct:    options.Direct,
-		arrive:    options.Arrive,
-		client:    newClient(),
-		started:   time.Now(),
-		upstreams: upstreamsByService(options.Fleet),
-		turns:     make(map[state.Service]*atomic.Int64),
-		counters:  make(map[state.Service][]counter),
+		workload:      options.Workload,
+		fleet:         options.Fleet,
+		direct:        options.Direct,
+		entryRouters:  options.EntryRouters,
+		client:        newClient(),
+		started:       time.Now(),
+		upstreams:     upstreamsByService(options.Fleet),
+		upstreamTurns: make(map[state.Service]*atomic.Int64),
+		counters:      make(map[state.Service][]usageCounter),
 	}
 	for _, service := range options.Workload.services() {
-		r.turns[service] = new(atomic.Int64)
-		r.counters[service] = make([]counter, len(options.Workload.Workspaces))
+		r.upstreamTurns[service] = new(atomic.Int64)
+		r.counters[service] = make([]usageCounter, len(options.Workload.Workspaces))
 	}
 	return r
 }
@@ -136,13 +138,13 @@
 	}}
 }
 
-func (r *runner) counter(service state.Service, workspace int) *counter {
+func (r *runner) counter(service state.Service, workspace int) *usageCounter {
 	return &r.counters[service][workspace]
 }
 
-func (r *runner) since() time.Duration { return time.Since(r.started) }
+func (r *runner) elapsed() time.Duration { return time.Since(r.started) }
 
-func (r *runner) keep(record Record) {
+func (r *runner) addRecord(record Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.records = append(r.records, record)
@@ -151,19 +153,19 @@
 // sendAll starts each call at its time, whatever became of those before it,
 // and waits for the answers.
 func (r *runner) sendAll(ctx context.Context, calls []Call, grace time.Duration) {
-	waiting, giveUp := context.WithCancel(ctx)
-	defer giveUp()
+	answerCtx, cancelAnswers := context.WithCancel(ctx)
+	defer cancelAnswers()
 	var group sync.WaitGroup
 	for _, call := range calls {
-		if pause.For(ctx, time.Until(r.started.Add(call.At))) != nil {
+		if pause.For(ctx, time.Until(r.started.Add(call.SendAt))) != nil {
 			break
 		}
-		group.Go(func() { r.send(waiting, call) })
+		group.Go(func() { r.send(answerCtx, call) })
 	}
 	// A run without late arrivals still lasts its time: what an idle fleet
 	// exchanges would be measured over the few arrivals only.
-	_ = pause.For(ctx, time.Until(r.started.Add(r.workload.length())))
-	stop := time.AfterFunc(grace, giveUp)
-	defer stop.Stop()
+	_ = pause.For(ctx, time.Until(r.started.Add(r.workload.duration())))
+	graceTimer := time.AfterFunc(grace, cancelAnswers)
+	defer graceTimer.Stop()
 	group.Wait()
 }
--- a/loadgen/schedule.go
+++ b/loadgen/schedule.go
@@ -14,14 +14,14 @@
 
 // Call is one intended request.
 type Call struct {
-	At        time.Duration
-	Workspace int
-	Class     int
-	// Target is an index that the runner takes modulo the targets.
-	Target int
-	Key    string
-	// Again marks the repetition of an earlier request, body and key alike.
-	Again bool
+	SendAt         time.Duration
+	WorkspaceIndex int
+	ClassIndex     int
+	// TargetIndex is an index that the runner takes modulo the targets.
+	TargetIndex int
+	Key         string
+	// Resent marks the repetition of an earlier request, body and key alike.
+	Resent bool
 	// AbandonAfter is when the caller leaves; zero means that it stays.
 	AbandonAfter time.Duration
 	Body         string
@@ -37,53 +37,53 @@
 	var calls []Call
 	for i, ws := range w.Workspaces {
 		for j, a := range ws.Arrivals {
-			d := &drawer{
-				rng:       rand.New(rand.NewPCG(w.Seed, uint64(i)<<32|uint64(j))),
-				workload:  w,
-				workspace: i,
-				class:     classes[a.Class],
-				prefix:    fmt.Sprintf("%s-%d-%d-%d", ws.Name, w.Seed, i, j),
+			g := &callGenerator{
+				rng:            rand.New(rand.NewPCG(w.Seed, uint64(i)<<32|uint64(j))),
+				workload:       w,
+				workspaceIndex: i,
+				classIndex:     classes[a.Class],
+				idPrefix:       fmt.Sprintf("%s-%d-%d-%d", ws.Name, w.Seed, i, j),
 			}
-			calls = append(calls, d.draw(a)...)
+			calls = append(calls, g.generate(a)...)
 		}
 	}
-	slices.SortStableFunc(calls, func(a, b Call) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(calls, func(a, b Call) int { return cmp.Compare(a.SendAt, b.SendAt) })
 	return calls
 }
 
-// drawer draws the requests of one stream.
-type drawer struct {
-	rng       *rand.Rand
-	workload  Workload
-	workspace int
-	class     int
-	prefix    string
-	drawn     int
+// callGenerator draws the requests of one stream.
+type callGenerator struct {
+	rng            *rand.Rand
+	workload       Workload
+	workspaceIndex int
+	classIndex     int
+	idPrefix       string
+	generated      int
 }
 
-func (d *drawer) draw(a Arrival) []Call {
+func (g *callGenerator) generate(a ArrivalStream) []Call {
 	var calls []Call
-	for _, at := range d.times(a) {
-		calls = append(calls, d.calls(at)...)
+	for _, at := range g.arrivalTimes(a) {
+		calls = append(calls, g.newCalls(at)...)
 	}
 	return calls
 }
 
-// times returns the instants of arrival in seconds.
-func (d *drawer) times(a Arrival) []float64 {
+// arrivalTimes returns the instants of arrival in seconds.
+func (g *callGenerator) arrivalTimes(a ArrivalStream) []float64 {
 	var times []float64
 	burst := 1
 	if a.Process == Bursts {
-		burst = a.Burst
+		burst = a.BurstSize
 	}
-	on := 0.0
+	activeSeconds := 0.0
 	for {
-		on += d.rng.ExpFloat64() * float64(burst) / a.Rate
-		at := on
+		activeSeconds += g.rng.ExpFloat64() * float64(burst) / a.Rate
+		at := activeSeconds
 		if a.Process == OnOff {
-			at += math.Floor(on/a.OnSeconds) * a.OffSeconds
+			at += math.Floor(activeSeconds/a.OnSeconds) * a.OffSeconds
 		}
-		if at >= d.workload.Seconds {
+		if at >= g.workload.Seconds {
 			return times
 		}
 		for range burst {
@@ -92,61 +92,61 @@
 	}
 }
 
-// calls returns one request and, if it is sent again, its repetition.
-func (d *drawer) calls(at float64) []Call {
-	class := d.workload.Classes[d.class]
+// newCalls returns one request and, if it is sent again, its repetition.
+func (g *callGenerator) newCalls(at float64) []Call {
+	class := g.workload.Classes[g.classIndex]
 	call := Call{
-		At:        time.Duration(at * float64(time.Second)),
-		Workspace: d.workspace,
-		Class:     d.class,
-		Target:    d.target(),
+		SendAt:         time.Duration(at * float64(time.Second)),
+		WorkspaceIndex: g.workspaceIndex,
+		ClassIndex:     g.classIndex,
+		TargetIndex:    g.drawTarget(),
 	}
-	d.drawn++
-	id := fmt.Sprintf("%s-%d", d.prefix, d.drawn)
-	call.Body = d.body(class, id)
-	if d.rng.Float64() < class.Abandoned {
+	g.generated++
+	id := fmt.Sprintf("%s-%d", g.idPrefix, g.generated)
+	call.Body = g.newBody(class, id)
+	if g.rng.Float64() < class.AbandonedFraction {
 		call.AbandonAfter = time.Duration(class.AbandonAfterMS) * time.Millisecond
 	}
-	if d.rng.Float64() >= class.Keyed {
+	if g.rng.Float64() >= class.KeyedFraction {
 		return []Call{call}
 	}
 	call.Key = id
-	if d.rng.Float64() >= class.Resent {
+	if g.rng.Float64() >= class.ResentFraction {
 		return []Call{call}
 	}
-	again := call
-	again.Again = true
-	again.At += time.Duration(class.ResendAfterMS) * time.Millisecond
-	again.Target = call.Target + 1
-	return []Call{call, again}
+	resent := call
+	resent.Resent = true
+	resent.SendAt += time.Duration(class.ResendAfterMS) * time.Millisecond
+	resent.TargetIndex = call.TargetIndex + 1
+	return []Call{call, resent}
 }
 
-func (d *drawer) target() int {
-	targets := d.workload.Workspaces[d.workspace].Targets
+func (g *callGenerator) drawTarget() int {
+	targets := g.workload.Workspaces[g.workspaceIndex].RouterIndexes
 	if len(targets) == 0 {
-		return d.rng.IntN(math.MaxInt32)
+		return g.rng.IntN(math.MaxInt32)
 	}
-	return targets[d.rng.IntN(len(targets))]
+	return targets[g.rng.IntN(len(targets))]
 }
 
-func (d *drawer) size(s Size) int {
-	drawn := s.Median * math.Exp(s.Sigma*d.rng.NormFloat64())
-	return int(math.Ceil(min(drawn, s.Max)))
+func (g *callGenerator) drawSize(s SizeDistribution) int {
+	value := s.Median * math.Exp(s.Sigma*g.rng.NormFloat64())
+	return int(math.Ceil(min(value, s.Max)))
 }
 
 // bytesPerToken is the rough length of a token that the stand-ins count by.
 const bytesPerToken = 4
 
-// body returns a body that no other request of the run has. max_tokens is the
+// newBody returns a body that no other request of the run has. max_tokens is the
 // class's bound and says little of the length, as in real life.
-func (d *drawer) body(c Class, id string) string {
+func (g *callGenerator) newBody(c Class, id string) string {
 	if c.Kind == config.KindWorker {
-		return fmt.Sprintf(`{"id":%q,"busy_ms":%d}`, id, d.size(c.Busy))
+		return fmt.Sprintf(`{"id":%q,"busy_ms":%d}`, id, g.drawSize(c.BusyMS))
 	}
 	prompt := id
-	if more := d.size(c.Prompt)*bytesPerToken - len(id); more > 0 {
-		prompt += strings.Repeat(".", more)
+	if padding := g.drawSize(c.PromptTokens)*bytesPerToken - len(id); padding > 0 {
+		prompt += strings.Repeat(".", padding)
 	}
 	return fmt.Sprintf(`{"model":"","stream":%t,"max_tokens":%d,"figstile_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
-		c.Stream, int(c.Output.Max), d.size(c.Output), prompt)
+		c.Stream, int(c.OutputTokens.Max), g.drawSize(c.OutputTokens), prompt)
 }
