--- a/loadgen/send.go
+++ b/loadgen/send.go
@@ -21,73 +21,73 @@
 
 // sender sends one call and reads its answer.
 type sender struct {
-	run    *runner
-	call   Call
-	class  Class
-	ws     Workspace
-	record Record
-	// credited is the cost already added to the counters.
-	credited float64
+	runner    *runner
+	call      Call
+	class     Class
+	workspace Workspace
+	record    Record
+	// creditedCost is the cost already added to the counters.
+	creditedCost float64
 }
 
 func (r *runner) send(ctx context.Context, call Call) {
-	class := r.workload.Classes[call.Class]
-	ws := r.workload.Workspaces[call.Workspace]
-	s := &sender{run: r, call: call, class: class, ws: ws}
+	class := r.workload.Classes[call.ClassIndex]
+	ws := r.workload.Workspaces[call.WorkspaceIndex]
+	s := &sender{runner: r, call: call, class: class, workspace: ws}
 	s.record = Record{
-		Workspace: ws.Name,
-		Service:   class.Service,
-		Class:     class.Name,
-		Intended:  call.At,
-		Digest:    upstream.Digest([]byte(call.Body)),
-		Key:       call.Key,
-		Again:     call.Again,
+		Workspace:  ws.Name,
+		Service:    class.Service,
+		Class:      class.Name,
+		IntendedAt: call.SendAt,
+		BodyDigest: upstream.Digest([]byte(call.Body)),
+		Key:        call.Key,
+		Resent:     call.Resent,
 	}
 	if call.AbandonAfter > 0 {
-		var leave context.CancelFunc
-		ctx, leave = context.WithTimeout(ctx, call.AbandonAfter)
-		defer leave()
+		var abandon context.CancelFunc
+		ctx, abandon = context.WithTimeout(ctx, call.AbandonAfter)
+		defer abandon()
 	}
-	counter := r.counter(class.Service, call.Workspace)
+	counter := r.counter(class.Service, call.WorkspaceIndex)
 	counter.waiting.Add(1)
 	s.exchange(ctx)
-	if s.record.Head == 0 {
+	if s.record.HeaderAt == 0 {
 		counter.waiting.Add(-1)
 	}
-	s.record.End = r.since()
-	s.record.Left = !s.record.Whole && ctx.Err() != nil
-	r.keep(s.record)
+	s.record.EndedAt = r.elapsed()
+	s.record.CallerLeft = !s.record.Complete && ctx.Err() != nil
+	r.addRecord(s.record)
 }
 
 func (s *sender) exchange(ctx context.Context) {
-	request, err := s.request(ctx)
+	request, err := s.newRequest(ctx)
 	if err != nil {
-		s.record.Broken = err.Error()
+		s.record.ConnectionError = err.Error()
 		return
 	}
-	s.record.Sent = s.run.since()
-	response, err := s.run.client.Do(request)
+	s.record.SentAt = s.runner.elapsed()
+	response, err := s.runner.client.Do(request)
 	if err != nil {
-		s.record.Broken = err.Error()
+		s.record.ConnectionError = err.Error()
 		return
 	}
-	s.record.Head = s.run.since()
-	s.run.counter(s.class.Service, s.call.Workspace).waiting.Add(-1)
+	s.record.HeaderAt = s.runner.elapsed()
+	s.runner.counter(s.class.Service, s.call.WorkspaceIndex).waiting.Add(-1)
 	s.record.Status = response.StatusCode
 	response.Body = &timedBody{ReadCloser: response.Body, sender: s}
-	if err := s.read(response); err != nil {
-		s.record.Broken = err.Error()
+	if err := s.readAnswer(response); err != nil {
+		s.record.ConnectionError = err.Error()
 		return
 	}
-	s.record.Whole = true
-	s.result(response)
+	s.record.Complete = true
+	s.readResult(response)
 }
 
-// request builds the HTTP request. The body is of a type that the HTTP library
+// newRequest builds the HTTP request. The body is of a type that the HTTP library
 // cannot repeat: it would send a keyed request again by itself, and a
 // repetition that nobody intended would be counted as the fleet's.
-func (s *sender) request(ctx context.Context) (*http.Request, error) {
-	url, name := s.run.target(s.call, s.class)
+func (s *sender) newRequest(ctx context.Context) (*http.Request, error) {
+	url, name := s.runner.target(s.call, s.class)
 	s.record.Router = name
 	body := struct{ io.Reader }{strings.NewReader(s.call.Body)}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url+s.class.Path, body)
@@ -97,7 +97,7 @@
 	request.ContentLength = int64(len(s.call.Body))
 	header := request.Header
 	header.Set("Content-Type", "application/json")
-	header.Set("Authorization", "Bearer "+s.ws.Token)
+	header.Set("Authorization", "Bearer "+s.workspace.Token)
 	header.Set(caller.HeaderClass, s.class.Name)
 	if s.call.Key != "" {
 		header.Set(caller.HeaderIdempotencyKey, s.call.Key)
@@ -108,8 +108,8 @@
 	return request, nil
 }
 
-// read reads the answer to its end and notes whose it is.
-func (s *sender) read(response *http.Response) error {
+// readAnswer reads the answer to its end and notes whose it is.
+func (s *sender) readAnswer(response *http.Response) error {
 	switch {
 	case response.StatusCode != http.StatusOK:
 		return s.readProblem(response)
@@ -136,9 +136,9 @@
 	if err != nil {
 		return err
 	}
-	s.record.Own = answer.BelongsTo([]byte(s.call.Body))
+	s.record.MatchesRequest = answer.BelongsTo([]byte(s.call.Body))
 	weights := config.CostWeights{}.WithDefaults(config.KindEngine)
-	s.settle(weights.InputToken*float64(answer.Usage.PromptTokens) + weights.OutputToken*float64(answer.Usage.CompletionTokens))
+	s.settleCost(weights.InputToken*float64(answer.Usage.PromptTokens) + weights.OutputToken*float64(answer.Usage.CompletionTokens))
 	return nil
 }
 
@@ -147,14 +147,14 @@
 	if err != nil {
 		return err
 	}
-	s.record.Own = answer.Digest == s.record.Digest
-	s.settle((time.Duration(answer.BusyMs) * time.Millisecond).Seconds())
+	s.record.MatchesRequest = answer.Digest == s.record.BodyDigest
+	s.settleCost((time.Duration(answer.BusyMs) * time.Millisecond).Seconds())
 	return nil
 }
 
-// result reads what the fleet states of a served request. A stream has it in
+// readResult reads what the fleet states of a served request. A stream has it in
 // the trailer.
-func (s *sender) result(response *http.Response) {
+func (s *sender) readResult(response *http.Response) {
 	if response.StatusCode != http.StatusOK {
 		return
 	}
@@ -166,26 +166,26 @@
 	}
 }
 
-// settle brings the counters to the whole cost.
-func (s *sender) settle(cost float64) {
-	s.credit(cost - s.credited)
-	s.record.Cost = s.credited
+// settleCost brings the counters to the whole cost.
+func (s *sender) settleCost(cost float64) {
+	s.creditCost(cost - s.creditedCost)
+	s.record.Cost = s.creditedCost
 }
 
-func (s *sender) credit(cost float64) {
-	s.credited += cost
-	s.run.counter(s.class.Service, s.call.Workspace).serve(cost)
+func (s *sender) creditCost(cost float64) {
+	s.creditedCost += cost
+	s.runner.counter(s.class.Service, s.call.WorkspaceIndex).addCost(cost)
 }
 
 // timedBody notes when parts of an answer arrive.
 type timedBody struct {
 	io.ReadCloser
-	sender *sender
-	last   time.Duration
+	sender     *sender
+	lastReadAt time.Duration
 }
 
-// eventMark begins each event of a stream.
-const eventMark = "data: "
+// eventPrefix begins each event of a stream.
+const eventPrefix = "data: "
 
 // Read passes on and counts tokens as they come, so that the service of a long
 // stream does not show only at its end.
@@ -195,25 +195,25 @@
 		return n, err
 	}
 	s := b.sender
-	now := s.run.since()
-	if s.record.First == 0 {
-		s.record.First = now
+	now := s.runner.elapsed()
+	if s.record.FirstByteAt == 0 {
+		s.record.FirstByteAt = now
 	} else {
-		s.record.Slowest = max(s.record.Slowest, now-b.last)
+		s.record.MaxEventGap = max(s.record.MaxEventGap, now-b.lastReadAt)
 	}
-	b.last = now
+	b.lastReadAt = now
 	if s.class.Stream && s.record.Status == http.StatusOK {
-		s.credit(float64(strings.Count(string(p[:n]), eventMark)))
+		s.creditCost(float64(strings.Count(string(p[:n]), eventPrefix)))
 	}
 	return n, err
 }
 
-// maxDrained bounds what is read after an answer's end for its trailer.
-const maxDrained = 64 << 10
+// maxDrainBytes bounds what is read after an answer's end for its trailer.
+const maxDrainBytes = 64 << 10
 
 // Close reads on to the trailer, which holds a stream's result.
 func (b *timedBody) Close() error {
-	_, _ = io.CopyN(io.Discard, b.ReadCloser, maxDrained)
+	_, _ = io.CopyN(io.Discard, b.ReadCloser, maxDrainBytes)
 	return b.ReadCloser.Close()
 }
 
@@ -221,11 +221,11 @@
 // next upstream's in turn.
 func (r *runner) target(call Call, class Class) (url, name string) {
 	if !r.direct {
-		router := r.fleet.Routers[call.Target%r.arrive]
-		return router.Callers + "/" + string(class.Service), string(router.Name)
+		router := r.fleet.Routers[call.TargetIndex%r.entryRouters]
+		return router.CallerURL + "/" + string(class.Service), string(router.Name)
 	}
 	upstreams := r.upstreams[class.Service]
-	turn := r.turns[class.Service].Add(1)
+	turn := r.upstreamTurns[class.Service].Add(1)
 	u := upstreams[int(turn)%len(upstreams)]
 	return u.URL, string(u.Name)
 }
--- a/loadgen/text.go
+++ b/loadgen/text.go
@@ -16,8 +16,8 @@
 	r.writeServices(tw)
 	r.writeControl(tw)
 	fmt.Fprintf(tw, "RESULT\tREQUESTS\n")
-	for _, name := range slices.Sorted(maps.Keys(r.Codes)) {
-		fmt.Fprintf(tw, "%s\t%d\n", name, r.Codes[name])
+	for _, name := range slices.Sorted(maps.Keys(r.RequestsByOutcome)) {
+		fmt.Fprintf(tw, "%s\t%d\n", name, r.RequestsByOutcome[name])
 	}
 	if r.MissedSamples > 0 {
 		fmt.Fprintf(tw, "\n%d status or load reports did not come\n", r.MissedSamples)
@@ -37,7 +37,7 @@
 	for _, g := range r.Groups {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\n",
 			g.Workspace, g.Class, g.Requests, g.Served, g.Refused, g.Cost,
-			g.Wait.P50, g.Wait.P99, g.First.P50, g.First.P95, g.First.P99, g.Pause.P95, g.Total.P50, g.Total.P99)
+			g.HeaderLatency.P50, g.HeaderLatency.P99, g.FirstByteLatency.P50, g.FirstByteLatency.P95, g.FirstByteLatency.P99, g.MaxEventGap.P95, g.TotalLatency.P50, g.TotalLatency.P99)
 	}
 	fmt.Fprintln(w)
 }
@@ -46,21 +46,21 @@
 	fmt.Fprintf(w, "SERVICE\tSERVED\tGAP\tBOUND\tREACH\tSLOTS BUSY WHILE WORK WAITED\tSAMPLES\tLEAST OF SHARE\n")
 	for _, s := range r.Services {
 		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.4f\t%d\t%.2f %s\n",
-			s.Name, s.Served, s.Gap, s.Bound, s.Reach, s.Busy, s.BusySamples, s.Least.Part, s.Least.Workspace)
+			s.Name, s.Served, s.MaxGap, s.GapLimit, s.SingleWorkspaceGap, s.BusySlotFraction, s.BusySlotSamples, s.MinReceivedShare.Fraction, s.MinReceivedShare.Workspace)
 	}
 	fmt.Fprintln(w)
 }
 
 func (r *Result) writeControl(w io.Writer) {
-	if len(r.Control) == 0 {
+	if len(r.ControlRates) == 0 {
 		return
 	}
 	fmt.Fprintf(w, "ROUTER\tCONTROL BYTES/S IN\tOUT\tMESSAGES/S IN\tOUT\n")
-	for _, c := range r.Control {
+	for _, c := range r.ControlRates {
 		fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.1f\t%.1f\n", c.Router, c.BytesIn, c.BytesOut, c.MessagesIn, c.MessagesOut)
 	}
 	fmt.Fprintf(w, "\nCONTROL MESSAGES OF ALL ROUTERS\tMESSAGES/S\tBYTES/S\n")
-	for _, k := range r.Kinds {
+	for _, k := range r.ControlKindRates {
 		fmt.Fprintf(w, "%s\t%.1f\t%.0f\n", k.Kind, k.Messages, k.Bytes)
 	}
 	fmt.Fprintln(w)
--- a/loadgen/workload.go
+++ b/loadgen/workload.go
@@ -12,17 +12,17 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// Process tells how arrivals are spread over time.
-type Process string
+// ArrivalProcess tells how arrivals are spread over time.
+type ArrivalProcess string
 
 // The arrival processes.
 const (
 	// Poisson arrivals are independent of each other.
-	Poisson Process = "poisson"
+	Poisson ArrivalProcess = "poisson"
 	// Bursts are groups of arrivals at one instant, at exponential intervals.
-	Bursts Process = "bursts"
+	Bursts ArrivalProcess = "bursts"
 	// OnOff arrivals are Poisson for OnSeconds and absent for OffSeconds.
-	OnOff Process = "onoff"
+	OnOff ArrivalProcess = "onoff"
 )
 
 // Workload describes who sends what, and when.
@@ -43,25 +43,25 @@
 	// Path follows the service's name in the URL.
 	Path   string `json:"path"`
 	Stream bool   `json:"stream,omitempty"`
-	// Prompt and Output are in tokens, for engines; Busy is in milliseconds,
+	// PromptTokens and Output are in tokens, for engines; Busy is in milliseconds,
 	// for workers.
-	Prompt Size `json:"prompt,omitzero"`
-	Output Size `json:"output,omitzero"`
-	Busy   Size `json:"busy,omitzero"`
-	// Keyed is the part of requests with an idempotency key, Resent the part
+	PromptTokens SizeDistribution `json:"prompt,omitzero"`
+	OutputTokens SizeDistribution `json:"output,omitzero"`
+	BusyMS       SizeDistribution `json:"busy,omitzero"`
+	// KeyedFraction is the part of requests with an idempotency key, Resent the part
 	// of those that is sent again ResendAfterMS later, to another router.
-	Keyed         float64 `json:"keyed,omitempty"`
-	Resent        float64 `json:"resent,omitempty"`
-	ResendAfterMS int64   `json:"resend_after_ms,omitempty"`
+	KeyedFraction  float64 `json:"keyed,omitempty"`
+	ResentFraction float64 `json:"resent,omitempty"`
+	ResendAfterMS  int64   `json:"resend_after_ms,omitempty"`
 	// DeadlineMS is sent with the request; zero sends none.
 	DeadlineMS int64 `json:"deadline_ms,omitempty"`
-	// Abandoned is the part of callers who leave after AbandonAfterMS.
-	Abandoned      float64 `json:"abandoned,omitempty"`
-	AbandonAfterMS int64   `json:"abandon_after_ms,omitempty"`
+	// AbandonedFraction is the part of callers who leave after AbandonAfterMS.
+	AbandonedFraction float64 `json:"abandoned,omitempty"`
+	AbandonAfterMS    int64   `json:"abandon_after_ms,omitempty"`
 }
 
-// Size is a lognormal distribution, cut at Max.
-type Size struct {
+// SizeDistribution is a lognormal distribution, cut at Max.
+type SizeDistribution struct {
 	Median float64 `json:"median"`
 	Sigma  float64 `json:"sigma"`
 	Max    float64 `json:"max"`
@@ -74,19 +74,19 @@
 	// Share is the workspace's part of every service beside the others'
 	// shares; they need not add up to 1.
 	Share float64 `json:"share"`
-	// Targets are the indexes of the routers it uses; none means all.
-	Targets  []int     `json:"targets,omitempty"`
-	Arrivals []Arrival `json:"arrivals"`
+	// RouterIndexes are the indexes of the routers it uses; none means all.
+	RouterIndexes []int           `json:"targets,omitempty"`
+	Arrivals      []ArrivalStream `json:"arrivals"`
 }
 
-// Arrival is one stream of requests of a class.
-type Arrival struct {
-	Class   string  `json:"class"`
-	Process Process `json:"process"`
+// ArrivalStream is one stream of requests of a class.
+type ArrivalStream struct {
+	Class   string         `json:"class"`
+	Process ArrivalProcess `json:"process"`
 	// Rate is the mean in requests a second; while on, for OnOff.
 	Rate float64 `json:"rate"`
-	// Burst is how many requests arrive at once.
-	Burst      int     `json:"burst,omitempty"`
+	// BurstSize is how many requests arrive at once.
+	BurstSize  int     `json:"burst,omitempty"`
 	OnSeconds  float64 `json:"on_seconds,omitempty"`
 	OffSeconds float64 `json:"off_seconds,omitempty"`
 }
@@ -103,80 +103,80 @@
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return Workload{}, errors.New("workload: data after the end")
 	}
-	return w, w.Check()
+	return w, w.Validate()
 }
 
-// Check returns all faults of the workload, or nil.
-func (w Workload) Check() error {
-	var faults faultList
-	faults.require(w.Seconds > 0, "seconds must be greater than 0")
-	faults.require(len(w.Workspaces) > 0, "there are no workspaces")
-	names := make(map[string]bool)
+// Validate returns all faults of the workload, or nil.
+func (w Workload) Validate() error {
+	var errs errorList
+	errs.require(w.Seconds > 0, "seconds must be greater than 0")
+	errs.require(len(w.Workspaces) > 0, "there are no workspaces")
+	classNames := make(map[string]bool)
 	for i, c := range w.Classes {
 		at := fmt.Sprintf("classes[%d]", i)
-		faults.require(!names[c.Name], "%s: the name %q stands twice", at, c.Name)
-		names[c.Name] = true
-		faults.addClass(at, c)
+		errs.require(!classNames[c.Name], "%s: the name %q stands twice", at, c.Name)
+		classNames[c.Name] = true
+		errs.checkClass(at, c)
 	}
-	known := make(map[state.Workspace]bool)
+	workspaceNames := make(map[state.Workspace]bool)
 	for i, ws := range w.Workspaces {
 		at := fmt.Sprintf("workspaces[%d]", i)
-		faults.require(!known[ws.Name], "%s: the name %q stands twice", at, ws.Name)
-		known[ws.Name] = true
-		faults.addWorkspace(at, ws, names)
+		errs.require(!workspaceNames[ws.Name], "%s: the name %q stands twice", at, ws.Name)
+		workspaceNames[ws.Name] = true
+		errs.checkWorkspace(at, ws, classNames)
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-type faultList []error
+type errorList []error
 
-func (f *faultList) require(ok bool, format string, args ...any) {
+func (f *errorList) require(ok bool, format string, args ...any) {
 	if !ok {
 		*f = append(*f, fmt.Errorf("workload: "+format, args...))
 	}
 }
 
-func (f *faultList) addClass(at string, c Class) {
-	f.require(c.Name != "" && c.Service != "", "%s: name and service are needed", at)
-	f.require(len(c.Path) > 0 && c.Path[0] == '/', "%s: path must begin with /", at)
-	for _, part := range []float64{c.Keyed, c.Resent, c.Abandoned} {
-		f.require(part >= 0 && part <= 1, "%s: keyed, resent and abandoned must be from 0 to 1", at)
+func (f *errorList) checkClass(path string, c Class) {
+	f.require(c.Name != "" && c.Service != "", "%s: name and service are needed", path)
+	f.require(len(c.Path) > 0 && c.Path[0] == '/', "%s: path must begin with /", path)
+	for _, fraction := range []float64{c.KeyedFraction, c.ResentFraction, c.AbandonedFraction} {
+		f.require(fraction >= 0 && fraction <= 1, "%s: keyed, resent and abandoned must be from 0 to 1", path)
 	}
 	switch c.Kind {
 	case config.KindEngine:
-		f.addSize(at+".prompt", c.Prompt)
-		f.addSize(at+".output", c.Output)
+		f.checkSize(path+".prompt", c.PromptTokens)
+		f.checkSize(path+".output", c.OutputTokens)
 	case config.KindWorker:
-		f.addSize(at+".busy", c.Busy)
+		f.checkSize(path+".busy", c.BusyMS)
 	default:
-		f.require(false, "%s: kind must be %q or %q", at, config.KindEngine, config.KindWorker)
+		f.require(false, "%s: kind must be %q or %q", path, config.KindEngine, config.KindWorker)
 	}
 }
 
-func (f *faultList) addSize(at string, s Size) {
-	f.require(s.Median >= 1 && s.Sigma >= 0 && s.Max >= s.Median, "%s: median must be at least 1, sigma not negative and max at least the median", at)
+func (f *errorList) checkSize(path string, s SizeDistribution) {
+	f.require(s.Median >= 1 && s.Sigma >= 0 && s.Max >= s.Median, "%s: median must be at least 1, sigma not negative and max at least the median", path)
 }
 
-func (f *faultList) addWorkspace(at string, ws Workspace, classes map[string]bool) {
-	f.require(ws.Name != "", "%s: name is needed", at)
-	f.require(ws.Share > 0, "%s: share must be greater than 0", at)
+func (f *errorList) checkWorkspace(path string, ws Workspace, classes map[string]bool) {
+	f.require(ws.Name != "", "%s: name is needed", path)
+	f.require(ws.Share > 0, "%s: share must be greater than 0", path)
 	for i, a := range ws.Arrivals {
-		under := fmt.Sprintf("%s.arrivals[%d]", at, i)
-		f.require(classes[a.Class], "%s: there is no class %q", under, a.Class)
-		f.require(a.Rate > 0, "%s: rate must be greater than 0", under)
+		arrivalPath := fmt.Sprintf("%s.arrivals[%d]", path, i)
+		f.require(classes[a.Class], "%s: there is no class %q", arrivalPath, a.Class)
+		f.require(a.Rate > 0, "%s: rate must be greater than 0", arrivalPath)
 		switch a.Process {
 		case Poisson:
 		case Bursts:
-			f.require(a.Burst > 0, "%s: burst must be greater than 0", under)
+			f.require(a.BurstSize > 0, "%s: burst must be greater than 0", arrivalPath)
 		case OnOff:
-			f.require(a.OnSeconds > 0 && a.OffSeconds >= 0, "%s: on_seconds must be greater than 0", under)
+			f.require(a.OnSeconds > 0 && a.OffSeconds >= 0, "%s: on_seconds must be greater than 0", arrivalPath)
 		default:
-			f.require(false, "%s: process must be %q, %q or %q", under, Poisson, Bursts, OnOff)
+			f.require(false, "%s: process must be %q, %q or %q", arrivalPath, Poisson, Bursts, OnOff)
 		}
 	}
 }
 
-func (w Workload) length() time.Duration {
+func (w Workload) duration() time.Duration {
 	return time.Duration(w.Seconds * float64(time.Second))
 }
 
