--- a/cmd/figstile/internal/cli/capacity.go
+++ b/cmd/figstile/internal/cli/capacity.go
@@ -16,7 +16,7 @@
 	Measure capacityMeasureCommand `cmd:"" help:"Measure the slopes that this is worked out from; takes two minutes."`
 }
 
-// capacityCommand works out one fleet. It makes no call to a router.
+// capacityCommand calculates the costs of one fleet. It calls no router.
 type capacityCommand struct {
 	Profile string `help:"Sizes to start from: ${enum}." enum:"today,destination" default:"today"`
 	Slopes  string `help:"File of slopes; the program's own if empty." placeholder:"FILE"`
@@ -24,8 +24,8 @@
 	capacitySizes
 }
 
-// capacitySizes replace single numbers of the profile. The fields are those of
-// capacity.Fleet.
+// capacitySizes holds the flags that replace single numbers of the profile. Each
+// field has the name of the field of capacity.Fleet that it replaces.
 type capacitySizes struct {
 	Routers     *float64 `help:"Routers, one per VM."`
 	Upstreams   *float64 `help:"Upstreams over all services."`
@@ -56,7 +56,7 @@
 	MaxStale    *float64 `help:"Limit: seconds until a change of the settings is in force."`
 }
 
-// applyTo puts the given sizes into a fleet.
+// applyTo sets the fields of a fleet for which a flag was given.
 func (s capacitySizes) applyTo(f *capacity.Fleet) {
 	sizes := reflect.ValueOf(s)
 	fleet := reflect.ValueOf(f).Elem()
@@ -67,7 +67,7 @@
 	}
 }
 
-// Run prints one report.
+// Run prints the report about one fleet.
 func (c capacityCommand) Run(a *app) error {
 	slopes, err := c.loadSlopes()
 	if err != nil {
@@ -96,7 +96,7 @@
 	return capacity.Parse(data)
 }
 
-// printCapacity prints every table of a report under its title.
+// printCapacity prints every table of a report below its title.
 func (o *output) printCapacity(report *capacity.Report, slopes *capacity.Slopes) {
 	o.printMeasurement(slopes)
 	fmt.Fprintln(o.w, "A mark ! is a broken limit; sizes at which limits break are those of a fleet that grows evenly.")
@@ -106,7 +106,8 @@
 	}
 }
 
-// printMeasurement says when and where the slopes come from.
+// printMeasurement prints when the slopes were measured, on how many cores and at
+// which load of the machine.
 func (o *output) printMeasurement(slopes *capacity.Slopes) {
 	fmt.Fprintf(o.w, "Slopes measured at %s on %d cores, load %s before and %s after.\n",
 		slopes.MeasuredAt.Format(time.RFC3339), slopes.Cores, slopes.LoadBefore, slopes.LoadAfter)
@@ -114,7 +115,7 @@
 
 type capacitySlopesCommand struct{}
 
-// Run prints every slope.
+// Run prints all slopes that are part of the build.
 func (capacitySlopesCommand) Run(a *app) error {
 	slopes, err := capacity.Load()
 	if err != nil {
@@ -131,7 +132,8 @@
 	Out string `help:"File to write." default:"capacity/slopes.json" placeholder:"FILE"`
 }
 
-// Run measures, prints each slope as it comes and writes the file.
+// Run measures all slopes, prints each one as soon as it is measured, and writes
+// them to the file.
 func (c capacityMeasureCommand) Run(a *app) error {
 	slopes, err := capacity.Measure(a.ctx, a.out.printSlope)
 	if err != nil {
--- a/cmd/figstile/internal/cli/capacity_test.go
+++ b/cmd/figstile/internal/cli/capacity_test.go
@@ -19,11 +19,12 @@
 
 const docsDir = "../../../../docs"
 
-// outputBlock is one table of the page, held to the output of a command.
+// outputBlock matches one table of docs/CAPACITY.md together with the command
+// that prints it.
 var outputBlock = regexp.MustCompile("(?s)<!-- output: figstile ([^\n]*) -->\n```\n.*?```\n")
 
-// TestCapacityPageIsCurrent holds the tables of docs/CAPACITY.md to the tool; with
-// -update it writes them.
+// TestCapacityPageIsCurrent compares the tables of docs/CAPACITY.md with the
+// output of the commands that they name. With -update it rewrites the tables.
 func TestCapacityPageIsCurrent(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(docsDir, "CAPACITY.md"))
 	require.NoError(t, err)
@@ -35,7 +36,7 @@
 	goldie.New(t, goldie.WithFixtureDir(docsDir), goldie.WithNameSuffix(".md")).Assert(t, "CAPACITY", []byte(current))
 }
 
-// runWithoutRouter runs a command that needs no router.
+// runWithoutRouter runs a command that calls no router and returns its output.
 func runWithoutRouter(t *testing.T, args ...string) string {
 	t.Helper()
 	var out, errs bytes.Buffer
--- a/cmd/figstile/internal/cli/cli.go
+++ b/cmd/figstile/internal/cli/cli.go
@@ -1,6 +1,6 @@
-// Package cli is the figstile command line. Each file holds one command with
-// its subcommands; a new one is a field of commands with a Run method that
-// takes an *app.
+// Package cli implements the figstile command line. Each file implements one
+// command with its subcommands. To add a command, add a field to commands whose
+// type has a Run method that takes an *app.
 package cli
 
 import (
@@ -17,20 +17,22 @@
 	"github.com/figstile/figstile/transport/pause"
 )
 
-// Environment is what the command line takes from its process.
+// Environment holds the values that the process passes to the command line.
 type Environment struct {
 	Args    []string
 	Getenv  func(string) string
 	Stdout  io.Writer
 	Stderr  io.Writer
 	Version string
-	// Random returns new tokens and change ids; nil means random ones.
+	// Random returns the text of a new token or change id. If it is nil,
+	// rand.Text is used.
 	Random func() string
-	// Sleep waits between tries; nil means by the machine's clock.
+	// Sleep waits between two attempts to send a change. If it is nil, it waits
+	// in real time.
 	Sleep func(ctx context.Context, d time.Duration)
 }
 
-// commands are all commands and the flags they share.
+// commands holds all commands and the flags that they share.
 type commands struct {
 	Server  string           `help:"Base URL of any router's administration API." env:"FIGSTILE_SERVER" default:"http://127.0.0.1:8081" placeholder:"URL"`
 	Output  string           `help:"Form of the output: ${enum}." enum:"table,json" default:"table" short:"o"`
@@ -49,8 +51,9 @@
 	Explain   explainCommand    `cmd:"" help:"Tell from the routers' logs what happened to one request."`
 }
 
-// tokenVariable holds the bearer token. It is no flag: other users of the
-// machine could read it from the list of processes.
+// tokenVariable is the name of the environment variable that holds the bearer
+// token. The token cannot be given as a flag, because other users of the machine
+// could read it from the process list.
 const tokenVariable = "FIGSTILE_TOKEN"
 
 const description = `Operates a figstile router fleet through any of its routers.
@@ -61,11 +64,11 @@
 4 conflict (somebody else changed it first), 5 unavailable (nothing was
 changed), 6 outcome unknown, 7 objects differ (config diff).`
 
-// requestTimeout is above the time in which a router gives up settling a lost
-// write of its own.
+// requestTimeout is longer than a router needs until it gives up finding out
+// whether one of its own writes, whose answer was lost, took effect.
 const requestTimeout = 60 * time.Second
 
-// app is what a command's Run method gets.
+// app holds the dependencies that each command's Run method receives.
 type app struct {
 	ctx    context.Context
 	client *client
@@ -73,11 +76,11 @@
 	random func() string
 }
 
-// exitPanic carries the exit code out of the parser, which ends the process for
-// --help and --version.
+// exitPanic is the panic value that returns an exit code from the parser to Main.
+// For --help and --version the parser would otherwise end the process.
 type exitPanic int
 
-// Main runs one command line and returns the exit code.
+// Main runs one command line and returns the exit code of the process.
 func Main(ctx context.Context, env Environment) (code int) {
 	defer func() {
 		switch recovered := recover().(type) {
@@ -140,7 +143,7 @@
 	}
 }
 
-// reportError prints an error and returns its exit code.
+// reportError prints an error, if there is one, and returns its exit code.
 func reportError(w io.Writer, err error) int {
 	if err == nil {
 		return exitOK
--- a/cmd/figstile/internal/cli/cli_test.go
+++ b/cmd/figstile/internal/cli/cli_test.go
@@ -29,12 +29,13 @@
 
 const operatorToken = "operator-token"
 
-// testFleet is one router behind a connection that tests can break.
+// testFleet is a fleet of one router. Tests can break the connection to it.
 type testFleet struct {
 	t     *testing.T
 	url   string
 	store *platform.Store
-	// answersToDrop drops so many answers after the router has worked.
+	// answersToDrop is the number of answers to drop after the router has
+	// handled the request.
 	answersToDrop atomic.Int32
 	idCount       int
 }
@@ -88,14 +89,16 @@
 	return f
 }
 
-// unreachableTransport is the way to routers on the other side of a network partition.
+// unreachableTransport fails every request, as if a network partition separated
+// the client from all routers.
 type unreachableTransport struct{}
 
 func (unreachableTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return nil, errors.New("no route")
 }
 
-// run executes a command line, which must exit with the code.
+// run executes a command line with the operator's token. The command must exit
+// with the given code.
 func (f *testFleet) run(code int, args ...string) (stdout, stderr string) {
 	f.t.Helper()
 	return f.runWithToken(operatorToken, code, args...)
@@ -171,9 +174,10 @@
 	require.Contains(t, stderr, "nothing was changed")
 }
 
-// The connection to the router breaks after it has made a change. The command
-// finds that out by itself; if the answers go on being lost it says so, and
-// how to repeat it safely.
+// The connection to the router breaks after the router has made a change. The
+// command repeats the request and finds out that the change took effect. If all
+// answers are lost, it reports that the outcome is unknown and how to repeat the
+// command safely.
 func TestLostAnswers(t *testing.T) {
 	f := newTestFleet(t)
 	f.answersToDrop.Store(2)
@@ -185,13 +189,14 @@
 	f.run(0, "workspace", "set-weight", "guides", "4", "--team=turismo", "--change-id=0123456789abcdef")
 	require.InDelta(t, 4, f.firstWorkspaceWeight(), 0)
 	require.Equal(t, objectstore.Version(4), f.store.Version())
-	f.answersToDrop.Store(100) // the HTTP client repeats reads by itself
+	f.answersToDrop.Store(100) // more than one, because net/http repeats a GET by itself
 	_, stderr = f.run(5, "team", "list")
 	require.Contains(t, stderr, "nothing was changed")
 }
 
-// An operator saves an object, edits it over lunch and applies it. Another
-// has changed it meanwhile; applying must not undo that.
+// An operator saves an object to a file, edits the file and applies it. If
+// another operator has changed the object in the meantime, apply must fail
+// instead of undoing that change.
 func TestApplyRejectsStaleFile(t *testing.T) {
 	f := newTestFleet(t)
 	saved, _ := f.run(0, "config", "get", "teams/turismo")
--- a/cmd/figstile/internal/cli/client.go
+++ b/cmd/figstile/internal/cli/client.go
@@ -18,18 +18,20 @@
 	"github.com/figstile/figstile/transport/admin"
 )
 
-// Bounds on one command.
+// Limits on one command.
 const (
-	// maxChangeAttempts bounds how often a change is sent while its outcome is
-	// open.
+	// maxChangeAttempts is how often a change is sent at most while its outcome
+	// is unknown.
 	maxChangeAttempts = 3
-	// changeRetryDelay lets a router that restarts come back.
+	// changeRetryDelay is the time between two attempts. It gives a router that
+	// is restarting time to accept connections again.
 	changeRetryDelay = time.Second
-	// maxAnswerBytes is above the status of 730 routers.
+	// maxAnswerBytes limits the size of an answer. The status of 730 routers is
+	// smaller.
 	maxAnswerBytes = 256 << 20
 )
 
-// client talks to one router's administration API.
+// client sends requests to one router's administration API.
 type client struct {
 	baseURL    string
 	token      string
@@ -38,25 +40,28 @@
 	newID      func() string
 }
 
-// expectFlag is shared by commands that change one object.
+// expectFlag holds the flag that is shared by commands that change one object.
 type expectFlag struct {
 	Expect *uint64 `help:"Change only this version of the object." placeholder:"VERSION"`
 }
 
-// idFlag is shared by commands that can be repeated after their outcome was
-// unknown. One that makes a token cannot: the repeated one would print another
-// token than the one in force.
+// idFlag holds the flag that is shared by commands that can be repeated after
+// their outcome was unknown. A command that creates a token cannot be repeated:
+// the second run would print a new token, while the token of the first run may be
+// in force.
 type idFlag struct {
 	ChangeID string `help:"Id of the change, to repeat one whose outcome is unknown." placeholder:"ID"`
 }
 
-// changeFlags are shared by most commands that change settings.
+// changeFlags holds the flags that are shared by most commands that change
+// settings.
 type changeFlags struct {
 	expectFlag
 	idFlag
 }
 
-// change is a request that changes something.
+// change describes a request to the administration API. All requests except
+// those of get change settings or drain a router.
 type change struct {
 	method string
 	path   string
@@ -64,7 +69,8 @@
 	body   any
 	header http.Header
 	id     string
-	// repeatable says that the command can be run again with the same id.
+	// repeatable is true if the command can be run again with the same change
+	// id.
 	repeatable bool
 }
 
@@ -72,7 +78,8 @@
 	return &change{method: method, path: path, body: body, header: make(http.Header), query: make(url.Values)}
 }
 
-// newChange starts a change on the terms of the flag.
+// newChange returns a change that applies only to the version given by the flag,
+// if any.
 func (f expectFlag) newChange(method, path string, body any) *change {
 	c := newChange(method, path, body)
 	if f.Expect != nil {
@@ -81,7 +88,8 @@
 	return c
 }
 
-// newChange starts a change on the terms of the flags.
+// newChange returns a repeatable change with the version and change id given by
+// the flags, if any.
 func (f changeFlags) newChange(method, path string, body any) *change {
 	c := f.expectFlag.newChange(method, path, body)
 	c.id = f.ChangeID
@@ -89,8 +97,8 @@
 	return c
 }
 
-// requireVersion makes the change depend on a version; zero means that the object
-// must not exist.
+// requireVersion makes the change fail unless the object has the given version.
+// Version zero means that the object must not exist.
 func (c *change) requireVersion(version uint64) {
 	if version == 0 {
 		c.header.Set("If-None-Match", "*")
@@ -99,7 +107,7 @@
 	c.header.Set("If-Match", fmt.Sprintf(`"%d"`, version))
 }
 
-// escapedPath joins escaped segments.
+// escapedPath escapes the segments and joins them to a URL path.
 func escapedPath(segments ...string) string {
 	escaped := make([]string, len(segments))
 	for i, s := range segments {
@@ -108,7 +116,8 @@
 	return "/" + strings.Join(escaped, "/")
 }
 
-// get reads a document.
+// get reads a document. A lost answer counts as an unavailable router, because a
+// read changes nothing.
 func (c *client) get(ctx context.Context, path string, into any) error {
 	err := c.send(ctx, &change{method: http.MethodGet, path: path}, into)
 	var lost *lostAnswerError
@@ -118,13 +127,15 @@
 	return err
 }
 
-// apply sends a change until its outcome is known or the tries are used up.
+// apply sends a change until its outcome is known or maxChangeAttempts is
+// reached.
 //
-// A connection that breaks after the request went out leaves the operator
-// without knowing whether the change is in force. It is sent again with the
-// same change id, which the routers look for in the object's history first,
-// so it takes effect once at most. Once an answer was lost only a success
-// settles it: a refusal of the second may be due to the first.
+// If a connection breaks after the request was sent, it is unknown whether the
+// change is in force. apply then sends the change again with the same change id.
+// Routers first look for this id in the object's history, so the change takes
+// effect at most once. After an answer was lost, only a success proves the
+// outcome: a refusal of a later attempt may be caused by the first attempt having
+// taken effect.
 func (c *client) apply(ctx context.Context, ch *change, into any) error {
 	if ch.id == "" {
 		ch.id = c.newID()
@@ -145,7 +156,8 @@
 	return &unknownOutcomeError{changeID: ch.id, repeatable: ch.repeatable, err: err}
 }
 
-// lostAnswerError says that a request went out and no answer of a router came.
+// lostAnswerError reports that a request was sent but no answer of a router was
+// received.
 type lostAnswerError struct {
 	err error
 }
@@ -154,7 +166,8 @@
 
 func (e *lostAnswerError) Unwrap() error { return e.err }
 
-// outcomeMayBeUnknown tells whether an error leaves open what a change did.
+// outcomeMayBeUnknown reports whether a change may have taken effect although
+// sending it returned the error.
 func outcomeMayBeUnknown(err error) bool {
 	var lost *lostAnswerError
 	if errors.As(err, &lost) {
@@ -164,7 +177,7 @@
 	return errors.As(err, &problem) && problem.Ran == result.RanUnknown.String()
 }
 
-// send makes one request.
+// send sends one request and decodes its answer.
 func (c *client) send(ctx context.Context, ch *change, into any) error {
 	request, err := c.request(ctx, ch)
 	if err != nil {
@@ -185,7 +198,8 @@
 	return decodeAnswer(response, data, into)
 }
 
-// neverSent tells whether a request failed before it could go out.
+// neverSent reports whether a request failed before it could be sent: the
+// connection could not be opened, or the server's certificate was not trusted.
 func neverSent(err error) bool {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
@@ -230,8 +244,9 @@
 	return bytes.NewReader(data), err
 }
 
-// decodeAnswer reads an answer. One that is no router's, as from a balancer between,
-// tells nothing of what a router did.
+// decodeAnswer decodes an answer. An answer that does not come from a router, for
+// example from a load balancer in between, counts as lost, because it does not
+// show what the router did.
 func decodeAnswer(response *http.Response, data []byte, into any) error {
 	if response.StatusCode < http.StatusMultipleChoices {
 		if err := json.Unmarshal(data, into); err != nil {
--- a/cmd/figstile/internal/cli/config.go
+++ b/cmd/figstile/internal/cli/config.go
@@ -21,10 +21,10 @@
 	Validate configValidate `cmd:"" help:"Check a file as apply would, without changing anything."`
 }
 
-// objectKey is a key as operators write it: root or teams/NAME.
+// objectKey is the key of an object as operators write it: root or teams/NAME.
 type objectKey string
 
-// path returns the object's path below a resource of the API.
+// path returns the object's URL path below a resource of the administration API.
 func (k objectKey) path(resource string) string {
 	relativeKey := strings.TrimPrefix(string(k), config.Prefix)
 	return escapedPath(append([]string{resource}, strings.Split(relativeKey, "/")...)...)
@@ -36,7 +36,8 @@
 	return doc, err
 }
 
-// getObjectOrEmpty returns a document of version zero if there is no object.
+// getObjectOrEmpty returns a document with version zero and an empty value if the
+// object does not exist.
 func (a *app) getObjectOrEmpty(key objectKey) (admin.ObjectDocument, error) {
 	doc, err := a.getObject(key)
 	var problem *problemError
@@ -59,8 +60,9 @@
 		return err
 	}
 	return a.out.show(doc, func() {
-		// The value alone, so that it can be edited and applied; its change
-		// id tells apply which version it was.
+		// Only the value is printed, so that it can be edited and applied.
+		// From the change id in it, apply finds out the version it was made
+		// from.
 		pretty, _ := json.MarshalIndent(doc.Value, "", "  ")
 		fmt.Fprintf(a.out.w, "%s\n", pretty)
 	})
@@ -91,7 +93,8 @@
 	return rows
 }
 
-// fileArgs name an object and the file that is to replace it.
+// fileArgs holds the arguments that name an object and the file with its new
+// content.
 type fileArgs struct {
 	Key  objectKey `arg:"" help:"root or teams/NAME."`
 	File string    `arg:"" help:"File with the whole object; - reads the standard input."`
@@ -136,9 +139,10 @@
 	return a.applyChange(ch)
 }
 
-// baseVersion finds the version that the file was made from. The file names it by
-// the change id it was read with; if another change is in force by now, the
-// operator has edited an old copy and would undo what others did since.
+// baseVersion returns the version that the file is meant to replace. The file
+// contains the id of the change that was in force when the object was read. If
+// another change is in force now, applying the file would undo changes that
+// others have made since then, so baseVersion returns an error.
 func (c configApply) baseVersion(a *app, data []byte) (uint64, error) {
 	if c.Create {
 		return 0, nil
@@ -167,8 +171,8 @@
 	return object.ChangeID
 }
 
-// newStaleFileError is the conflict that the router would report if it knew what the
-// file was made from.
+// newStaleFileError returns the conflict that the router would report if it knew
+// the version that the file was made from.
 func newStaleFileError(current admin.ObjectDocument, fileChangeID string) error {
 	changes, _ := config.HistoryOf(current.Key, current.Value)
 	expected, _ := config.VersionOf(changes, fileChangeID, current.Version)
@@ -183,7 +187,8 @@
 	}}
 }
 
-// readWithCurrent returns the file's content and the object in force, if any.
+// readWithCurrent returns the file's content and the object in force. The object
+// is empty if it does not exist.
 func (f fileArgs) readWithCurrent(a *app) (data []byte, current admin.ObjectDocument, err error) {
 	if data, err = f.readFile(); err != nil {
 		return nil, current, err
--- a/cmd/figstile/internal/cli/dev.go
+++ b/cmd/figstile/internal/cli/dev.go
@@ -24,19 +24,21 @@
 }
 
 const (
-	// defaultLogLevel is that of the flag.
+	// defaultLogLevel is the default of the flag --log-level.
 	defaultLogLevel = "warn"
-	// defaultTrialDuration is the length of the load of dev --once: the engine that
-	// leaves is away for six seconds of it.
+	// defaultTrialDuration is the default length of the load of dev --once. One
+	// engine leaves during the load and is unavailable for six of these seconds.
 	defaultTrialDuration = 8 * time.Second
-	// defaultWorkloadDuration lets the fairness bound tell: in a shorter run even a
-	// fleet that serves one workspace only stays within it.
+	// defaultWorkloadDuration is long enough for the fairness bound to detect
+	// faults: in a shorter run, even a fleet that serves only one workspace
+	// stays within the bound.
 	defaultWorkloadDuration = 30 * time.Second
-	// startTimeout bounds the start of a fleet, which takes a second.
+	// startTimeout limits the time to start a fleet, which takes about a second.
 	startTimeout = 30 * time.Second
 )
 
-// promiseError says that a promise was broken; which one is printed already.
+// promiseError reports that the fleet broke one of its promises. The broken
+// promise has already been printed.
 type promiseError struct{}
 
 func (promiseError) Error() string { return "a promise was broken" }
@@ -89,7 +91,8 @@
 	return writeJSON(d.Describe, fleet.Describe())
 }
 
-// loadDuration is how long a load lasts.
+// loadDuration returns the length of a load: the value of --duration, or the
+// fallback if the flag is not given.
 func (d devCommand) loadDuration(fallback time.Duration) time.Duration {
 	if d.Duration > 0 {
 		return d.Duration
@@ -105,13 +108,14 @@
 	return showTrial(a, trial)
 }
 
-// runOnPlatform starts routers on stand-ins of the users' platform.
+// runOnPlatform starts routers that use stand-ins of the users' platform.
 func (d devCommand) runOnPlatform(a *app) (err error) {
 	ctx, cancel := context.WithTimeout(a.ctx, startTimeout)
 	defer cancel()
 	level := d.LogLevel
 	if level == defaultLogLevel {
-		// These routers log each refusal as a warning.
+		// These routers log every refused request as a warning, so the default
+		// for them is to log errors only.
 		level = "error"
 	}
 	fleet, err := devfleet.StartEdge(ctx, logging.New(os.Stderr, level))
@@ -137,13 +141,14 @@
 	return showTrial(a, trial)
 }
 
-// trial is a load and what came of it.
+// trial is the result of a load that was sent to a fleet.
 type trial interface {
 	WriteText(w io.Writer) error
 	Held() bool
 }
 
-// showTrial prints a trial and fails if it broke a promise.
+// showTrial prints a trial and returns an error if the fleet broke a promise
+// during it.
 func showTrial(a *app, t trial) error {
 	var writeErr error
 	if err := a.out.show(t, func() { writeErr = t.WriteText(a.out.w) }); err != nil {
@@ -155,7 +160,8 @@
 	return writeErr
 }
 
-// waitForEnd ends with the command or after the given time.
+// waitForEnd waits until the command is stopped or, if --duration is given, until
+// that time has passed.
 func (d devCommand) waitForEnd(ctx context.Context) {
 	if d.Duration > 0 {
 		limited, cancel := context.WithTimeout(ctx, d.Duration)
@@ -173,8 +179,8 @@
 	})
 }
 
-// writeFile creates a file and reports the error of closing it too: a full
-// disk shows only then.
+// writeFile creates a file and writes its content. It also returns the error of
+// closing the file, because a full disk may be reported only then.
 func writeFile(path string, write func(io.Writer) error) error {
 	file, err := os.Create(path)
 	if err != nil {
--- a/cmd/figstile/internal/cli/diff.go
+++ b/cmd/figstile/internal/cli/diff.go
@@ -33,15 +33,15 @@
 	return differsError{}
 }
 
-// difference is one value that differs between the object and the file. An
-// absent side is empty.
+// difference is one value that differs between the object and the file. Before
+// or After is empty if the value is absent on that side.
 type difference struct {
 	Path   string `json:"path"`
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// String renders the difference as one line.
+// String formats the difference as one line.
 func (d difference) String() string {
 	switch {
 	case d.Before == "":
@@ -53,9 +53,10 @@
 	}
 }
 
-// flatten maps the path of every value in a JSON object to the value, except
-// for the record of changes. Elements with a name are found by it, so that a
-// changed order or an added element doesn't show as a change of all others.
+// flatten maps the path of every value in a JSON object to the value. It leaves
+// out the change id and the change history. A path contains an element's name
+// instead of its index, so that a changed order or an added element does not
+// appear as a change of all other elements.
 func flatten(data []byte) (map[string]string, error) {
 	var object map[string]any
 	if err := json.Unmarshal(data, &object); err != nil {
@@ -92,8 +93,9 @@
 	return path + "." + name
 }
 
-// elementName is the element's own name or, for a plain value such as a
-// token's digest, the value itself.
+// elementName returns the name of an element of a list. A string, such as a
+// token's digest, is its own name. Any other element without a name is identified
+// by its index.
 func elementName(i int, element any) string {
 	switch element := element.(type) {
 	case string:
--- a/cmd/figstile/internal/cli/drain.go
+++ b/cmd/figstile/internal/cli/drain.go
@@ -9,9 +9,9 @@
 type drainCommand struct{}
 
 func (drainCommand) Run(a *app) error {
-	var done admin.DrainResult
-	if err := a.client.apply(a.ctx, newChange("POST", "/drain", nil), &done); err != nil {
+	var drainResult admin.DrainResult
+	if err := a.client.apply(a.ctx, newChange("POST", "/drain", nil), &drainResult); err != nil {
 		return err
 	}
-	return a.out.show(done, func() { fmt.Fprintf(a.out.w, "%s: draining\n", done.Router) })
+	return a.out.show(drainResult, func() { fmt.Fprintf(a.out.w, "%s: draining\n", drainResult.Router) })
 }
--- a/cmd/figstile/internal/cli/exit.go
+++ b/cmd/figstile/internal/cli/exit.go
@@ -11,8 +11,8 @@
 	"github.com/figstile/figstile/transport/admin"
 )
 
-// Exit codes. They are documented in docs/OPERATIONS.md and in --help; scripts
-// rely on them.
+// Exit codes. They are documented in docs/OPERATIONS.md and in --help, and
+// scripts rely on them.
 const (
 	exitOK          = 0
 	exitInternal    = 1
@@ -24,28 +24,29 @@
 	exitDiffers     = 7
 )
 
-// exitCoder is an error with an exit code of its own.
+// exitCoder is an error that determines the exit code of the process.
 type exitCoder interface {
 	error
 	exitCode() int
 }
 
-// usageError is a fault of the command line that the parser cannot see.
+// usageError reports a mistake in the command line that the parser cannot
+// detect.
 type usageError string
 
 func (e usageError) Error() string { return string(e) }
 
 func (e usageError) exitCode() int { return exitUsage }
 
-// differsError says that two objects differ; the difference is printed
-// already.
+// differsError reports that two objects differ. Its text is empty, because the
+// differences have already been printed.
 type differsError struct{}
 
 func (differsError) Error() string { return "" }
 
 func (differsError) exitCode() int { return exitDiffers }
 
-// unavailableError says that no router could be asked and that nothing was
+// unavailableError reports that no router could be reached and that nothing was
 // changed.
 type unavailableError struct {
 	server string
@@ -60,8 +61,8 @@
 
 func (e *unavailableError) exitCode() int { return exitUnavailable }
 
-// unknownOutcomeError says that a change was sent and that its outcome could not be
-// found out.
+// unknownOutcomeError reports that a change was sent but that it is unknown
+// whether it took effect.
 type unknownOutcomeError struct {
 	changeID   string
 	repeatable bool
@@ -81,12 +82,13 @@
 
 func (e *unknownOutcomeError) exitCode() int { return exitUnknown }
 
-// problemError is a router's refusal.
+// problemError is the problem document with which a router refused a request.
 type problemError struct {
 	admin.Problem
 }
 
-// exitCodes maps result codes; all others are refusals.
+// exitCodes maps result codes to exit codes. All other result codes map to
+// exitRefused.
 var exitCodes = map[result.Code]int{
 	result.ConfigConflict:      exitConflict,
 	result.PlatformUnavailable: exitUnavailable,
@@ -103,7 +105,8 @@
 	return exitRefused
 }
 
-// Error renders the refusal with every fault, or with the winner of a race.
+// Error describes the refusal. It lists all faults if there are several and, for
+// a conflict, the change that is in force instead.
 func (e *problemError) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (%d): %s", e.Title, e.Code, e.Detail)
@@ -122,7 +125,7 @@
 	}
 }
 
-// describeWinner describes what the loser of a race lost to.
+// describeWinner describes the change with which a refused change conflicted.
 func describeWinner(c *admin.Conflict) string {
 	text := fmt.Sprintf("\n  in force: %s version %d (expected %d)", c.Key, c.Version, c.Expected)
 	if c.Winner == nil {
@@ -132,7 +135,8 @@
 		c.Winner.By, c.Winner.At.Format(time.RFC3339), c.Winner.Summary, c.Winner.ID)
 }
 
-// isUnknownOutcome tells whether an error leaves open what a change did.
+// isUnknownOutcome reports whether an error means that a change was sent and may
+// have taken effect.
 func isUnknownOutcome(err error) bool {
 	var unknown *unknownOutcomeError
 	return errors.As(err, &unknown)
--- a/cmd/figstile/internal/cli/explain.go
+++ b/cmd/figstile/internal/cli/explain.go
@@ -7,13 +7,14 @@
 	"github.com/figstile/figstile/logstory"
 )
 
-// explainCommand tells the story of one request. It makes no call to a router.
+// explainCommand explains from log files what happened to one request. It calls
+// no router.
 type explainCommand struct {
 	ID    string   `arg:"" help:"The request's id, as its caller sent it."`
 	Files []string `arg:"" help:"Logs of the routers." type:"existingfile"`
 }
 
-// Run prints the story.
+// Run prints the timeline of the request.
 func (c *explainCommand) Run(a *app) error {
 	logs := make(map[string]io.Reader)
 	for _, name := range c.Files {
--- a/cmd/figstile/internal/cli/load.go
+++ b/cmd/figstile/internal/cli/load.go
@@ -65,7 +65,8 @@
 	return options, err
 }
 
-// fleet reads the description and adds what the flags name.
+// fleet reads the description of the fleet from the file of --fleet and adds the
+// routers and upstreams that the other flags name.
 func (l loadCommand) fleet(a *app) (loadgen.Fleet, error) {
 	var fleet loadgen.Fleet
 	if l.Fleet != "" {
--- a/cmd/figstile/internal/cli/load_test.go
+++ b/cmd/figstile/internal/cli/load_test.go
@@ -11,7 +11,8 @@
 	"github.com/figstile/figstile/loadgen"
 )
 
-// runWithoutRouter runs a command that needs no router.
+// runWithoutRouter runs a command that calls no router and returns its exit code
+// and error output.
 func runWithoutRouter(t *testing.T, args ...string) (code int, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
--- a/cmd/figstile/internal/cli/output.go
+++ b/cmd/figstile/internal/cli/output.go
@@ -11,13 +11,14 @@
 	"github.com/figstile/figstile/transport/admin"
 )
 
-// output prints results as tables for people or as JSON for programs.
+// output prints results as tables for operators or as JSON for programs.
 type output struct {
 	w    io.Writer
 	json bool
 }
 
-// show prints v as JSON, or else calls table.
+// show prints v as JSON if the output format is JSON. Otherwise it calls
+// writeText.
 func (o *output) show(v any, writeText func()) error {
 	if !o.json {
 		writeText()
@@ -28,7 +29,7 @@
 	return encoder.Encode(v)
 }
 
-// printTable prints rows in columns.
+// printTable prints a header and rows in aligned columns.
 func (o *output) printTable(header []string, rows [][]string) {
 	tw := tabwriter.NewWriter(o.w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, strings.Join(header, "\t"))
@@ -38,24 +39,24 @@
 	_ = tw.Flush()
 }
 
-// printWriteResult prints what a change did.
-func (o *output) printWriteResult(done admin.WriteResult) error {
-	return o.show(done, func() { fmt.Fprintln(o.w, writeResultLine(done)) })
+// printWriteResult prints the result of a change.
+func (o *output) printWriteResult(writeResult admin.WriteResult) error {
+	return o.show(writeResult, func() { fmt.Fprintln(o.w, writeResultLine(writeResult)) })
 }
 
-func writeResultLine(done admin.WriteResult) string {
+func writeResultLine(writeResult admin.WriteResult) string {
 	switch {
-	case done.DryRun:
-		return fmt.Sprintf("%s: valid", done.Key)
-	case done.Unchanged:
-		return fmt.Sprintf("%s: unchanged at version %d", done.Key, done.Version)
+	case writeResult.DryRun:
+		return fmt.Sprintf("%s: valid", writeResult.Key)
+	case writeResult.Unchanged:
+		return fmt.Sprintf("%s: unchanged at version %d", writeResult.Key, writeResult.Version)
 	default:
-		return fmt.Sprintf("%s: version %d, change %s", done.Key, done.Version, done.ChangeID)
+		return fmt.Sprintf("%s: version %d, change %s", writeResult.Key, writeResult.Version, writeResult.ChangeID)
 	}
 }
 
-// formatCell renders a value for a table; empty ones become a dash, so that columns
-// stay apart.
+// formatCell formats a value as a cell of a table. An empty value becomes a dash,
+// so that adjacent columns stay distinguishable.
 func formatCell(v any) string {
 	var text string
 	switch v := v.(type) {
@@ -74,7 +75,7 @@
 	return text
 }
 
-// joinNames renders names for one cell.
+// joinNames joins names with commas to form one cell of a table.
 func joinNames[T ~string](names []T) string {
 	texts := make([]string, len(names))
 	for i, name := range names {
@@ -83,7 +84,7 @@
 	return strings.Join(texts, ",")
 }
 
-// formatRow renders a row.
+// formatRow formats values as the cells of one row.
 func formatRow(values ...any) []string {
 	row := make([]string, len(values))
 	for i, v := range values {
--- a/cmd/figstile/internal/cli/replay.go
+++ b/cmd/figstile/internal/cli/replay.go
@@ -7,7 +7,8 @@
 	"github.com/figstile/figstile/replay"
 )
 
-// errReplayFailed is returned once the report has been printed.
+// errReplayFailed is returned if a check failed, after the report has been
+// printed.
 var errReplayFailed = errors.New("replay: a trace or an outcome failed")
 
 type replayCommand struct {
--- a/cmd/figstile/internal/cli/status.go
+++ b/cmd/figstile/internal/cli/status.go
@@ -20,7 +20,8 @@
 	return a.out.show(fleet, func() { a.out.printFleet(fleet) })
 }
 
-// printFleet prints one table for each question an operator has.
+// printFleet prints the fleet's status as tables: routers, objects of the
+// settings, upstreams, workspaces and fairness gaps.
 func (o *output) printFleet(printFleet admin.FleetStatus) {
 	newest := newestVersions(printFleet)
 	o.printTable([]string{"ROUTER", "DATA CENTRE", "READY", "DRAINING", "SETTINGS", "SINCE"}, routerRows(printFleet, newest))
@@ -30,7 +31,8 @@
 	o.printSection([]string{"SERVICE", "FAIRNESS GAP"}, gapRows(printFleet))
 }
 
-// printSection prints a table after an empty line, unless it has no rows.
+// printSection prints an empty line and a table. It prints nothing if the table
+// has no rows.
 func (o *output) printSection(header []string, rows [][]string) {
 	if len(rows) == 0 {
 		return
@@ -39,7 +41,7 @@
 	o.printTable(header, rows)
 }
 
-// receivedStatuses returns the status of the routers that answered.
+// receivedStatuses returns the statuses of the routers that answered.
 func receivedStatuses(fleet admin.FleetStatus) []*admin.RouterStatus {
 	var statuses []*admin.RouterStatus
 	for _, r := range fleet.Routers {
@@ -50,7 +52,8 @@
 	return statuses
 }
 
-// newestVersions returns the newest version of each object in the fleet.
+// newestVersions returns the newest version of each object that any router
+// reported.
 func newestVersions(fleet admin.FleetStatus) map[string]admin.ObjectVersion {
 	newest := make(map[string]admin.ObjectVersion)
 	for _, s := range receivedStatuses(fleet) {
@@ -63,7 +66,8 @@
 	return newest
 }
 
-// routerRows say of each router whether it has the newest settings.
+// routerRows returns one row per router. The row shows whether the router has the
+// newest settings.
 func routerRows(fleet admin.FleetStatus, newest map[string]admin.ObjectVersion) [][]string {
 	var rows [][]string
 	for _, r := range fleet.Routers {
@@ -94,7 +98,8 @@
 	}
 }
 
-// objectRows say how many routers have the newest version of each object.
+// objectRows returns one row per object of the settings. The row shows how many
+// routers have its newest version.
 func objectRows(fleet admin.FleetStatus, newest map[string]admin.ObjectVersion) [][]string {
 	upToDate := make(map[string]int)
 	routers := receivedStatuses(fleet)
@@ -117,44 +122,46 @@
 	return rows
 }
 
-// upstreamRows show each upstream once, with the requests of all routers. The
-// rest is taken from its owner, which knows it best.
+// upstreamRows returns one row per upstream with the number of requests that all
+// routers together run on it. The other columns come from the upstream's owner if
+// it answered, because its information is the most accurate.
 func upstreamRows(fleet admin.FleetStatus) [][]string {
 	running := make(map[state.Upstream]int)
-	views := make(map[state.Upstream]admin.UpstreamStatus)
+	statuses := make(map[state.Upstream]admin.UpstreamStatus)
 	for _, s := range receivedStatuses(fleet) {
 		for _, u := range s.Upstreams {
 			running[u.Upstream] += u.Running
-			if _, known := views[u.Upstream]; !known || u.Owner == s.Router {
-				views[u.Upstream] = u
+			if _, seen := statuses[u.Upstream]; !seen || u.Owner == s.Router {
+				statuses[u.Upstream] = u
 			}
 		}
 	}
 	var rows [][]string
-	for _, name := range slices.Sorted(maps.Keys(views)) {
-		u := views[name]
+	for _, name := range slices.Sorted(maps.Keys(statuses)) {
+		u := statuses[name]
 		rows = append(rows, formatRow(name, u.Service, u.DataCentre, u.Owner, running[name], u.Slots, u.Usable, u.Draining))
 	}
 	return rows
 }
 
-// workspaceRows add up what the routers say of each workspace and service.
+// workspaceRows returns one row per service and workspace with the sums of the
+// numbers that the routers reported.
 func workspaceRows(fleet admin.FleetStatus) [][]string {
-	type pair struct {
+	type serviceWorkspace struct {
 		service   state.Service
 		workspace state.Workspace
 	}
-	sums := make(map[pair]admin.WorkspaceStatus)
+	sums := make(map[serviceWorkspace]admin.WorkspaceStatus)
 	for _, s := range receivedStatuses(fleet) {
 		for _, w := range s.Workspaces {
-			sum := sums[pair{w.Service, w.Workspace}]
+			sum := sums[serviceWorkspace{w.Service, w.Workspace}]
 			sum.Waiting += w.Waiting
 			sum.Running += w.Running
 			sum.Served += w.Served
-			sums[pair{w.Service, w.Workspace}] = sum
+			sums[serviceWorkspace{w.Service, w.Workspace}] = sum
 		}
 	}
-	keys := slices.SortedFunc(maps.Keys(sums), func(a, b pair) int {
+	keys := slices.SortedFunc(maps.Keys(sums), func(a, b serviceWorkspace) int {
 		return cmp.Or(cmp.Compare(a.service, b.service), cmp.Compare(a.workspace, b.workspace))
 	})
 	var rows [][]string
@@ -165,7 +172,8 @@
 	return rows
 }
 
-// gapRows show the widest gap that any router sees.
+// gapRows returns one row per service with the largest fairness gap that any
+// router reported.
 func gapRows(fleet admin.FleetStatus) [][]string {
 	gaps := make(map[state.Service]state.Cost)
 	for _, s := range receivedStatuses(fleet) {
@@ -180,7 +188,7 @@
 	return rows
 }
 
-// formatUnits renders a cost in whole units.
+// formatUnits formats a cost in cost units with one decimal.
 func formatUnits(c state.Cost) string {
 	return fmt.Sprintf("%.1f", float64(c)/float64(state.CostUnit))
 }
--- a/cmd/figstile/internal/cli/team.go
+++ b/cmd/figstile/internal/cli/team.go
@@ -88,11 +88,11 @@
 	return a.applyChange(c)
 }
 
-// applyChange applies c and prints what it did.
+// applyChange sends the change c and prints its result.
 func (a *app) applyChange(c *change) error {
-	var done admin.WriteResult
-	if err := a.client.apply(a.ctx, c, &done); err != nil {
+	var writeResult admin.WriteResult
+	if err := a.client.apply(a.ctx, c, &writeResult); err != nil {
 		return err
 	}
-	return a.out.printWriteResult(done)
+	return a.out.printWriteResult(writeResult)
 }
--- a/cmd/figstile/internal/cli/upstream.go
+++ b/cmd/figstile/internal/cli/upstream.go
@@ -24,7 +24,8 @@
 	})
 }
 
-// formatSlots renders a configured bound; without one the load report's holds.
+// formatSlots formats the configured number of slots. If none is configured, the
+// number in the upstream's load report applies.
 func formatSlots(n int) any {
 	if n == 0 {
 		return "reported"
--- a/cmd/figstile/internal/cli/workspace.go
+++ b/cmd/figstile/internal/cli/workspace.go
@@ -17,7 +17,7 @@
 	Delete      workspaceDelete      `cmd:"" help:"Delete a workspace; its callers are refused at once."`
 }
 
-// listWorkspaces returns the workspaces in force that the token reaches.
+// listWorkspaces returns the workspaces in force that the token gives access to.
 func (a *app) listWorkspaces() ([]admin.WorkspaceDocument, error) {
 	var list admin.WorkspaceList
 	err := a.client.get(a.ctx, "/workspaces", &list)
@@ -72,13 +72,14 @@
 	return a.applyChange(w.newChange("POST", escapedPath("teams", w.Team, "workspaces"), body))
 }
 
-// existingWorkspace names a workspace and finds its team.
+// existingWorkspace holds the arguments of commands for a workspace that already
+// exists. Without --team, the workspace's team is read from the router.
 type existingWorkspace struct {
 	Name string `arg:"" help:"Name of the workspace."`
 	Team string `help:"Its team; by default the one that it has on the asked router."`
 }
 
-// path returns the workspace's path followed by further segments.
+// path returns the workspace's URL path followed by further segments.
 func (e existingWorkspace) path(a *app, further ...string) (string, error) {
 	team := e.Team
 	if team == "" {
@@ -104,7 +105,8 @@
 	return "", unknownWorkspaceError(workspace)
 }
 
-// unknownWorkspaceError names a workspace that the asked router does not show.
+// unknownWorkspaceError reports that the router does not list the named
+// workspace.
 type unknownWorkspaceError string
 
 func (e unknownWorkspaceError) Error() string {
--- a/cmd/figstile/main.go
+++ b/cmd/figstile/main.go
@@ -1,4 +1,4 @@
-// Command figstile is the operators' command line.
+// Command figstile is the command line tool for operators of a router fleet.
 package main
 
 import (
