--- a/cmd/figstiled/edge.go
+++ b/cmd/figstiled/edge.go
@@ -16,11 +16,12 @@
 	"github.com/figstile/figstile/transport/logging"
 )
 
-// settingsPollInterval is how often the settings file is looked at: it may change
-// without a signal.
+// settingsPollInterval is the interval at which the settings file is checked for
+// changes. The file may change without a signal to the process.
 const settingsPollInterval = 2 * time.Second
 
-// edgeCommand runs a router on the users' platform.
+// edgeCommand runs a router on the users' platform. The platform's settings file
+// sets it up.
 type edgeCommand struct {
 	Settings string `help:"Path of the platform's settings file." env:"FIGSTILE_CONFIG" required:"" type:"path"`
 	Metrics  string `help:"Address for figures; empty serves none." env:"FIGSTILE_METRICS_LISTEN"`
@@ -53,8 +54,8 @@
 	return 0
 }
 
-// reloadSeeds takes new seeds from the settings file at SIGHUP and when the
-// file has changed. Unusable settings leave the old ones in force.
+// reloadSeeds reads new seeds from the settings file on SIGHUP and when the file
+// has changed. If the settings are invalid, the old ones stay in force.
 func reloadSeeds(ctx context.Context, path string, router *edge.Router, log zerolog.Logger) {
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
--- a/cmd/figstiled/main.go
+++ b/cmd/figstiled/main.go
@@ -1,4 +1,5 @@
-// Command figstiled is the router daemon of an entry VM.
+// Command figstiled is the router daemon. It runs on the VMs that receive the
+// callers' requests.
 package main
 
 import (
@@ -39,7 +40,8 @@
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// serveCommand runs a router with the project's own interface.
+// serveCommand runs a router that is set up by flags and the settings tree. It
+// offers the project's own HTTP interface.
 type serveCommand struct {
 	daemon.Options
 }
@@ -83,10 +85,10 @@
 	return 0
 }
 
-// contextUntilSignal returns a context that ends with the order to stop. The process
-// goes on to listen for orders until it is gone: a further one would otherwise
-// end it by the signal, before its last log lines are written and with an exit
-// code that tells of a failure.
+// contextUntilSignal returns a context that is cancelled by the first SIGTERM or
+// SIGINT. The process keeps handling these signals until it ends. Otherwise a
+// second signal would kill it before its last log lines are written, and with an
+// exit code that reports a failure.
 func contextUntilSignal() context.Context {
 	ctx, _ := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	return ctx
