--- a/logstory/doc.go
+++ b/logstory/doc.go
@@ -1,4 +1,4 @@
-// Package logstory tells what happened to one request from the logs of the
-// routers that it met: it reads lines of key=value pairs, picks those that bear
-// the request's id, and says in words what decided its end.
+// Package logstory explains what happened to one request. It parses the logs of
+// routers, whose lines consist of key=value pairs, selects the lines with the
+// request's id, and describes in plain sentences why the request ended as it did.
 package logstory
--- a/logstory/line.go
+++ b/logstory/line.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// Line is one log line.
+// Line is one parsed log line.
 type Line struct {
-	// Time is the writer's time of day; zero if the line has none.
+	// Time is the time that the router wrote to the line. It is zero if the
+	// line has no valid time.
 	Time time.Time
-	// File names where the line was read.
+	// File is the name of the log that contains the line.
 	File string
-	// Fields are its pairs.
+	// Fields holds the values of the line's pairs by key.
 	Fields map[string]string
 }
 
-// ParseLine reads key=value pairs. What stands before the first pair, as some
-// collectors put it there, is skipped. It returns false for a line that
-// was cut within a value or has no event.
+// ParseLine parses a line of key=value pairs. It skips words that are not pairs,
+// because some log collectors put a prefix before the first pair. It returns
+// false for a line that ends within a quoted value or has no event.
 func ParseLine(file, text string) (Line, bool) {
 	line := Line{File: file, Fields: make(map[string]string)}
 	rest := text
@@ -37,7 +38,8 @@
 	return line, line.Fields["event"] != ""
 }
 
-// skipToPair drops words that are no pair.
+// skipToPair removes leading words that are not key=value pairs. It returns an
+// empty string if no pair follows.
 func skipToPair(text string) string {
 	text = strings.TrimLeft(text, " \t")
 	for text != "" {
@@ -50,8 +52,9 @@
 	return ""
 }
 
-// parseValue reads a bare or quoted value and returns what follows it. A quoted
-// one without its end is no value: the line was cut.
+// parseValue parses an unquoted or quoted value at the start of the text and
+// returns the value and the text after it. It returns false for a quoted value
+// without a closing quote, which means that the line was truncated.
 func parseValue(text string) (value, rest string, ok bool) {
 	if !strings.HasPrefix(text, `"`) {
 		value, rest, _ = strings.Cut(text, " ")
--- a/logstory/story.go
+++ b/logstory/story.go
@@ -11,19 +11,23 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// maxLineBytes bounds a line; longer ones are counted as damaged.
+// maxLineBytes limits the length of a line. Collect returns an error for a log
+// with a longer line.
 const maxLineBytes = 1 << 20
 
-// Timeline is what the logs say of one request.
+// Timeline holds the log lines of one request in order of time.
 type Timeline struct {
+	// ID is the id that the caller gave the request.
 	ID string
-	// Lines are those of the request, in order of time.
+	// Lines holds the lines with the request's id, sorted by time.
 	Lines []Line
-	// TotalLines counts all lines, Damaged those that could not be read.
+	// TotalLines is the number of lines in all logs. MalformedLines is the
+	// number of them that could not be parsed.
 	TotalLines, MalformedLines int
 }
 
-// Collect reads logs by name and returns the story of a request.
+// Collect reads the logs, which are given by name, and returns the timeline of
+// the request with the given id.
 func Collect(id string, logs map[string]io.Reader) (Timeline, error) {
 	timeline := Timeline{ID: id}
 	names := make([]string, 0, len(logs))
@@ -40,31 +44,32 @@
 	return timeline, nil
 }
 
-func (s *Timeline) readLog(name string, log io.Reader) error {
+func (t *Timeline) readLog(name string, log io.Reader) error {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scanner.Scan() {
-		s.TotalLines++
+		t.TotalLines++
 		line, ok := ParseLine(name, scanner.Text())
 		switch {
 		case !ok:
-			s.MalformedLines++
-		case line.Fields["id"] == s.ID:
-			s.Lines = append(s.Lines, line)
+			t.MalformedLines++
+		case line.Fields["id"] == t.ID:
+			t.Lines = append(t.Lines, line)
 		}
 	}
 	return scanner.Err()
 }
 
-// Write prints the story: a line per event, then what decided the end.
-func (s Timeline) Write(w io.Writer) error {
+// Write prints the timeline: one line per event, then the explanation of the
+// request's end and, if there are any, the number of malformed lines.
+func (t Timeline) Write(w io.Writer) error {
 	var b strings.Builder
-	for _, line := range s.Lines {
+	for _, line := range t.Lines {
 		fmt.Fprintf(&b, "%s  %s  %s\n", line.Time.Format("15:04:05.000"), line.File, describe(line))
 	}
-	fmt.Fprintf(&b, "%s\n", s.Explanation())
-	if s.MalformedLines > 0 {
-		fmt.Fprintf(&b, "%d of %d lines could not be read.\n", s.MalformedLines, s.TotalLines)
+	fmt.Fprintf(&b, "%s\n", t.Explanation())
+	if t.MalformedLines > 0 {
+		fmt.Fprintf(&b, "%d of %d lines could not be read.\n", t.MalformedLines, t.TotalLines)
 	}
 	_, err := io.WriteString(w, b.String())
 	return err
@@ -82,16 +87,16 @@
 	}
 }
 
-// Explanation says in a sentence or two what decided the request's end.
-func (s Timeline) Explanation() string {
-	i := slices.IndexFunc(s.Lines, func(l Line) bool { return l.Fields["event"] == "request" })
-	if len(s.Lines) == 0 {
-		return fmt.Sprintf("No line bears the id %q: the request reached none of these routers, or its lines were dropped.", s.ID)
+// Explanation explains in one or a few sentences why the request ended as it did.
+func (t Timeline) Explanation() string {
+	i := slices.IndexFunc(t.Lines, func(l Line) bool { return l.Fields["event"] == "request" })
+	if len(t.Lines) == 0 {
+		return fmt.Sprintf("No line bears the id %q: the request reached none of these routers, or its lines were dropped.", t.ID)
 	}
 	if i < 0 {
 		return "The request has no final line: its router stopped first, or still runs it."
 	}
-	fields := s.Lines[i].Fields
+	fields := t.Lines[i].Fields
 	explanation := explainResult(fields)
 	if fields["abandoned"] == "true" {
 		explanation += " Its caller had left by then."
@@ -102,7 +107,8 @@
 	return explanation
 }
 
-// explainResult explains a final line by the figures that decided.
+// explainResult explains the result of a request from the fields of its final log
+// line. These fields hold the values that the router's decision was based on.
 func explainResult(fields map[string]string) string {
 	code, _ := strconv.Atoi(fields["code"])
 	switch result.Code(code) {
@@ -117,8 +123,9 @@
 	}
 }
 
-// explainOverShare tells whether the wait decided, or that the workspace has so much that
-// no engine is for it however idle.
+// explainOverShare explains a refusal because of the workspace's fair share. Either
+// the expected wait was above the limit for this workspace, or the workspace used
+// so much of its share that it is refused even if an engine is idle.
 func explainOverShare(fields map[string]string) string {
 	wait, _ := strconv.Atoi(fields["wait_ms"])
 	limit, _ := strconv.Atoi(fields["limit_ms"])
