--- a/replay/replay.go
+++ b/replay/replay.go
@@ -17,22 +17,23 @@
 	"github.com/figstile/figstile/transport/daemon"
 )
 
-// LeavingGrace is how long after its announcement an upstream may still get
-// work: "a few seconds" of the stated outcome.
+// LeavingGrace is how long an upstream may still receive requests after it
+// announced that it leaves. The stated outcome allows "a few seconds".
 const LeavingGrace = 5 * time.Second
 
-// ErrNoTrace says that a directory holds no trace.
+// ErrNoTrace is returned if a directory contains no trace.
 var ErrNoTrace = errors.New("replay: no trace found")
 
-// Report is the verdict on one directory.
+// Report is the result of all checks of one directory.
 type Report struct {
-	// Lines has one line per trace and per stated outcome.
-	Lines  []string
+	// Lines has one line per replayed trace and one per stated outcome.
+	Lines []string
+	// Passed and Failed are the numbers of lines that passed and failed.
 	Passed int
 	Failed int
 }
 
-// String returns the lines and the counts.
+// String returns the lines, followed by the numbers of passed and failed checks.
 func (r Report) String() string {
 	return fmt.Sprintf("%s\n%d passed, %d failed", strings.Join(r.Lines, "\n"), r.Passed, r.Failed)
 }
@@ -48,8 +49,9 @@
 	r.Lines = append(r.Lines, fmt.Sprintf("%s %s: %s", verdict, name, detail))
 }
 
-// CheckDir replays every trace of a directory and checks the outcomes over all of
-// them. The error is one of reading.
+// CheckDir replays every trace of a directory and checks the stated outcomes over
+// the records of all traces. It returns an error only if the traces cannot be
+// found or read; failed checks are counted in the report.
 func CheckDir(dir string) (Report, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*"+daemon.TraceSuffix))
 	if err != nil {
@@ -67,8 +69,9 @@
 	return report, report.checkOutcomes(files)
 }
 
-// replayTrace feeds one trace to today's scheduler. A trace of callers or
-// upstreams has no steps.
+// replayTrace replays one trace through the current scheduler. It skips a trace
+// without an options file: a trace of callers or upstreams contains no steps of a
+// scheduler.
 func (r *Report) replayTrace(file string) error {
 	options, err := readOptions(strings.TrimSuffix(file, daemon.TraceSuffix) + daemon.TraceOptionsSuffix)
 	if errors.Is(err, os.ErrNotExist) {
@@ -101,7 +104,7 @@
 	return options, json.Unmarshal(encoded, &options)
 }
 
-// checkOutcomes verifies the stated outcomes over the records of all files.
+// checkOutcomes checks the stated outcomes over the merged records of all files.
 func (r *Report) checkOutcomes(files []string) error {
 	var readers []io.Reader
 	for _, file := range files {
--- a/replay/replay_test.go
+++ b/replay/replay_test.go
@@ -10,12 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tracesDir are recorded runs of real processes under failure. They are recorded
-// anew, by the command in docs/PROOFS.md, when a decision changes on purpose.
+// tracesDir contains one directory per recorded run of real processes in which
+// failures were injected. The runs are recorded again, with the command in
+// docs/PROOFS.md, whenever a decision of the scheduler changes on purpose.
 const tracesDir = "../testdata/traces"
 
-// TestRecordedTracesPass replays every kept run: today's deciders must decide as the
-// recorded ones did, and every stated outcome must hold over all records.
+// TestRecordedTracesPass replays every recorded run. The current scheduler must make
+// the recorded decisions, and every stated outcome must hold over all records.
 func TestRecordedTracesPass(t *testing.T) {
 	dirs, err := filepath.Glob(filepath.Join(tracesDir, "*"))
 	require.NoError(t, err)
@@ -30,8 +31,9 @@
 	}
 }
 
-// Replaying must be able to fail, or the kept runs prove nothing. Each case
-// damages one line of a kept run as a fault of the fleet would have written it.
+// The checks must detect faults, otherwise recorded runs that pass would prove
+// nothing. Each case changes one line of a recorded run to what a faulty fleet
+// would have recorded.
 func TestDamagedTracesFail(t *testing.T) {
 	cases := map[string]struct {
 		run, file, old, new string
@@ -69,8 +71,9 @@
 	}
 }
 
-// damagedCopy copies a run and replaces the first match in one of its files.
-func damagedCopy(t *testing.T, run, file, old, replacement string) string {
+// damagedCopy copies a run and replaces the first occurrence of old in each file
+// whose name starts with the given prefix. It returns the directory of the copy.
+func damagedCopy(t *testing.T, run, filePrefix, old, replacement string) string {
 	t.Helper()
 	dir := t.TempDir()
 	entries, err := os.ReadDir(run)
@@ -79,13 +82,13 @@
 	for _, entry := range entries {
 		content, err := os.ReadFile(filepath.Join(run, entry.Name()))
 		require.NoError(t, err)
-		if strings.HasPrefix(entry.Name(), file) && strings.Contains(string(content), old) {
+		if strings.HasPrefix(entry.Name(), filePrefix) && strings.Contains(string(content), old) {
 			content = []byte(strings.Replace(string(content), old, replacement, 1))
 			damaged = true
 		}
 		require.NoError(t, os.WriteFile(filepath.Join(dir, entry.Name()), content, 0o600))
 	}
-	require.True(t, damaged, "%s has no %s", file, old)
+	require.True(t, damaged, "no file of the run whose name starts with %s contains %s", filePrefix, old)
 	return dir
 }
 
