--- a/layers_test.go
+++ b/layers_test.go
@@ -12,11 +12,12 @@
 
 const modulePath = "github.com/figstile/figstile/"
 
-// layerRanks maps each layer to its rank; a package imports only its own rank and
-// lower ones.
+// layerRanks maps each layer, a top-level folder, to its rank. A package may import
+// only packages of its own rank or of lower ranks.
 var layerRanks = map[string]int{"state": 0, "coordination": 1, "protocol": 2, "transport": 3, "platform": 4, "standin": 5}
 
-// TestImportsFollowLayers holds the layout: deciders stay free of transports.
+// TestImportsFollowLayers guards the layout of the source: packages of state and
+// coordination, which make the decisions, must not depend on packages that do I/O.
 func TestImportsFollowLayers(t *testing.T) {
 	filesChecked := 0
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -33,17 +34,17 @@
 			return err
 		}
 		for _, spec := range file.Imports {
-			name, _ := strconv.Unquote(spec.Path.Value)
-			relative, isOwn := strings.CutPrefix(name, modulePath)
+			importPath, _ := strconv.Unquote(spec.Path.Value)
+			relative, isOwn := strings.CutPrefix(importPath, modulePath)
 			if !isOwn {
-				if rank <= layerRanks["coordination"] && (name == "net" || strings.HasPrefix(name, "net/") && name != "net/http" || name == "os") {
-					t.Errorf("%s: deciders do no I/O but import %s", path, name)
+				if rank <= layerRanks["coordination"] && (importPath == "net" || strings.HasPrefix(importPath, "net/") && importPath != "net/http" || importPath == "os") {
+					t.Errorf("%s: packages of state and coordination must not do I/O, but it imports %s", path, importPath)
 				}
 				continue
 			}
 			importedRank, ok := layerRanks[strings.SplitN(relative, "/", 2)[0]]
 			if !ok || importedRank > rank {
-				t.Errorf("%s imports %s, a higher layer", path, name)
+				t.Errorf("%s imports %s, which is in a higher layer or in none", path, importPath)
 			}
 		}
 		return nil
--- a/oncall_test.go
+++ b/oncall_test.go
@@ -15,33 +15,35 @@
 	"github.com/stretchr/testify/require"
 )
 
-// edgeLogPaths are the packages whose lines the page's table of a router on the
-// platform lists.
+// edgeLogPaths lists the files and packages whose log events must all appear in the
+// table in docs/OPERATIONS.md about routers on the users' platform.
 var edgeLogPaths = []string{"transport/edge", "transport/ingress", "cmd/figstiled/edge.go"}
 
-// sharedLogPaths also log there, for all kinds of routers.
+// sharedLogPaths lists the packages that write log events for all kinds of routers.
+// The table may contain their events but does not have to.
 var sharedLogPaths = []string{"transport/peer", "transport/logging"}
 
-// An engineer follows the page at night to a field that no line has any more.
-// The page's table names the events and fields that the code writes, and each
-// event of the code.
+// An engineer on call must not search the logs for a field that no longer exists.
+// Every event and field in the page's table must exist in the code, and every
+// event that edgeLogPaths log must be in the table.
 func TestOperationsPageListsLogFields(t *testing.T) {
 	edgeEvents, allEvents := loggedEvents(t, edgeLogPaths), loggedEvents(t, append(edgeLogPaths, sharedLogPaths...))
 	page := pageEvents(t)
 	require.NotEmpty(t, page)
 	for event, fields := range page {
-		require.Contains(t, allEvents, event, "the page names an event that is not logged")
+		require.Contains(t, allEvents, event, "the table has an event that the code does not log")
 		for _, field := range fields {
-			require.True(t, allEvents[event][field], "event %q has no field %q", event, field)
+			require.True(t, allEvents[event][field], "the code logs event %q without the field %q of the table", event, field)
 		}
 	}
 	for event := range edgeEvents {
-		require.Contains(t, page, event, "the page lacks an event")
+		require.Contains(t, page, event, "the table does not have an event that the code logs")
 	}
 }
 
-// pageEvents reads the table of events: names in code marks in the first
-// column, fields in the third.
+// pageEvents reads the table of events in docs/OPERATIONS.md and returns the fields
+// of each event. The first column has the names of events in backquotes, the third
+// column the fields.
 func pageEvents(t *testing.T) map[string][]string {
 	t.Helper()
 	page, err := os.ReadFile("docs/OPERATIONS.md")
@@ -68,8 +70,8 @@
 	return events
 }
 
-// loggedEvents returns the fields of each event that the files below some
-// paths log.
+// loggedEvents returns the fields of each event that the Go files at or below the
+// given paths log. Tests are left out.
 func loggedEvents(t *testing.T, paths []string) map[string]map[string]bool {
 	t.Helper()
 	events := make(map[string]map[string]bool)
@@ -91,8 +93,9 @@
 	return events
 }
 
-// collectEvents adds the events of a function. Fields that are set before the
-// chain that ends with the event count for all its events.
+// collectEvents adds the events that a declaration logs. Fields can be set before
+// the chain of calls that ends with the event, so every field in a declaration
+// counts for all of its events.
 func collectEvents(function ast.Node, events map[string]map[string]bool) {
 	var eventNames []string
 	fields := make(map[string]bool)
