--- a/cmd/figstile/internal/cli/client.go
+++ b/cmd/figstile/internal/cli/client.go
@@ -60,8 +60,8 @@
 	idFlag
 }
 
-// change describes a request to the administration API. All requests except
-// those of get change settings or drain a router.
+// change describes a request to the administration API. Reads are described by it
+// as well, but only get uses it for them.
 type change struct {
 	method string
 	path   string
--- a/cmd/figstile/internal/cli/dev.go
+++ b/cmd/figstile/internal/cli/dev.go
@@ -37,8 +37,8 @@
 	startTimeout = 30 * time.Second
 )
 
-// promiseError reports that the fleet broke one of its promises. The broken
-// promise has already been printed.
+// promiseError reports that the fleet broke a promise, which is a property that
+// every trial checks. The broken promise has already been printed.
 type promiseError struct{}
 
 func (promiseError) Error() string { return "a promise was broken" }
@@ -143,7 +143,9 @@
 
 // trial is the result of a load that was sent to a fleet.
 type trial interface {
+	// WriteText prints the measurements and the result of each check.
 	WriteText(w io.Writer) error
+	// Held reports whether the fleet kept all promises.
 	Held() bool
 }
 
--- a/cmd/figstile/internal/cli/exit.go
+++ b/cmd/figstile/internal/cli/exit.go
@@ -105,8 +105,8 @@
 	return exitRefused
 }
 
-// Error describes the refusal. It lists all faults if there are several and, for
-// a conflict, the change that is in force instead.
+// Error describes the refusal. It lists all faults if there are several. For a
+// conflict it adds the change that is in force instead of the refused one.
 func (e *problemError) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s (%d): %s", e.Title, e.Code, e.Detail)
--- a/cmd/figstile/internal/cli/status.go
+++ b/cmd/figstile/internal/cli/status.go
@@ -17,18 +17,18 @@
 	if err := a.client.get(a.ctx, "/fleet", &fleet); err != nil {
 		return err
 	}
-	return a.out.show(fleet, func() { a.out.printFleet(fleet) })
+	return a.out.show(fleet, func() { a.out.fleetStatus(fleet) })
 }
 
-// printFleet prints the fleet's status as tables: routers, objects of the
+// fleetStatus prints the fleet's status as tables: routers, objects of the
 // settings, upstreams, workspaces and fairness gaps.
-func (o *output) printFleet(printFleet admin.FleetStatus) {
-	newest := newestVersions(printFleet)
-	o.printTable([]string{"ROUTER", "DATA CENTRE", "READY", "DRAINING", "SETTINGS", "SINCE"}, routerRows(printFleet, newest))
-	o.printSection([]string{"OBJECT", "VERSION", "ROUTERS", "CHANGED BY", "AT"}, objectRows(printFleet, newest))
-	o.printSection([]string{"UPSTREAM", "SERVICE", "DATA CENTRE", "OWNER", "RUNNING", "SLOTS", "USABLE", "DRAINING"}, upstreamRows(printFleet))
-	o.printSection([]string{"SERVICE", "WORKSPACE", "WAITING", "RUNNING", "SERVED"}, workspaceRows(printFleet))
-	o.printSection([]string{"SERVICE", "FAIRNESS GAP"}, gapRows(printFleet))
+func (o *output) fleetStatus(fleetStatus admin.FleetStatus) {
+	newest := newestVersions(fleetStatus)
+	o.printTable([]string{"ROUTER", "DATA CENTRE", "READY", "DRAINING", "SETTINGS", "SINCE"}, routerRows(fleetStatus, newest))
+	o.printSection([]string{"OBJECT", "VERSION", "ROUTERS", "CHANGED BY", "AT"}, objectRows(fleetStatus, newest))
+	o.printSection([]string{"UPSTREAM", "SERVICE", "DATA CENTRE", "OWNER", "RUNNING", "SLOTS", "USABLE", "DRAINING"}, upstreamRows(fleetStatus))
+	o.printSection([]string{"SERVICE", "WORKSPACE", "WAITING", "RUNNING", "SERVED"}, workspaceRows(fleetStatus))
+	o.printSection([]string{"SERVICE", "FAIRNESS GAP"}, gapRows(fleetStatus))
 }
 
 // printSection prints an empty line and a table. It prints nothing if the table
