--- a/cmd/figstiled/edge.go
+++ b/cmd/figstiled/edge.go
@@ -20,8 +20,8 @@
 // changes. The file may change without a signal to the process.
 const settingsPollInterval = 2 * time.Second
 
-// edgeCommand runs a router on the users' platform. The platform's settings file
-// sets it up.
+// edgeCommand runs a router on the users' platform. The router is configured by
+// the platform's settings file.
 type edgeCommand struct {
 	Settings string `help:"Path of the platform's settings file." env:"FIGSTILE_CONFIG" required:"" type:"path"`
 	Metrics  string `help:"Address for figures; empty serves none." env:"FIGSTILE_METRICS_LISTEN"`
--- a/cmd/figstiled/main.go
+++ b/cmd/figstiled/main.go
@@ -40,8 +40,8 @@
 	Version kong.VersionFlag `help:"Print the version and exit."`
 }
 
-// serveCommand runs a router that is set up by flags and the settings tree. It
-// offers the project's own HTTP interface.
+// serveCommand runs a router with the project's own HTTP interface. The router is
+// configured by flags and the settings tree.
 type serveCommand struct {
 	daemon.Options
 }
