--- a/transport/edge/absence.go
+++ b/transport/edge/absence.go
@@ -32,25 +32,25 @@
 
 // observe updates the state after an interval of the periodic task.
 // becameOverloaded is set if the router became overloaded in that interval.
-func (a *readinessBackoff) observe(overloaded, becameOverloaded bool, interval time.Duration) {
+func (b *readinessBackoff) observe(overloaded, becameOverloaded bool, interval time.Duration) {
 	if becameOverloaded {
-		a.begin()
+		b.begin()
 	} else {
-		a.remaining = max(a.remaining-interval, 0)
+		b.remaining = max(b.remaining-interval, 0)
 	}
-	a.active.Store(a.remaining > 0)
-	if overloaded || a.remaining > 0 {
-		a.readyFor = 0
+	b.active.Store(b.remaining > 0)
+	if overloaded || b.remaining > 0 {
+		b.readyFor = 0
 		return
 	}
-	a.readyFor += interval
+	b.readyFor += interval
 }
 
-func (a *readinessBackoff) begin() {
-	repeated := a.duration > 0 && a.readyFor < backoffResetAfter
+func (b *readinessBackoff) begin() {
+	repeated := b.duration > 0 && b.readyFor < backoffResetAfter
 	if !repeated {
-		a.duration = 0
+		b.duration = 0
 	}
-	a.duration = min(max(2*a.duration, minNotReady), maxNotReady)
-	a.remaining = a.duration
+	b.duration = min(max(2*b.duration, minNotReady), maxNotReady)
+	b.remaining = b.duration
 }
--- a/transport/edge/dispatcher.go
+++ b/transport/edge/dispatcher.go
@@ -218,8 +218,8 @@
 	}
 }
 
-// answeredEvents returns the number of parts of a ticket's stream, or 0 if the
-// stream was not answered completely.
+// answeredEvents returns the number of events that a ticket's attempt has
+// received, or 0 if the attempt was not answered completely.
 func answeredEvents(t *placement.Ticket, outcome placement.Outcome) int {
 	if outcome != placement.Answered {
 		return 0
@@ -269,7 +269,8 @@
 // ReportLost implements ingress.Dispatcher. A lost connection does not prove
 // that the request crashed the upstream: answers are also lost on healthy
 // upstreams, and two such losses would quarantine a page that many callers
-// fetch. The loss only counts once the upstream is known to have stopped.
+// fetch. The loss only counts once this router detects that the upstream has
+// stopped.
 func (d *dispatcher) ReportLost(f state.Fingerprint, t *placement.Ticket) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -304,8 +305,8 @@
 
 // reportLost reports lost requests to peers. The caller must not hold the lock.
 func (d *dispatcher) reportLost(lost []lostRequest) {
-	for _, n := range lost {
-		d.onLostRequest(n.fingerprint, n.run)
+	for _, request := range lost {
+		d.onLostRequest(request.fingerprint, request.run)
 	}
 }
 
@@ -368,8 +369,8 @@
 	d.loadView.SetServices(table.Services())
 }
 
-// setUpstream applies the known state of an upstream. present is false if the
-// upstream was removed.
+// setUpstream applies the state of an upstream in its newest entry. present is
+// false if the upstream was removed.
 func (d *dispatcher) setUpstream(id state.Upstream, u directory.Upstream, present bool) {
 	d.mu.Lock()
 	var lost []lostRequest
--- a/transport/edge/dispatcher_peers.go
+++ b/transport/edge/dispatcher_peers.go
@@ -96,8 +96,8 @@
 	return d.ledger.ReportedUsageExcluding(d.now(), peer)
 }
 
-// setLiveRouters sets the number of live routers and forgets the loads of the
-// removed ones.
+// setLiveRouters sets the number of live routers and discards the loads and the
+// workspace usage received from the removed ones.
 func (d *dispatcher) setLiveRouters(count int, removed []state.Router) {
 	d.mu.Lock()
 	d.routerCount = count
--- a/transport/edge/doc.go
+++ b/transport/edge/doc.go
@@ -1,6 +1,6 @@
-// Package edge runs one router of a fleet whose operators and upstreams
-// register in the platform's store. The router follows the store's
-// configuration and list of upstreams, exchanges both and its own load with its
-// peers, and serves callers. Package coordination makes the decisions, and a
-// Platform translates the formats of the store.
+// Package edge runs one router of a fleet that is configured through the
+// platform's store: operators write the configuration there, and upstreams
+// register there. The router follows both, exchanges them and its own load with
+// its peers, and serves callers. The packages below coordination make the
+// decisions, and a Platform translates the formats of the store.
 package edge
--- a/transport/edge/exchange_test.go
+++ b/transport/edge/exchange_test.go
@@ -458,7 +458,8 @@
 	n.requireVersion(t, 3)
 }
 
-// A large configuration used all links of all routers for seconds.
+// A large configuration filled the links of all routers for seconds. Each router
+// must receive it about once, and after a change only the difference.
 func TestLargeConfigurationIsReceivedOnce(t *testing.T) {
 	for _, size := range []struct{ routers, dataCentres int }{{8, 4}, {19, 6}, {66, 3}} {
 		n := newNetwork(size.routers, size.dataCentres)
@@ -487,8 +488,8 @@
 }
 
 // The bytes that a router receives must not grow with the fleet, only with its
-// data centre and the number of data centres. The test changes the loads of
-// four engines continuously and counts messages without framing.
+// data centre and the number of data centres. The test changes the loads of two
+// engines continuously and counts messages without framing.
 func TestTrafficBetweenRouters(t *testing.T) {
 	perRouter := func(routers, dataCentres int) (messages, bytes, remoteBytes float64) {
 		n := newNetwork(routers, dataCentres)
@@ -514,7 +515,8 @@
 	}
 }
 
-// A starting router received the whole catalogue from each of its peers.
+// A starting router received the whole catalogue from each of its peers, where
+// one copy is enough.
 func TestStartingRouterFetchesTheCatalogueFromOnePeer(t *testing.T) {
 	n := newNetwork(40, 4)
 	restarted := n.nodes["r007"]
@@ -537,7 +539,7 @@
 }
 
 // The routers of a starting fleet waited until each of them was allowed to read
-// the store itself.
+// the store itself. They must fetch the configuration from the first reader.
 func TestStartingFleetGetsTheConfigurationFromItsFirstReader(t *testing.T) {
 	n := newNetwork(40, 4)
 	n.kill(slices.Collect(maps.Values(n.nodes))...)
@@ -552,8 +554,8 @@
 	}
 }
 
-// A data centre that was partitioned permanently missed a change of the
-// configuration.
+// A data centre missed a change of the configuration while it was partitioned,
+// and did not receive it after the partition either.
 func TestPartitionedRouterCatchesUp(t *testing.T) {
 	for _, routers := range []int{8, 40} {
 		n := newNetwork(routers, 4)
--- a/transport/edge/fleet.go
+++ b/transport/edge/fleet.go
@@ -22,8 +22,8 @@
 	// its peers if nothing has changed.
 	heartbeatInterval = 400 * time.Millisecond
 	// loadsInterval is the interval at which this router sends its load to
-	// peers. With ten reports a second and twenty requests a second per engine,
-	// peers do not know of up to two requests per engine.
+	// peers. At ten reports a second, and with twenty requests a second to each
+	// engine, peers do not know of two requests per engine.
 	loadsInterval = 100 * time.Millisecond
 	// fullSumsInterval is the interval at which all sums are sent again over a
 	// link, including those of upstreams that one side did not know before.
@@ -35,9 +35,10 @@
 	// links does not spend more on reports than a router with few.
 	minUrgentGap     = 20 * time.Millisecond
 	urgentGapPerLink = 2500 * time.Microsecond
-	// longPromptTokens is the number of pending prefill tokens from which peers
-	// are informed at once. Such a prompt occupies an engine for about 50 ms,
-	// so other routers must not send it further prompts meanwhile.
+	// longPromptTokens is the number of uncached prompt tokens of a request
+	// from which peers are informed of the request before the next interval.
+	// Such a prompt occupies an engine for about 50 ms, so other routers must
+	// not send it further prompts meanwhile.
 	longPromptTokens = 3000
 	// spendingInterval is the interval at which the usage of workspaces is
 	// sent. It is longer, because shares are computed over a window of seconds.
@@ -54,15 +55,16 @@
 type sender interface {
 	Send(to state.Router, env *peerpb.Envelope) bool
 	SendEach(to []state.Router, env *peerpb.Envelope)
-	// SelectPeers sets the routers that sessions are wanted with. Drop closes the
-	// session with a router.
+	// SelectPeers sets the routers that sessions are wanted with. DropSession
+	// closes the session with a router.
 	SelectPeers(selected membership.SelectionChanged)
 	DropSession(router state.Router)
 }
 
 var _ sender = (*peer.Mesh)(nil)
 
-// readerClaim is the last message of a peer that it reads the store.
+// readerClaim records the last message in which a peer claimed to read the
+// store.
 type readerClaim struct {
 	receivedAt time.Time
 	// upstreamDigest is the digest of the upstreams that the peer holds.
--- a/transport/edge/follower.go
+++ b/transport/edge/follower.go
@@ -21,10 +21,10 @@
 	// upstreams, so that one call returns several changes. Each upstream
 	// changes its entry about once a second, and without a pause each router
 	// would make a call for each of these changes. A leaving upstream is still
-	// noticed well within the two seconds that it has.
+	// noticed well within the two seconds that it is given.
 	upstreamWatchInterval = 500 * time.Millisecond
-	// configWatchInterval limits the calls for configurations to ten per second
-	// if many change in a short time.
+	// configWatchInterval limits the calls for the configuration to ten per
+	// second if it changes many times in a row.
 	configWatchInterval = 100 * time.Millisecond
 	// readerCheckInterval is the interval at which a router that does not read
 	// the store checks whether it should.
@@ -46,7 +46,7 @@
 	catalogue *catalogue
 	log       zerolog.Logger
 	// shouldRead reports whether this router has to read the store. Otherwise
-	// it receives changes from peers that read it.
+	// the router receives changes from peers that read the store.
 	shouldRead func() bool
 	// onAnswer is called after each answer of the store and onFailure after
 	// each failed call. onChanged receives changed objects.
--- a/transport/edge/lapse_test.go
+++ b/transport/edge/lapse_test.go
@@ -101,9 +101,9 @@
 }
 
 // Routers that were partitioned asked their neighbours for missed changes,
-// which had missed the same, and used a removed engine for 1.9 s. Other engines
-// of the data centre registered again one by one, and each change restarted the
-// wait for a lasting difference to the readers.
+// which had missed the same, and used a removed engine for 1.9 s. They ask a
+// reader if its content differs from theirs in the same way for some time, and
+// each engine that registered again meanwhile restarted that time.
 func TestPartitionedRoutersDoNotCatchUpFromEachOther(t *testing.T) {
 	n := newConfiguredNetwork(8, 4)
 	outside := []state.Router{"r001", "r002", "r003"}
--- a/transport/edge/links.go
+++ b/transport/edge/links.go
@@ -125,8 +125,8 @@
 	return removed
 }
 
-// receivers returns the peers that every message is sent to: in a tree the
-// peers of this router's links, otherwise all live peers.
+// receivers returns the peers that this router's reports are sent to: in a tree
+// the peers of its links, otherwise all live peers.
 func (f *fleet) receivers() (peers []state.Router, tree bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/transport/edge/listener.go
+++ b/transport/edge/listener.go
@@ -15,9 +15,9 @@
 
 // callerListener accepts connections of callers while the router has capacity
 // for them. Otherwise its port is closed, and the kernel refuses connections at
-// once without using the process, whose CPU time an overload would consume just
-// for accepting. A caller that was never connected may retry at another router,
-// whatever its request is.
+// once without involving the process, which under overload would use up its CPU
+// time just by accepting them. A caller that was never connected may retry at
+// another router, whatever its request is.
 type callerListener struct {
 	config   net.ListenConfig
 	address  string
--- a/transport/edge/objects.go
+++ b/transport/edge/objects.go
@@ -9,9 +9,10 @@
 	"github.com/figstile/figstile/state"
 )
 
-// announceMinBytes is the size in bytes from which only an object's revision is
-// sent to peers. Each peer then fetches the object once, from a router that
-// holds it.
+// announceMinBytes is the size in bytes from which a configuration is compressed
+// and sent as a delta. If the delta has that size as well, peers only receive
+// the revision, and each of them fetches the configuration once, from a router
+// that holds it.
 const announceMinBytes = 2 << 10
 
 // publishObjects sends objects that changed at this router to its peers.
--- a/transport/edge/pauses.go
+++ b/transport/edge/pauses.go
@@ -13,27 +13,27 @@
 	total time.Duration
 }
 
-func (p *closedTimer) begin(now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.since = now
+func (t *closedTimer) begin(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.since = now
 }
 
-func (p *closedTimer) end(now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if !p.since.IsZero() {
-		p.total += now.Sub(p.since)
+func (t *closedTimer) end(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if !t.since.IsZero() {
+		t.total += now.Sub(t.since)
 	}
-	p.since = time.Time{}
+	t.since = time.Time{}
 }
 
 // sum returns the total closed time, including a period that has not ended.
-func (p *closedTimer) sum(now time.Time) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.since.IsZero() {
-		return p.total
+func (t *closedTimer) sum(now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.since.IsZero() {
+		return t.total
 	}
-	return p.total + now.Sub(p.since)
+	return t.total + now.Sub(t.since)
 }
--- a/transport/edge/platform.go
+++ b/transport/edge/platform.go
@@ -93,7 +93,7 @@
 	// fleet.
 	Seeds []string
 	// FirstStart is set if the whole fleet starts for the first time, some
-	// seconds before its callers.
+	// seconds before callers send requests.
 	FirstStart bool
 	// MemoryBytes is the memory limit of the process; 0 means no limit.
 	MemoryBytes int64
--- a/transport/edge/pressure.go
+++ b/transport/edge/pressure.go
@@ -36,9 +36,10 @@
 	// connections.
 	reservedFiles = 200
 	// notReadyCPUShare is the fraction of the VM's CPU share above which the
-	// expected CPU use for callers makes the router report not ready. It
-	// recovers at readyCPUShare. Running streams keep up the load for seconds
-	// after new callers have gone elsewhere.
+	// expected CPU use for all callers, also those that are turned away, makes
+	// the router report not ready. It recovers at readyCPUShare. Running
+	// streams keep up the load for seconds after new callers have gone to other
+	// routers.
 	notReadyCPUShare = 0.55
 	readyCPUShare    = 0.4
 	// refuseCPUShare is the fraction of the CPU share above which the expected
--- a/transport/edge/prober.go
+++ b/transport/edge/prober.go
@@ -10,8 +10,8 @@
 )
 
 // probeInterval is the pause between two rounds of probes. The end of a
-// partition is noticed within it. A probe opens one connection while the
-// upstream gets no requests.
+// partition is noticed within it. A probe costs one connection, to an upstream
+// that gets no requests meanwhile.
 const probeInterval = 400 * time.Millisecond
 
 // probeUnreachable detects which unreachable upstreams can be connected to
