--- a/transport/ingress/dispatcher.go
+++ b/transport/ingress/dispatcher.go
@@ -15,8 +15,8 @@
 type Dispatcher interface {
 	// Table returns the current routes, or nil if none were received yet.
 	Table() *routing.Table
-	// ConfigCurrent reports whether the routes are known to be the newest. Then
-	// a route or key that they do not contain does not exist.
+	// ConfigCurrent reports whether the routes are confirmed to be the newest.
+	// Then a route or key that they do not contain does not exist.
 	ConfigCurrent() bool
 	// Admit decides on a request. retry is set for a request that was sent
 	// before, since a request counts only once. The ticket is nil unless the
@@ -24,8 +24,8 @@
 	Admit(r admission.Request, retry bool) (admission.Verdict, *placement.Ticket)
 	// OnStall sets the function that the dispatcher calls to cancel an attempt
 	// that it does not expect to be answered. If the caller has already
-	// received a part of the answer, the dispatcher has then spent a retry for
-	// it.
+	// received a part of the answer, the dispatcher spends a retry before that
+	// call.
 	OnStall(t *placement.Ticket, cancel func())
 	// ReportOutput reports that a part of an answer was received. first is set
 	// for the first event of a stream.
--- a/transport/ingress/handler.go
+++ b/transport/ingress/handler.go
@@ -27,9 +27,9 @@
 	// defaultMaxBodyBytes limits the size of a body if the configuration does
 	// not.
 	defaultMaxBodyBytes = 4 << 20
-	// maxUnsentTries limits how often a request is placed again after no
-	// connection could be opened. Such tries reach no upstream and cost the
-	// fleet nothing, but each may take as long as the dial timeout.
+	// maxUnsentTries limits how often a request is placed at an upstream to
+	// which no connection can be opened. Such tries reach no upstream and cost
+	// the fleet nothing, but each may take as long as the dial timeout.
 	maxUnsentTries = 4
 )
 
--- a/transport/ingress/held.go
+++ b/transport/ingress/held.go
@@ -81,8 +81,9 @@
 
 // relayUnbuffered relays an answer that is too long to be buffered.
 func (x *exchange) relayUnbuffered(answer *upstream.Answer, buffered *bufferedAnswer, ticket *placement.Ticket) (attemptEnd, placement.Outcome) {
-	// No further output of this answer is reported to the dispatcher. It must
-	// not be cancelled as stalled from here on, or the answer would break off.
+	// No further output of this answer is reported to the dispatcher. The
+	// attempt must not be cancelled as stalled from here on, or the answer
+	// would break off.
 	x.h.Dispatcher.OnStall(ticket, func() {})
 	x.beginAnswer(buffered)
 	if length := answer.Header.Get("Content-Length"); length != "" {
