--- a/transport/upstream/client_test.go
+++ b/transport/upstream/client_test.go
@@ -19,9 +19,8 @@
 
 var attemptID = state.AttemptID{Router: "laredo-1", Incarnation: 3, Sequence: 7}
 
-// flakyServer answers the first request of each connection. It closes the
-// connection without an answer after reading a request for /drop, and counts
-// these requests.
+// flakyServer answers all requests except those for /drop. After reading one of
+// these, it counts the request and closes the connection without an answer.
 type flakyServer struct {
 	url     string
 	dropped atomic.Int64
@@ -112,8 +111,8 @@
 	})
 }
 
-// undeliveredConn accepts a write without delivering it. Read returns io.EOF after
-// that write has begun.
+// undeliveredConn accepts one write without delivering it. Read blocks until
+// that write has begun, and then returns io.EOF.
 type undeliveredConn struct {
 	net.Conn
 	reached chan struct{}
--- a/transport/upstream/fence.go
+++ b/transport/upstream/fence.go
@@ -72,8 +72,8 @@
 	reused       bool
 }
 
-func (w *sendTracker) trace() *httptrace.ClientTrace {
-	return &httptrace.ClientTrace{GotConn: w.gotConn}
+func (t *sendTracker) trace() *httptrace.ClientTrace {
+	return &httptrace.ClientTrace{GotConn: t.gotConn}
 }
 
 // gotConn is called before the first write on a connection. If an earlier
@@ -81,42 +81,42 @@
 // net/http is replaying the request, and a second copy must not leave.
 // Cancelling the round trip prevents net/http from trying one kept-alive
 // connection after the other.
-func (w *sendTracker) gotConn(info httptrace.GotConnInfo) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.fenceCurrent()
-	w.reused = info.Reused
-	w.conn = unwrapFenced(info.Conn)
-	if w.conn == nil {
-		w.sent = true
+func (t *sendTracker) gotConn(info httptrace.GotConnInfo) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.fenceCurrent()
+	t.reused = info.Reused
+	t.conn = unwrapFenced(info.Conn)
+	if t.conn == nil {
+		t.sent = true
 		return
 	}
-	w.writesBefore = w.conn.writesBegun()
-	if w.sent {
-		w.conn.fence()
-		w.cancel(errFenced)
+	t.writesBefore = t.conn.writesBegun()
+	if t.sent {
+		t.conn.fence()
+		t.cancel(errFenced)
 	}
 }
 
 // fenceCurrent fences the current connection and records whether it has taken a
 // part of the request.
-func (w *sendTracker) fenceCurrent() {
-	if w.conn != nil && w.conn.fence() > w.writesBefore {
-		w.sent = true
+func (t *sendTracker) fenceCurrent() {
+	if t.conn != nil && t.conn.fence() > t.writesBefore {
+		t.sent = true
 	}
-	w.conn = nil
+	t.conn = nil
 }
 
 // finish ends the tracking of a failed attempt. Its result is final: nothing
 // leaves afterwards.
-func (w *sendTracker) finish() (stage Stage, reused bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.fenceCurrent()
-	if w.sent {
-		return StageSent, w.reused
+func (t *sendTracker) finish() (stage Stage, reused bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.fenceCurrent()
+	if t.sent {
+		return StageSent, t.reused
 	}
-	return StageNotSent, w.reused
+	return StageNotSent, t.reused
 }
 
 // unwrapFenced returns the fenced connection below conn, or nil if there is
