--- a/transport/conntrack/conn.go
+++ b/transport/conntrack/conn.go
@@ -88,9 +88,9 @@
 	return c.TCPConn.ReadFrom(source)
 }
 
-// beginAnswer records that bytes are being written. It must be called before
-// the write, because the caller's next request may be read before the write
-// returns.
+// beginAnswer records that bytes are about to be written. It must be called
+// before the write, because the caller's next request may be read before the
+// write returns.
 func (c *conn) beginAnswer() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/transport/conntrack/tracker_test.go
+++ b/transport/conntrack/tracker_test.go
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fixture is an HTTP server whose connections are tracked. Requests for /held
-// wait until the test releases them before they are answered, those for
-// /flushed afterwards.
+// fixture is an HTTP server whose connections are tracked. The handler of /held
+// waits for the test to release it before it answers, and the handler of
+// /flushed after it has answered and flushed.
 type fixture struct {
 	tracker  *Tracker
 	listener net.Listener
@@ -168,9 +168,9 @@
 	return false
 }
 
-// Operators raise the limit on unused connections, and callers rely on it. A
-// connection that is closed by the old limit costs a new connection, and a
-// request that crosses the close may be lost.
+// Operators raise the limit on unused connections, and callers rely on it. If a
+// connection is closed by the old limit, its caller has to open a new one, and
+// a request that crosses the close may be lost.
 func TestIdleConnectionsCloseAtTheCurrentLimit(t *testing.T) {
 	f := serve(t)
 	idle, busy, neverUsed := f.dial(t), f.dial(t), f.dial(t)
