--- a/transport/pause/pause.go
+++ b/transport/pause/pause.go
@@ -1,4 +1,5 @@
-// Package pause sleeps for a duration and stops early when a context ends.
+// Package pause sleeps for a duration of real time and returns early when a
+// context ends.
 package pause
 
 import (
