--- a/loadgen/fleet.go
+++ b/loadgen/fleet.go
@@ -7,30 +7,32 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Fleet tells where a fleet is reached. figstile dev writes one.
+// Fleet holds the addresses of the routers and upstreams of one fleet. The
+// command "figstile dev" writes such a file.
 type Fleet struct {
 	Routers   []Router   `json:"routers"`
 	Upstreams []Upstream `json:"upstreams"`
-	// StatusToken reads the routers' status.
+	// StatusToken is the bearer token for the status endpoint of the routers.
 	StatusToken string `json:"status_token,omitempty"`
 }
 
-// Router is one router's base URLs.
+// Router holds the name and the base URLs of one router.
 type Router struct {
 	Name      state.Router `json:"name"`
 	CallerURL string       `json:"callers"`
-	// AdminURL may be empty; the router's status is then not read.
+	// AdminURL is optional. If it is empty, the status of the router is not
+	// read.
 	AdminURL string `json:"admin,omitempty"`
 }
 
-// Upstream is one upstream's base URL.
+// Upstream holds the name, the service and the base URL of one upstream.
 type Upstream struct {
 	Name    state.Upstream `json:"name"`
 	Service state.Service  `json:"service"`
 	URL     string         `json:"url"`
 }
 
-// ReadFleet reads a fleet's description from a file.
+// ReadFleet reads the description of a fleet from a JSON file.
 func ReadFleet(path string) (Fleet, error) {
 	var fleet Fleet
 	data, err := os.ReadFile(path)
--- a/loadgen/gap.go
+++ b/loadgen/gap.go
@@ -1,24 +1,35 @@
 package loadgen
 
-// gapTracker follows the fairness gap of one service after the usual measure of
-// fair queueing: the widest change of the difference of two workspaces' service
-// over share, within any interval in which both had work waiting all the time.
-// It is told as service at equal shares. What a workspace got while it or the
-// other had nothing waiting is no unfairness and does not count.
+// gapTracker tracks the fairness gap of one service by the common measure of
+// fair queueing. For two workspaces, take the difference between their served
+// cost divided by share. The gap is the maximum change of this difference
+// within any interval in which both workspaces had requests waiting throughout,
+// over all pairs.
+//
+// The gap is scaled to cost units at equal shares. Service that a workspace
+// received while it or the other one had no requests waiting is not unfair and
+// is not counted.
 type gapTracker struct {
-	shares         []float64
+	shares []float64
+	// servedPerShare is the cost served to each workspace, divided by its share
+	// and by the number of workspaces. lastServed and waiting are the arguments
+	// of the previous call of observe.
 	servedPerShare []float64
 	lastServed     []float64
 	waiting        []bool
-	pairRanges     [][]differenceRange
-	// servedWhileWaiting and due are, per workspace, the service got while it waited and
-	// its share of all service meanwhile.
+	// pairRanges holds an entry for workspaces i and j at [i][j], for j < i.
+	pairRanges [][]differenceRange
+	// servedWhileWaiting is the cost served to each workspace while it had
+	// requests waiting. dueWhileWaiting is its share of the cost served to all
+	// workspaces in the same time.
 	servedWhileWaiting, dueWhileWaiting []float64
-	// waitingSteps counts how often it waited at two looks in a row.
+	// waitingSteps counts, for each workspace, the intervals between two
+	// samples at both of which it had requests waiting.
 	waitingSteps []int
 }
 
-// differenceRange is the range of a difference during the present common backlog.
+// differenceRange is the range of the difference of servedPerShare between two
+// workspaces since both have had requests waiting.
 type differenceRange struct {
 	min, max float64
 }
@@ -41,7 +52,9 @@
 	return g
 }
 
-// observe takes the service so far and who waits, and returns the gap.
+// observe processes one sample and returns the current fairness gap. The
+// argument served holds the total cost served to each workspace so far, and
+// waiting whether it has requests waiting.
 func (g *gapTracker) observe(served []float64, waiting []bool) float64 {
 	g.addServiceWhileWaiting(served, waiting)
 	for i := range served {
@@ -58,7 +71,9 @@
 	return gap
 }
 
-// updatePair returns the spread of a pair that waits together, else zero.
+// updatePair returns the width of the difference range of workspaces i and j if
+// both have requests waiting, and zero otherwise. The range starts anew if one
+// of them had none waiting at the previous sample.
 func (g *gapTracker) updatePair(i, j int, bothWaiting bool) float64 {
 	if !bothWaiting {
 		return 0
@@ -73,7 +88,8 @@
 	return pairRange.max - pairRange.min
 }
 
-// addServiceWhileWaiting adds up what those got who waited the whole step.
+// addServiceWhileWaiting updates the totals of each workspace that had requests
+// waiting at the previous sample and still has.
 func (g *gapTracker) addServiceWhileWaiting(served []float64, waiting []bool) {
 	total := 0.0
 	for i := range served {
@@ -88,25 +104,29 @@
 	}
 }
 
-// GapBound is the greatest fairness gap that a service may show.
+// GapBound holds the quantities that bound the fairness gap of a service.
 type GapBound struct {
 	Slots      int
 	Workspaces int
-	// MaxCost is the greatest single cost, LeastShare the least part.
+	// MaxCost is the maximum cost of a single request in cost units. MinShare
+	// is the minimum share of a workspace, as a fraction of 1.
 	MaxCost  float64
 	MinShare float64
-	// CostPerSlotSecond is the service that one slot gives in a second.
+	// CostPerSlotSecond is the cost that one slot serves per second.
 	CostPerSlotSecond float64
-	// CounterAgeSeconds is the age of the counters that owners choose by.
+	// CounterAgeSeconds is the maximum age, in seconds, of the usage counters
+	// from other routers that owners use when they select a workspace.
 	CounterAgeSeconds float64
 }
 
-// Limit is in service at equal shares: twice what may be in progress and not
-// charged, plus one largest request and all service that counters don't hold
-// yet going to the workspace of least share.
+// Limit returns the maximum fairness gap, in cost units at equal shares. The
+// gap is at most twice the sum of three terms: the cost in progress that has
+// not been charged yet; one request of maximum cost; and all service that the
+// counters do not include yet. The last two are assumed to go to the workspace
+// with the minimum share.
 func (b GapBound) Limit() float64 {
-	n := float64(b.Workspaces)
-	inProgress := float64(b.Slots) * b.MaxCost / n
+	workspaces := float64(b.Workspaces)
+	inProgress := float64(b.Slots) * b.MaxCost / workspaces
 	unreported := float64(b.Slots) * b.CostPerSlotSecond * b.CounterAgeSeconds
-	return 2 * (inProgress + (b.MaxCost+unreported)/(b.MinShare*n))
+	return 2 * (inProgress + (b.MaxCost+unreported)/(b.MinShare*workspaces))
 }
--- a/loadgen/group.go
+++ b/loadgen/group.go
@@ -8,7 +8,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Group is one workspace and class.
+// Group holds the results of one workspace and request class.
 type Group struct {
 	Workspace state.Workspace `json:"workspace"`
 	Class     string          `json:"class"`
@@ -16,15 +16,18 @@
 	Served    int             `json:"served"`
 	Refused   int             `json:"refused"`
 	Cost      float64         `json:"cost"`
-	// HeaderLatency is until the answer's head, Pause the longest one in a stream;
-	// all but Pause count from the intended time.
+	// HeaderLatency is the time until the response header was received,
+	// FirstByteLatency until the first byte of the body and TotalLatency until
+	// the end of the response. All three are measured from the intended send
+	// time. MaxEventGap is the maximum time between two reads of the response
+	// body.
 	HeaderLatency    Percentiles `json:"wait"`
 	FirstByteLatency Percentiles `json:"first_token"`
 	MaxEventGap      Percentiles `json:"longest_pause"`
 	TotalLatency     Percentiles `json:"total"`
 }
 
-// Percentiles are in milliseconds.
+// Percentiles holds percentiles and the maximum of a duration in milliseconds.
 type Percentiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -32,12 +35,12 @@
 	Max float64 `json:"max"`
 }
 
-// histograms collect one group's times in microseconds.
+// histograms collects the durations of one group in microseconds.
 type histograms struct {
 	headerLatency, firstByteLatency, maxEventGap, totalLatency *hdrhistogram.Histogram
 }
 
-// maxMicroseconds bounds the histograms: an hour.
+// maxMicroseconds is the largest value that the histograms record: one hour.
 const maxMicroseconds = int64(time.Hour / time.Microsecond)
 
 func newHistograms() *histograms {
@@ -45,6 +48,8 @@
 	return &histograms{headerLatency: newHistogram(), firstByteLatency: newHistogram(), maxEventGap: newHistogram(), totalLatency: newHistogram()}
 }
 
+// groupRecords aggregates the records by workspace and class, in the order of
+// the workload.
 func groupRecords(w Workload, records []Record) []Group {
 	type key struct {
 		workspace state.Workspace
@@ -74,6 +79,7 @@
 	return list
 }
 
+// add counts one record. Only served requests enter the histograms.
 func (g *Group) add(r Record, h *histograms) {
 	g.Requests++
 	g.Cost += r.Cost
@@ -97,7 +103,8 @@
 	g.TotalLatency = percentiles(h.totalLatency)
 }
 
-// recordDuration keeps a time within the histogram's range.
+// recordDuration records d in microseconds, clamped to the range of the
+// histogram.
 func recordDuration(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), 0), maxMicroseconds))
 }
--- a/loadgen/loadgen_test.go
+++ b/loadgen/loadgen_test.go
@@ -33,7 +33,7 @@
 		counts[c.WorkspaceIndex]++
 		bodies[c.Body]++
 		if c.WorkspaceIndex == 1 && c.ClassIndex == 0 {
-			require.Less(t, c.SendAt%(4*time.Second), time.Second, "a request while the source is off")
+			require.Less(t, c.SendAt%(4*time.Second), time.Second, "a request arrived in an off period")
 		}
 		if c.Resent {
 			require.Equal(t, 2, bodies[c.Body])
@@ -59,11 +59,11 @@
 	g := newGapTracker([]float64{0.5, 0.25, 0.25})
 	firstTwoWaiting := []bool{true, true, false}
 	require.Zero(t, g.observe([]float64{0, 0, 0}, firstTwoWaiting))
-	require.Zero(t, g.observe([]float64{10, 5, 90}, firstTwoWaiting), "by their shares; the third waits for nothing")
+	require.Zero(t, g.observe([]float64{10, 5, 90}, firstTwoWaiting), "the two waiting workspaces are served by their shares; the third has no requests waiting")
 	require.InDelta(t, 10*4/3.0, g.observe([]float64{10, 15, 90}, firstTwoWaiting), 1e-9)
-	require.InDelta(t, 15*4/3.0, g.observe([]float64{40, 15, 90}, firstTwoWaiting), 1e-9, "ahead and behind add up")
+	require.InDelta(t, 15*4/3.0, g.observe([]float64{40, 15, 90}, firstTwoWaiting), 1e-9, "the gap adds the lead of either workspace over the other")
 	require.Zero(t, g.observe([]float64{40, 25, 90}, []bool{true, false, false}))
-	require.Zero(t, g.observe([]float64{40, 25, 90}, firstTwoWaiting), "a new common backlog starts from nothing")
+	require.Zero(t, g.observe([]float64{40, 25, 90}, firstTwoWaiting), "the gap starts at zero when both have requests waiting again")
 	require.Less(t, g.servedWhileWaiting[0]/g.dueWhileWaiting[0], 1.0)
 }
 
--- a/loadgen/observe.go
+++ b/loadgen/observe.go
@@ -13,14 +13,17 @@
 )
 
 const (
-	// observeInterval is the period of samples. Load reports lag by about as
-	// much, so more would show nothing new.
+	// observeInterval is the interval between samples. Load reports are about
+	// as old as one interval, so shorter intervals would return the same values
+	// again.
 	observeInterval = 250 * time.Millisecond
-	// observeTimeout lets a slow target miss a sample and not the run.
+	// observeTimeout bounds one status or load request. A slow router or
+	// upstream is missing from one sample and does not delay the run.
 	observeTimeout = 2 * time.Second
 )
 
-// Sample is the fleet at one moment of the run.
+// Sample is the state of the fleet at one moment. At is measured from the start
+// of the run.
 type Sample struct {
 	At       time.Duration                    `json:"at"`
 	Services map[state.Service]*ServiceSample `json:"services"`
@@ -31,12 +34,13 @@
 	loads          map[state.Upstream]upstreamLoad
 }
 
+// upstreamLoad is the load report of one upstream and the service it runs.
 type upstreamLoad struct {
 	service state.Service
 	report  state.LoadReport
 }
 
-// ControlTraffic is a router's control traffic since its start.
+// ControlTraffic counts the control traffic of a router since it started.
 type ControlTraffic struct {
 	BytesIn     uint64 `json:"bytes_in"`
 	BytesOut    uint64 `json:"bytes_out"`
@@ -44,23 +48,25 @@
 	MessagesOut uint64 `json:"messages_out"`
 }
 
-// ServiceSample is one service at one moment.
+// ServiceSample is the state of one service at one moment.
 type ServiceSample struct {
-	// Served is each workspace's cost so far, by the tokens and answers that
-	// its callers received.
+	// Served is the total cost served to each workspace so far, in cost units,
+	// calculated from the tokens and responses that its callers have received.
 	Served []float64 `json:"served"`
-	// Waiting counts requests that wait at the routers, or in a direct run
-	// those whose answer has not begun.
+	// Waiting is the number of requests of each workspace that wait in the
+	// queues of the routers. In a direct run, without routers, it counts the
+	// requests whose response header has not been received.
 	Waiting []int `json:"waiting"`
-	// Gap is the fairness gap, as service at equal shares.
+	// Gap is the fairness gap in cost units at equal shares.
 	Gap float64 `json:"gap"`
-	// Running and Slots are sums over the upstreams' load reports.
+	// Running and Slots are sums over the load reports of the upstreams that
+	// are not draining.
 	Running int `json:"running"`
 	Slots   int `json:"slots"`
 }
 
-func (m *ServiceSample) anyWaiting() bool {
-	for _, n := range m.Waiting {
+func (s *ServiceSample) anyWaiting() bool {
+	for _, n := range s.Waiting {
 		if n > 0 {
 			return true
 		}
@@ -68,13 +74,13 @@
 	return false
 }
 
-// observer takes samples of a run.
+// observer samples the fleet during a run.
 type observer struct {
 	runner  *runner
 	client  *http.Client
 	gaps    map[state.Service]*gapTracker
 	samples []*Sample
-	// missedReports counts status and load reports that did not come.
+	// missedReports counts status and load requests that failed.
 	missedReports int
 }
 
@@ -86,7 +92,8 @@
 	return o
 }
 
-// addSample keeps one sample, unless the run ended while it was taken.
+// addSample takes one sample and appends it, unless the context ended in the
+// meantime.
 func (o *observer) addSample(ctx context.Context) {
 	sample := o.takeSample(ctx)
 	if ctx.Err() == nil {
@@ -94,7 +101,7 @@
 	}
 }
 
-// takeSample asks all routers and upstreams at once.
+// takeSample queries all routers and upstreams concurrently.
 func (o *observer) takeSample(ctx context.Context) *Sample {
 	s := &Sample{
 		At:             o.runner.elapsed(),
@@ -106,32 +113,34 @@
 	}
 	statuses := o.fetchReports(ctx, s)
 	for service, tracker := range o.gaps {
-		m := o.sampleService(service, statuses)
-		waiting := make([]bool, len(m.Waiting))
-		for i, n := range m.Waiting {
+		serviceSample := o.sampleService(service, statuses)
+		waiting := make([]bool, len(serviceSample.Waiting))
+		for i, n := range serviceSample.Waiting {
 			waiting[i] = n > 0
 		}
-		m.Gap = tracker.observe(m.Served, waiting)
+		serviceSample.Gap = tracker.observe(serviceSample.Served, waiting)
 		for _, row := range s.loads {
 			if row.service == service && !row.report.Draining {
-				m.Running += row.report.Running
-				m.Slots += row.report.Slots
+				serviceSample.Running += row.report.Running
+				serviceSample.Slots += row.report.Slots
 			}
 		}
-		s.Services[service] = m
+		s.Services[service] = serviceSample
 	}
 	return s
 }
 
-// sampleService takes the backlog from the routers. The callers' own view counts
-// requests as waiting that an upstream has begun and not yet answered.
+// sampleService returns the state of one service. It takes the number of
+// waiting requests from the routers if there are any: the callers cannot
+// distinguish a queued request from one that an upstream has started and not
+// answered yet.
 func (o *observer) sampleService(service state.Service, statuses []daemon.Status) *ServiceSample {
 	counters := o.runner.counters[service]
-	m := &ServiceSample{Served: make([]float64, len(counters)), Waiting: make([]int, len(counters))}
+	sample := &ServiceSample{Served: make([]float64, len(counters)), Waiting: make([]int, len(counters))}
 	for i := range counters {
-		m.Served[i] = counters[i].totalCost()
+		sample.Served[i] = counters[i].totalCost()
 		if len(statuses) == 0 {
-			m.Waiting[i] = int(counters[i].waiting.Load())
+			sample.Waiting[i] = int(counters[i].waiting.Load())
 		}
 	}
 	index := make(map[state.Workspace]int)
@@ -145,15 +154,16 @@
 			}
 			for _, w := range svc.Workspaces {
 				if i, ok := index[w.Name]; ok {
-					m.Waiting[i] += w.Waiting
+					sample.Waiting[i] += w.Waiting
 				}
 			}
 		}
 	}
-	return m
+	return sample
 }
 
-// fetchReports reads every status and load report into the sample.
+// fetchReports adds the load reports of all upstreams and the data of all
+// router statuses to the sample, and returns the statuses.
 func (o *observer) fetchReports(ctx context.Context, s *Sample) []daemon.Status {
 	var (
 		mu       sync.Mutex
@@ -214,7 +224,7 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// observe samples until the context ends.
+// observe takes a sample at each interval until the context ends.
 func (o *observer) observe(ctx context.Context) {
 	ticker := time.NewTicker(observeInterval)
 	defer ticker.Stop()
--- a/loadgen/plot.go
+++ b/loadgen/plot.go
@@ -14,14 +14,14 @@
 	"github.com/figstile/figstile/state"
 )
 
-// The size of one plot.
+// plotWidth and plotHeight are the size of one plot.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
 )
 
-// WriteSVG draws, for each service, what each workspace was served over time
-// and the fairness gap under it.
+// WriteSVG draws one row of plots for each service: the cost served to each
+// workspace over time, and the fairness gap with its bound.
 func (r *Result) WriteSVG(w io.Writer) error {
 	var rows [][]*plot.Plot
 	for _, s := range r.Services {
@@ -89,6 +89,8 @@
 	return p, nil
 }
 
+// newLine returns a line of one value per sample against the time of the sample
+// in seconds.
 func (r *Result) newLine(value func(*Sample) float64) (*plotter.Line, error) {
 	points := make(plotter.XYs, len(r.Samples))
 	for i, s := range r.Samples {
--- a/loadgen/result.go
+++ b/loadgen/result.go
@@ -12,7 +12,7 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// Result is what a run showed.
+// Result holds the results of a run.
 type Result struct {
 	Workload          string            `json:"workload"`
 	Direct            bool              `json:"direct"`
@@ -23,43 +23,50 @@
 	Groups            []Group           `json:"groups"`
 	Services          []Service         `json:"services"`
 	ControlRates      []ControlRate     `json:"control"`
-	// ControlKindRates are the control messages that all routers sent, by kind.
+	// ControlKindRates are the rates of the control messages that all routers
+	// sent, by message kind.
 	ControlKindRates []KindRate `json:"control_kinds"`
-	// MissedSamples counts status and load reports that did not come.
+	// MissedSamples counts status and load requests that failed.
 	MissedSamples int       `json:"missed_samples"`
 	Samples       []*Sample `json:"samples"`
-	// Records are the evidence behind the figures.
+	// Records holds one entry per request sent. The other results are
+	// calculated from the records and the samples.
 	Records []Record `json:"-"`
 }
 
-// Service is one service over the whole run.
+// Service holds the results of one service over the whole run.
 type Service struct {
 	Name   state.Service `json:"name"`
 	Served float64       `json:"served"`
-	// MaxGap is the worst sampled fairness gap, Bound its limit, and Reach what
-	// a fleet that served only one workspace would have shown.
+	// MaxGap is the largest sampled fairness gap and GapLimit its upper bound.
+	// SingleWorkspaceGap is the gap that a fleet would have had if it had
+	// served only the workspace with the smallest share. All are in cost units
+	// at equal shares.
 	MaxGap             float64 `json:"gap"`
 	GapLimit           float64 `json:"bound"`
 	SingleWorkspaceGap float64 `json:"reach"`
-	// BusySlotFraction is the part of the slots in use while work waited, of
-	// BusySamples samples.
+	// BusySlotFraction is the fraction of the slots that were in use while
+	// requests waited, over BusySlotSamples samples.
 	BusySlotFraction float64 `json:"busy"`
 	BusySlotSamples  int     `json:"busy_samples"`
-	// MinReceivedShare is the workspace that got the least part of its share while it
-	// waited.
+	// MinReceivedShare is the entry of ReceivedShares with the smallest
+	// fraction, among workspaces that had requests waiting for at least
+	// minWaitingSeconds.
 	MinReceivedShare ReceivedShare `json:"least"`
-	// ReceivedShares are all workspaces that waited.
+	// ReceivedShares has an entry for each workspace that had requests waiting.
 	ReceivedShares []ReceivedShare `json:"portions"`
 }
 
-// ReceivedShare is what a workspace got of its share while it waited; 1 is all.
+// ReceivedShare is the fraction of its share that a workspace received while it
+// had requests waiting. A Fraction of 1 is the full share. WaitingSeconds is
+// the time during which it had requests waiting.
 type ReceivedShare struct {
 	Workspace      state.Workspace `json:"workspace"`
 	Fraction       float64         `json:"part"`
 	WaitingSeconds float64         `json:"seconds"`
 }
 
-// ControlRate is one router's control traffic per second.
+// ControlRate is the control traffic of one router per second.
 type ControlRate struct {
 	Router      state.Router `json:"router"`
 	BytesIn     float64      `json:"bytes_in"`
@@ -68,16 +75,16 @@
 	MessagesOut float64      `json:"messages_out"`
 }
 
-// KindRate is one kind of control message over the whole fleet, without the
-// framing of the links.
+// KindRate is the traffic per second of one kind of control message over the
+// whole fleet. It excludes the framing of the connections between routers.
 type KindRate struct {
 	Kind     string  `json:"kind"`
 	Messages float64 `json:"messages"`
 	Bytes    float64 `json:"bytes"`
 }
 
-// counterDeliverySeconds is allowed for a counter on its way, beside the period of
-// the exchange.
+// counterDeliverySeconds is the time allowed for the delivery of a usage
+// counter, in addition to the interval between exchanges.
 const counterDeliverySeconds = 0.1
 
 func newResult(r *runner, o *observer, intended int) *Result {
@@ -106,7 +113,7 @@
 	return res
 }
 
-// outcomeName names how a request ended.
+// outcomeName returns the name under which the outcome of a request is counted.
 func outcomeName(r Record) string {
 	switch {
 	case r.CallerLeft:
@@ -120,31 +127,32 @@
 	}
 }
 
-// lastCause drops the addresses before the cause in a network error's text:
-// with them every request would be a row of its own.
+// lastCause returns the last part of the text of a network error. The parts
+// before it contain addresses, which would make almost every request an outcome
+// of its own.
 func lastCause(text string) string {
 	cause := text[strings.LastIndex(text, ": ")+1:]
 	return " " + strings.TrimSpace(cause)
 }
 
-// summariseService works out the figures of one service from the samples.
+// summariseService calculates the results of one service from the samples.
 func (o *observer) summariseService(name state.Service) Service {
 	s := Service{Name: name}
 	tracker := o.gaps[name]
 	busySeconds := 0.0
 	var running, slots, maxSlots int
 	for i, sample := range o.samples {
-		m := sample.Services[name]
-		s.MaxGap = max(s.MaxGap, m.Gap)
-		maxSlots = max(maxSlots, m.Slots)
+		serviceSample := sample.Services[name]
+		s.MaxGap = max(s.MaxGap, serviceSample.Gap)
+		maxSlots = max(maxSlots, serviceSample.Slots)
 		if i == 0 {
 			continue
 		}
 		previous := o.samples[i-1]
-		busySeconds += float64(m.Running) * (sample.At - previous.At).Seconds()
-		if m.anyWaiting() && previous.Services[name].anyWaiting() {
-			running += min(m.Running, m.Slots)
-			slots += m.Slots
+		busySeconds += float64(serviceSample.Running) * (sample.At - previous.At).Seconds()
+		if serviceSample.anyWaiting() && previous.Services[name].anyWaiting() {
+			running += min(serviceSample.Running, serviceSample.Slots)
+			slots += serviceSample.Slots
 			s.BusySlotSamples++
 		}
 	}
@@ -158,6 +166,8 @@
 	return s
 }
 
+// addServed sets the total served cost and the gap of a fleet that would have
+// served only the workspace with the smallest share.
 func (o *observer) addServed(s *Service) {
 	counters := o.runner.counters[s.Name]
 	minShare := 1.0
@@ -168,6 +178,9 @@
 	s.SingleWorkspaceGap = s.Served / minShare / float64(len(counters))
 }
 
+// gapBound returns the quantities that bound the fairness gap. The cost per
+// slot and second is the served cost divided by the total time for which slots
+// were in use.
 func (o *observer) gapBound(name state.Service, slots int, served, busySeconds float64) GapBound {
 	b := GapBound{
 		Slots:             slots,
@@ -201,10 +214,13 @@
 	return received
 }
 
-// minWaitingSeconds is how long a workspace must have waited for its part to say
-// anything: within less, one long request decides.
+// minWaitingSeconds is the minimum time for which a workspace must have had
+// requests waiting to be considered by minReceivedShare. In a shorter time a
+// single long request determines the fraction.
 const minWaitingSeconds = 3
 
+// minReceivedShare returns the entry with the smallest fraction, or a zero
+// entry if no workspace had requests waiting for long enough.
 func minReceivedShare(portions []ReceivedShare) ReceivedShare {
 	var lowest ReceivedShare
 	for _, p := range portions {
@@ -254,8 +270,9 @@
 	return slices.SortedFunc(maps.Values(sums), func(a, b KindRate) int { return cmp.Compare(b.Bytes, a.Bytes) })
 }
 
-// FindVersionRollback names a router that was seen with an older version of an object
-// after a newer one; empty if there is none.
+// FindVersionRollback describes the first case in which a router reported an
+// older version of a configuration object after a newer one. It returns an
+// empty string if there is none.
 func (r *Result) FindVersionRollback() string {
 	newest := make(map[state.Router]map[string]uint64)
 	for _, s := range r.Samples {
--- a/loadgen/run.go
+++ b/loadgen/run.go
@@ -14,28 +14,33 @@
 	"github.com/figstile/figstile/transport/pause"
 )
 
-// Options are one run.
+// Options configures one run.
 type Options struct {
 	Workload Workload
 	Fleet    Fleet
-	// Direct sends to the upstreams in turn and by no router, as a baseline.
+	// Direct sends the requests straight to the upstreams in round-robin order,
+	// bypassing the routers, as a baseline.
 	Direct bool
-	// EntryRouters is how many of the routers requests are sent to; all if zero.
-	// The others still serve what the first ones cannot.
+	// EntryRouters is the number of routers to which requests are sent, counted
+	// from the first. If it is zero, requests are sent to all routers. The
+	// other routers still serve requests for which the first ones have no free
+	// slots.
 	EntryRouters int
-	// Grace is how long callers may wait for answers after the last arrival;
-	// DefaultGrace if zero.
+	// Grace is the time for which callers may wait for responses after the
+	// scheduled end of the workload. DefaultGrace is used if it is zero.
 	Grace time.Duration
 }
 
-// DefaultGrace lets a long guide end that began with the last arrival.
+// DefaultGrace is long enough for a long streamed completion that begins with
+// the last arrival.
 const DefaultGrace = 20 * time.Second
 
-// maxIdlePerTarget keeps connections for bursts: new ones for each request
-// would measure the handshake and use up local ports.
+// maxIdlePerTarget is the number of idle connections kept to each target,
+// enough to reuse connections in a burst. A new connection for each request
+// would add the handshake to its latency and exhaust the local ports.
 const maxIdlePerTarget = 2048
 
-// runner is one run under way.
+// runner holds the state of one run.
 type runner struct {
 	workload     Workload
 	fleet        Fleet
@@ -52,14 +57,17 @@
 	records []Record
 }
 
-// usageCounter is a workspace's use of a service as its callers see it.
+// usageCounter counts the use of one service by one workspace, as observed by
+// its callers.
 type usageCounter struct {
-	// waiting counts requests sent whose answer has not begun.
+	// waiting counts requests whose response header has not been received.
 	waiting atomic.Int64
-	// servedThousandths is the cost in thousandths.
+	// servedThousandths is the served cost in thousandths of a cost unit.
 	servedThousandths atomic.Int64
 }
 
+// thousandths is the number of thousandths in a cost unit and of microseconds
+// in a millisecond.
 const thousandths = 1000
 
 func (c *usageCounter) addCost(cost float64) {
@@ -68,8 +76,9 @@
 
 func (c *usageCounter) totalCost() float64 { return float64(c.servedThousandths.Load()) / thousandths }
 
-// Run sends the workload and returns what was seen. It ends early with the
-// context.
+// Run sends the requests of the workload and returns the results. If the
+// context ends early, Run returns the results so far together with the error of
+// the context.
 func Run(ctx context.Context, options Options) (*Result, error) {
 	if err := options.validate(); err != nil {
 		return nil, err
@@ -90,6 +99,7 @@
 	return newResult(r, o, len(calls)), ctx.Err()
 }
 
+// validate sets defaults and returns an error if the options are invalid.
 func (o *Options) validate() error {
 	if o.Grace == 0 {
 		o.Grace = DefaultGrace
@@ -150,8 +160,8 @@
 	r.records = append(r.records, record)
 }
 
-// sendAll starts each call at its time, whatever became of those before it,
-// and waits for the answers.
+// sendAll sends each request at its intended time, regardless of the state of
+// earlier ones, and waits for the responses.
 func (r *runner) sendAll(ctx context.Context, calls []Call, grace time.Duration) {
 	answerCtx, cancelAnswers := context.WithCancel(ctx)
 	defer cancelAnswers()
@@ -162,8 +172,9 @@
 		}
 		group.Go(func() { r.send(answerCtx, call) })
 	}
-	// A run without late arrivals still lasts its time: what an idle fleet
-	// exchanges would be measured over the few arrivals only.
+	// Wait for the scheduled end even if the last arrivals are early. Otherwise
+	// the control traffic of an idle fleet would be averaged only over the time
+	// of its few arrivals.
 	_ = pause.For(ctx, time.Until(r.started.Add(r.workload.duration())))
 	graceTimer := time.AfterFunc(grace, cancelAnswers)
 	defer graceTimer.Stop()
--- a/loadgen/schedule.go
+++ b/loadgen/schedule.go
@@ -12,46 +12,48 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// Call is one intended request.
+// Call is one scheduled request. SendAt is measured from the start of the run.
 type Call struct {
 	SendAt         time.Duration
 	WorkspaceIndex int
 	ClassIndex     int
-	// TargetIndex is an index that the runner takes modulo the targets.
+	// TargetIndex selects the router, modulo the number of routers in use.
 	TargetIndex int
 	Key         string
-	// Resent marks the repetition of an earlier request, body and key alike.
+	// Resent is set if the call repeats an earlier request with the same body
+	// and idempotency key.
 	Resent bool
-	// AbandonAfter is when the caller leaves; zero means that it stays.
+	// AbandonAfter is the time after which the caller cancels the request. Zero
+	// means that it does not.
 	AbandonAfter time.Duration
 	Body         string
 }
 
-// Schedule draws every request of a run. The same workload gives the same
-// requests.
+// Schedule generates all requests of a run, sorted by time. The same workload
+// always generates the same requests.
 func (w Workload) Schedule() []Call {
 	classes := make(map[string]int, len(w.Classes))
 	for i, c := range w.Classes {
 		classes[c.Name] = i
 	}
 	var calls []Call
-	for i, ws := range w.Workspaces {
-		for j, a := range ws.Arrivals {
+	for i, workspace := range w.Workspaces {
+		for j, stream := range workspace.Arrivals {
 			g := &callGenerator{
 				rng:            rand.New(rand.NewPCG(w.Seed, uint64(i)<<32|uint64(j))),
 				workload:       w,
 				workspaceIndex: i,
-				classIndex:     classes[a.Class],
-				idPrefix:       fmt.Sprintf("%s-%d-%d-%d", ws.Name, w.Seed, i, j),
+				classIndex:     classes[stream.Class],
+				idPrefix:       fmt.Sprintf("%s-%d-%d-%d", workspace.Name, w.Seed, i, j),
 			}
-			calls = append(calls, g.generate(a)...)
+			calls = append(calls, g.generate(stream)...)
 		}
 	}
-	slices.SortStableFunc(calls, func(a, b Call) int { return cmp.Compare(a.SendAt, b.SendAt) })
+	slices.SortStableFunc(calls, func(stream, b Call) int { return cmp.Compare(stream.SendAt, b.SendAt) })
 	return calls
 }
 
-// callGenerator draws the requests of one stream.
+// callGenerator generates the requests of one arrival stream of a workspace.
 type callGenerator struct {
 	rng            *rand.Rand
 	workload       Workload
@@ -61,27 +63,28 @@
 	generated      int
 }
 
-func (g *callGenerator) generate(a ArrivalStream) []Call {
+func (g *callGenerator) generate(stream ArrivalStream) []Call {
 	var calls []Call
-	for _, at := range g.arrivalTimes(a) {
+	for _, at := range g.arrivalTimes(stream) {
 		calls = append(calls, g.newCalls(at)...)
 	}
 	return calls
 }
 
-// arrivalTimes returns the instants of arrival in seconds.
-func (g *callGenerator) arrivalTimes(a ArrivalStream) []float64 {
+// arrivalTimes returns the arrival times of the stream, in seconds from the
+// start of the run.
+func (g *callGenerator) arrivalTimes(stream ArrivalStream) []float64 {
 	var times []float64
 	burst := 1
-	if a.Process == Bursts {
-		burst = a.BurstSize
+	if stream.Process == Bursts {
+		burst = stream.BurstSize
 	}
 	activeSeconds := 0.0
 	for {
-		activeSeconds += g.rng.ExpFloat64() * float64(burst) / a.Rate
+		activeSeconds += g.rng.ExpFloat64() * float64(burst) / stream.Rate
 		at := activeSeconds
-		if a.Process == OnOff {
-			at += math.Floor(activeSeconds/a.OnSeconds) * a.OffSeconds
+		if stream.Process == OnOff {
+			at += math.Floor(activeSeconds/stream.OnSeconds) * stream.OffSeconds
 		}
 		if at >= g.workload.Seconds {
 			return times
@@ -92,7 +95,8 @@
 	}
 }
 
-// newCalls returns one request and, if it is sent again, its repetition.
+// newCalls returns one request at the given time in seconds, followed by its
+// repetition if the request is sent again.
 func (g *callGenerator) newCalls(at float64) []Call {
 	class := g.workload.Classes[g.classIndex]
 	call := Call{
@@ -121,6 +125,9 @@
 	return []Call{call, resent}
 }
 
+// drawTarget returns one of the routers of the workspace at random. If none are
+// listed, it returns a random number, which the runner takes modulo the number
+// of routers.
 func (g *callGenerator) drawTarget() int {
 	targets := g.workload.Workspaces[g.workspaceIndex].RouterIndexes
 	if len(targets) == 0 {
@@ -129,16 +136,19 @@
 	return targets[g.rng.IntN(len(targets))]
 }
 
+// drawSize draws a size from the distribution, rounded up.
 func (g *callGenerator) drawSize(s SizeDistribution) int {
 	value := s.Median * math.Exp(s.Sigma*g.rng.NormFloat64())
 	return int(math.Ceil(min(value, s.Max)))
 }
 
-// bytesPerToken is the rough length of a token that the stand-ins count by.
+// bytesPerToken is the approximate length of a token. The stand-in engines
+// count prompt tokens with the same length.
 const bytesPerToken = 4
 
-// newBody returns a body that no other request of the run has. max_tokens is the
-// class's bound and says little of the length, as in real life.
+// newBody returns a body that is unique within the run. As in real traffic,
+// max_tokens is only the upper bound of the class and does not indicate the
+// actual length of the output.
 func (g *callGenerator) newBody(c Class, id string) string {
 	if c.Kind == config.KindWorker {
 		return fmt.Sprintf(`{"id":%q,"busy_ms":%d}`, id, g.drawSize(c.BusyMS))
--- a/loadgen/send.go
+++ b/loadgen/send.go
@@ -19,23 +19,26 @@
 	"github.com/figstile/figstile/transport/problem"
 )
 
-// sender sends one call and reads its answer.
+// sender sends one request and reads its response.
 type sender struct {
 	runner    *runner
 	call      Call
 	class     Class
 	workspace Workspace
 	record    Record
-	// creditedCost is the cost already added to the counters.
+	// creditedCost is the cost of this request, in cost units, that has been
+	// added to the usage counters.
 	creditedCost float64
 }
 
+// send sends one request, reads the response and adds the record of the
+// exchange.
 func (r *runner) send(ctx context.Context, call Call) {
 	class := r.workload.Classes[call.ClassIndex]
-	ws := r.workload.Workspaces[call.WorkspaceIndex]
-	s := &sender{runner: r, call: call, class: class, workspace: ws}
+	workspace := r.workload.Workspaces[call.WorkspaceIndex]
+	s := &sender{runner: r, call: call, class: class, workspace: workspace}
 	s.record = Record{
-		Workspace:  ws.Name,
+		Workspace:  workspace.Name,
 		Service:    class.Service,
 		Class:      class.Name,
 		IntendedAt: call.SendAt,
@@ -83,9 +86,10 @@
 	s.readResult(response)
 }
 
-// newRequest builds the HTTP request. The body is of a type that the HTTP library
-// cannot repeat: it would send a keyed request again by itself, and a
-// repetition that nobody intended would be counted as the fleet's.
+// newRequest builds the HTTP request. It wraps the body in a type that the HTTP
+// client cannot rewind. Otherwise the client would itself retry requests with
+// an idempotency key after a connection error, and the repetition would be
+// counted as one made by the fleet.
 func (s *sender) newRequest(ctx context.Context) (*http.Request, error) {
 	url, name := s.runner.target(s.call, s.class)
 	s.record.Router = name
@@ -108,7 +112,8 @@
 	return request, nil
 }
 
-// readAnswer reads the answer to its end and notes whose it is.
+// readAnswer reads the response to its end and records whether it matches the
+// request.
 func (s *sender) readAnswer(response *http.Response) error {
 	switch {
 	case response.StatusCode != http.StatusOK:
@@ -152,8 +157,8 @@
 	return nil
 }
 
-// readResult reads what the fleet states of a served request. A stream has it in
-// the trailer.
+// readResult reads the result code and the execution statement that the fleet
+// returns for a served request. A streamed response has them in its trailer.
 func (s *sender) readResult(response *http.Response) {
 	if response.StatusCode != http.StatusOK {
 		return
@@ -166,7 +171,8 @@
 	}
 }
 
-// settleCost brings the counters to the whole cost.
+// settleCost adds the part of the final cost to the usage counters that has not
+// been added while streaming.
 func (s *sender) settleCost(cost float64) {
 	s.creditCost(cost - s.creditedCost)
 	s.record.Cost = s.creditedCost
@@ -177,18 +183,19 @@
 	s.runner.counter(s.class.Service, s.call.WorkspaceIndex).addCost(cost)
 }
 
-// timedBody notes when parts of an answer arrive.
+// timedBody records when parts of a response body arrive.
 type timedBody struct {
 	io.ReadCloser
 	sender     *sender
 	lastReadAt time.Duration
 }
 
-// eventPrefix begins each event of a stream.
+// eventPrefix is the prefix of each server-sent event of a stream.
 const eventPrefix = "data: "
 
-// Read passes on and counts tokens as they come, so that the service of a long
-// stream does not show only at its end.
+// Read reads from the response body. It adds the cost of streamed tokens to the
+// usage counters as they arrive, so that the service of a long stream does not
+// appear only at its end.
 func (b *timedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if n == 0 {
@@ -208,17 +215,19 @@
 	return n, err
 }
 
-// maxDrainBytes bounds what is read after an answer's end for its trailer.
+// maxDrainBytes is the maximum number of bytes read after the end of the answer
+// in order to reach the trailer.
 const maxDrainBytes = 64 << 10
 
-// Close reads on to the trailer, which holds a stream's result.
+// Close reads the rest of the body before it closes it. The HTTP client sets
+// the trailer, which holds the result of a stream, only at the end of the body.
 func (b *timedBody) Close() error {
 	_, _ = io.CopyN(io.Discard, b.ReadCloser, maxDrainBytes)
 	return b.ReadCloser.Close()
 }
 
-// target returns the base URL for a call: a router's, or in a direct run the
-// next upstream's in turn.
+// target returns the base URL and the name of the target of a call: one of the
+// routers, or the next upstream in round-robin order in a direct run.
 func (r *runner) target(call Call, class Class) (url, name string) {
 	if !r.direct {
 		router := r.fleet.Routers[call.TargetIndex%r.entryRouters]
--- a/loadgen/text.go
+++ b/loadgen/text.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// WriteText prints the result for people.
+// WriteText writes the result as plain-text tables.
 func (r *Result) WriteText(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tw, "%s: %d requests in %.1f s\n\n", r.title(), len(r.Records), r.Seconds)
--- a/loadgen/workload.go
+++ b/loadgen/workload.go
@@ -12,87 +12,98 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// ArrivalProcess tells how arrivals are spread over time.
+// ArrivalProcess selects the distribution of arrivals over time.
 type ArrivalProcess string
 
-// The arrival processes.
+// Poisson, Bursts and OnOff are the supported arrival processes.
 const (
 	// Poisson arrivals are independent of each other.
 	Poisson ArrivalProcess = "poisson"
-	// Bursts are groups of arrivals at one instant, at exponential intervals.
+	// Bursts are groups of simultaneous arrivals. The intervals between groups
+	// are exponentially distributed.
 	Bursts ArrivalProcess = "bursts"
-	// OnOff arrivals are Poisson for OnSeconds and absent for OffSeconds.
+	// OnOff arrivals alternate between OnSeconds of Poisson arrivals and
+	// OffSeconds without arrivals.
 	OnOff ArrivalProcess = "onoff"
 )
 
-// Workload describes who sends what, and when.
+// Workload describes the requests of a run: their senders, kinds, sizes and
+// times.
 type Workload struct {
 	Name string `json:"name"`
-	// Seed makes the arrivals and sizes repeatable.
+	// Seed initialises the random generators of arrivals and sizes, so that a
+	// run can be repeated.
 	Seed       uint64      `json:"seed"`
 	Seconds    float64     `json:"seconds"`
 	Classes    []Class     `json:"classes"`
 	Workspaces []Workspace `json:"workspaces"`
 }
 
-// Class is one kind of request.
+// Class describes one kind of request.
 type Class struct {
 	Name    string             `json:"name"`
 	Service state.Service      `json:"service"`
 	Kind    config.ServiceKind `json:"kind"`
-	// Path follows the service's name in the URL.
+	// Path is the URL path after the name of the service.
 	Path   string `json:"path"`
 	Stream bool   `json:"stream,omitempty"`
-	// PromptTokens and Output are in tokens, for engines; Busy is in milliseconds,
-	// for workers.
+	// PromptTokens and OutputTokens are the prompt and output sizes of requests
+	// to engines. BusyMS is the processing time of requests to workers in
+	// milliseconds.
 	PromptTokens SizeDistribution `json:"prompt,omitzero"`
 	OutputTokens SizeDistribution `json:"output,omitzero"`
 	BusyMS       SizeDistribution `json:"busy,omitzero"`
-	// KeyedFraction is the part of requests with an idempotency key, Resent the part
-	// of those that is sent again ResendAfterMS later, to another router.
+	// KeyedFraction is the fraction of requests that have an idempotency key.
+	// ResentFraction is the fraction of those that are sent again after
+	// ResendAfterMS, to the next router.
 	KeyedFraction  float64 `json:"keyed,omitempty"`
 	ResentFraction float64 `json:"resent,omitempty"`
 	ResendAfterMS  int64   `json:"resend_after_ms,omitempty"`
-	// DeadlineMS is sent with the request; zero sends none.
+	// DeadlineMS is the deadline in milliseconds that is sent with the request.
+	// Zero sends none.
 	DeadlineMS int64 `json:"deadline_ms,omitempty"`
-	// AbandonedFraction is the part of callers who leave after AbandonAfterMS.
+	// AbandonedFraction is the fraction of requests that the caller cancels
+	// after AbandonAfterMS.
 	AbandonedFraction float64 `json:"abandoned,omitempty"`
 	AbandonAfterMS    int64   `json:"abandon_after_ms,omitempty"`
 }
 
-// SizeDistribution is a lognormal distribution, cut at Max.
+// SizeDistribution is a lognormal distribution in which values above Max are
+// replaced by Max.
 type SizeDistribution struct {
 	Median float64 `json:"median"`
 	Sigma  float64 `json:"sigma"`
 	Max    float64 `json:"max"`
 }
 
-// Workspace is one tenant's load.
+// Workspace describes the load of one workspace.
 type Workspace struct {
 	Name  state.Workspace `json:"name"`
 	Token string          `json:"token"`
-	// Share is the workspace's part of every service beside the others'
-	// shares; they need not add up to 1.
+	// Share is the weight of the workspace in every service, relative to the
+	// other workspaces. The weights need not add up to 1.
 	Share float64 `json:"share"`
-	// RouterIndexes are the indexes of the routers it uses; none means all.
+	// RouterIndexes are the indexes of the routers that the workspace sends to.
+	// An empty list means all.
 	RouterIndexes []int           `json:"targets,omitempty"`
 	Arrivals      []ArrivalStream `json:"arrivals"`
 }
 
-// ArrivalStream is one stream of requests of a class.
+// ArrivalStream describes one stream of requests of a class.
 type ArrivalStream struct {
 	Class   string         `json:"class"`
 	Process ArrivalProcess `json:"process"`
-	// Rate is the mean in requests a second; while on, for OnOff.
+	// Rate is the mean number of requests per second. For OnOff, it applies
+	// only to the on periods.
 	Rate float64 `json:"rate"`
-	// BurstSize is how many requests arrive at once.
+	// BurstSize is the number of requests that arrive at once.
 	BurstSize  int     `json:"burst,omitempty"`
 	OnSeconds  float64 `json:"on_seconds,omitempty"`
 	OffSeconds float64 `json:"off_seconds,omitempty"`
 }
 
-// Parse reads a workload. Unknown fields, trailing data and every fault of the
-// values are errors.
+// Parse decodes and validates a workload in JSON. It returns an error for
+// unknown fields, trailing data and invalid values.
 func Parse(data []byte) (Workload, error) {
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields()
@@ -106,7 +117,7 @@
 	return w, w.Validate()
 }
 
-// Validate returns all faults of the workload, or nil.
+// Validate returns all errors of the workload, joined, or nil.
 func (w Workload) Validate() error {
 	var errs errorList
 	errs.require(w.Seconds > 0, "seconds must be greater than 0")
@@ -128,6 +139,7 @@
 	return errors.Join(errs...)
 }
 
+// errorList collects validation errors.
 type errorList []error
 
 func (f *errorList) require(ok bool, format string, args ...any) {
@@ -180,7 +192,8 @@
 	return time.Duration(w.Seconds * float64(time.Second))
 }
 
-// shares returns each workspace's part of the whole, in the workload's order.
+// shares returns the shares of the workspaces, scaled to a sum of 1, in the
+// order of the workload.
 func (w Workload) shares() []float64 {
 	sum := 0.0
 	for _, ws := range w.Workspaces {
@@ -193,7 +206,7 @@
 	return parts
 }
 
-// services lists the services of the classes in order of appearance.
+// services returns the services of the classes in order of first appearance.
 func (w Workload) services() []state.Service {
 	var names []state.Service
 	seen := make(map[state.Service]bool)
