--- a/capacity/calc.go
+++ b/capacity/calc.go
@@ -11,13 +11,13 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// calculator holds a fleet against the slopes.
+// calculator calculates the costs of a fleet from the slopes.
 type calculator struct {
 	Fleet
 	slopes map[SlopeName]Slope
 }
 
-// requiredSlopes are all slopes that calculations use.
+// requiredSlopes lists all slopes that the calculations use.
 var requiredSlopes = []SlopeName{
 	RequestUpstreams, RequestOwned, TickWorkspaces, TickLines, TickUpstreams, TickServices, TickRouters,
 	ConfigureWorkspaces, ConfigureUpstreams, ConfigureRouters, TreeWorkspaces, PeersRouters, PeersUpstreams,
@@ -41,89 +41,107 @@
 	return c, nil
 }
 
-// scaled is the same calculation for a larger or smaller fleet.
+// scaled returns a calculator for a fleet that is k times as large.
 func (c *calculator) scaled(k float64) *calculator {
 	return &calculator{Fleet: c.Scale(k), slopes: c.slopes}
 }
 
+// costAt returns the cost of a slope at the given size.
 func (c *calculator) costAt(name SlopeName, size float64) float64 { return c.slopes[name].CostAt(size) }
 
+// growth returns the part of the cost of a slope that depends on the size.
 func (c *calculator) growth(name SlopeName, size float64) float64 { return c.slopes[name].Growth(size) }
 
 const (
 	nanosecond = 1e-9
 	kilobyte   = 1e3
 	megabyte   = 1e6
-	// ticksPerSecond are the scheduler's, beatsPerSecond those of a session.
+	// ticksPerSecond is the tick rate of the scheduler. heartbeatsPerSecond is
+	// the rate of heartbeats in one session.
 	ticksPerSecond           = float64(1e9 / scheduler.TickInterval)
 	membershipTicksPerSecond = float64(1e9 / membership.TickInterval)
 	heartbeatsPerSecond      = float64(1e9 / membership.HeartbeatInterval)
 	exchangesPerSecond       = float64(time.Second) / float64(scheduler.DefaultExchangeInterval)
 	pollsPerSecond           = float64(time.Second) / float64(upstream.PollInterval)
-	// claimRetentionSeconds is how long a shard holds a claim, in seconds.
+	// claimRetentionSeconds is the time, in seconds, for which a shard keeps a
+	// claim.
 	claimRetentionSeconds = float64(claims.Retention / 1e9)
 )
 
-// withFraming adds what a session puts around one message.
+// withFraming returns the size of a message of the given size in bytes,
+// including the overhead of the session.
 func (c *calculator) withFraming(bytes float64) float64 { return bytes + c.costAt(SessionBytes, 1) }
 
-// peerCount are the routers that one has a session with.
+// peerCount returns the number of routers with which one router has a session.
 func (c *calculator) peerCount() float64 { return math.Max(0, c.Routers-1) }
 
-// ownerCount are the peers that own upstreams.
+// ownerCount returns the number of peers that own upstreams.
 func (c *calculator) ownerCount() float64 { return math.Min(c.peerCount(), c.Upstreams) }
 
-// ownedUpstreams is the upstreams of one owner.
+// ownedUpstreams returns the mean number of upstreams per owner.
 func (c *calculator) ownedUpstreams() float64 { return c.Upstreams / c.Routers }
 
-// countersPerExchange are the counters in one exchange of a router.
+// countersPerExchange returns the number of counters that one router sends in
+// one exchange.
 func (c *calculator) countersPerExchange() float64 { return c.changedCounters(1 / exchangesPerSecond) }
 
-// originCount are the incarnations whose counters a router holds: the live ones
-// and those that are gone. The latter are forgotten by their number and never
-// by their age, so that a fleet that lives long has as many as fit.
+// originCount returns the number of incarnations whose counters a router
+// stores: the live ones and those that are no longer live. The number of the
+// latter is limited, but they do not expire by age, so a fleet that runs for
+// long reaches the limit.
 func (c *calculator) originCount() float64 { return c.peerCount() + c.removedIncarnations() }
 
+// removedIncarnations returns the number of incarnations that are no longer
+// live and whose counters a router stores.
 func (c *calculator) removedIncarnations() float64 { return c.costAt(RemovedOrigins, c.Routers) }
 
-// grantedPerSecond is the requests a second that one router runs on others' upstreams.
+// grantedPerSecond returns the number of requests per second that one router
+// runs on upstreams owned by other routers.
 func (c *calculator) grantedPerSecond() float64 { return c.requestsPerRouter() * c.remoteFraction() }
 
-// reportsPerRequest is the progress messages of one granted request.
+// reportsPerRequest returns the number of progress messages for one granted
+// request.
 func (c *calculator) reportsPerRequest() float64 {
 	return 1 + c.costAt(ProgressReports, c.slotHoldSeconds())
 }
 
-// claimsPerSecond is the claims a second of the fleet.
+// claimsPerSecond returns the number of claims per second in the whole fleet.
 func (c *calculator) claimsPerSecond() float64 { return c.Requests * c.Claimed }
 
-// claimCapacity is the claims that all shards hold together.
+// claimCapacity returns the number of claims that all shards can store
+// together.
 func (c *calculator) claimCapacity() float64 { return claims.Shards * claims.MaxKeys }
 
-// openSegmentEntries is the mean number of entries in an open segment.
+// openSegmentEntries returns the mean number of entries in an open segment.
 func (c *calculator) openSegmentEntries() float64 { return meanOpenEntries(c.slopes[WireShard]) }
 
-// claimsPerShard is the claims in one shard after a day, as far as they fit.
+// claimsPerShard returns the number of claims in one shard after the retention
+// time of claims, limited by the capacity of the shard.
 func (c *calculator) claimsPerShard() float64 {
 	return math.Min(c.claimsPerSecond()*claimRetentionSeconds, c.claimCapacity()) / claims.Shards
 }
 
-// claimRoundsPerSecond is the claim rounds a second of the fleet.
+// claimRoundsPerSecond returns the number of claim rounds per second in the
+// whole fleet.
 func (c *calculator) claimRoundsPerSecond() float64 {
 	return math.Min(claims.FleetRoundsPerSecond, 2*c.claimsPerSecond())
 }
 
-// base64Bytes is the length of a value in the platform's JSON.
+// base64Bytes returns the length of a value of the given size in the JSON of
+// the platform, which encodes values in base64.
 func base64Bytes(bytes float64) float64 { return float64(base64.StdEncoding.EncodedLen(int(bytes))) }
 
-// counterStaleness is the age of peers' counters in seconds when the next ones come.
+// counterStaleness returns the age, in seconds, that the counters of a peer
+// reach before the next ones arrive.
 func (c *calculator) counterStaleness() float64 {
 	return scheduler.DefaultExchangeInterval.Seconds() + scheduler.TickInterval.Seconds()
 }
 
-// fairnessBound is the fairness bound of package fairness for workspaces of equal
-// share, in seconds of one workspace's part of the service: twice what is in
-// progress, plus one largest request, plus what the fleet serves unheard.
+// fairnessBound returns the bound of package fairness for workspaces of equal
+// share, in seconds of the service that one workspace receives. The bound is
+// twice the sum of three terms: the service in progress, one request of maximum
+// duration, and the service of the whole fleet that has not been reported yet.
+// The argument staleness is the age of the counters in seconds.
 func (c *calculator) fairnessBound(staleness float64) float64 {
 	slots := c.totalSlots()
 	inProgress := slots * c.Largest / c.Workspaces
--- a/capacity/failure.go
+++ b/capacity/failure.go
@@ -7,37 +7,45 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// FailureEvent is one kind of failure and what it does to a fleet with today's
-// mechanisms.
+// FailureEvent describes one kind of failure and its effects on a fleet with
+// the current mechanisms.
 type FailureEvent struct {
 	Name string `json:"name"`
-	// Routers that are lost or cut off, and how often a day it happens.
+	// Routers is the number of routers that are lost or disconnected. PerDay is
+	// the number of such events per day, or zero if it is unknown.
 	Routers float64 `json:"routers"`
 	PerDay  float64 `json:"per_day,omitempty"`
-	// MovedUpstreams is the upstreams that get another owner and live on, Lost those
-	// that go too.
+	// MovedUpstreams is the number of upstreams that stay up and get another
+	// owner. LostUpstreams is the number of upstreams that fail together with
+	// the routers.
 	MovedUpstreams float64 `json:"upstreams_moved"`
 	LostUpstreams  float64 `json:"upstreams_lost"`
-	// NoticedSeconds is the seconds until the survivors know, Served until the moved
-	// upstreams get work again.
+	// NoticedSeconds is the time until the remaining routers detect the
+	// failure. ServedSeconds is the time until the moved upstreams receive
+	// requests again.
 	NoticedSeconds float64 `json:"noticed_s"`
 	ServedSeconds  float64 `json:"served_s"`
-	// CutRequests is the requests in progress whose callers see a broken connection.
+	// CutRequests is the number of requests in progress whose callers see a
+	// broken connection.
 	CutRequests float64 `json:"requests_cut"`
-	// Messages, KB and Scheduler are what one survivor sends, and the seconds
-	// its scheduler works, until the fleet has settled.
+	// Messages and KB are the traffic that one remaining router sends until the
+	// fleet has settled. SchedulerSeconds is the time for which its scheduler
+	// is occupied.
 	Messages         float64 `json:"messages"`
 	KB               float64 `json:"kb"`
 	SchedulerSeconds float64 `json:"scheduler_s"`
-	// RejoinMB is the MB that one survivor tells those that come back, and
-	// RejoinTime the seconds its scheduler works for that.
+	// RejoinMB is the size, in MB, of the counters that one remaining router
+	// sends to the routers that return. RejoinSeconds is the time for which its
+	// scheduler is occupied by their return.
 	RejoinMB      float64 `json:"rejoin_mb"`
 	RejoinSeconds float64 `json:"rejoin_s"`
 }
 
-// silenceSeconds is the seconds until a silent peer is given up.
+// silenceSeconds is the time, in seconds, after which a silent peer is
+// considered lost.
 var silenceSeconds = (membership.SessionTimeout + membership.TickInterval).Seconds()
 
+// events returns the failures that a report describes.
 func (c *calculator) events() []FailureEvent {
 	centre := c.routersPerDataCentre()
 	region := c.Routers / c.Regions
@@ -50,7 +58,8 @@
 	}
 }
 
-// routerLoss is routers that go silent at once, with some upstreams.
+// routerLoss returns the event in which several routers, and some upstreams
+// with them, become silent at once.
 func (c *calculator) routerLoss(name string, routers, upstreams, perDay float64) FailureEvent {
 	e := FailureEvent{Name: name, Routers: routers, PerDay: perDay, LostUpstreams: upstreams}
 	e.MovedUpstreams = math.Max(0, routers*c.ownedUpstreams()-upstreams)
@@ -62,8 +71,9 @@
 	return e
 }
 
-// plannedRestart is a planned one: everything admitted is finished and the owner
-// hands its upstreams over at once.
+// plannedRestart returns the event of a planned restart. The router finishes
+// all admitted requests, and the ownership of its upstreams changes
+// immediately.
 func (c *calculator) plannedRestart() FailureEvent {
 	e := FailureEvent{Name: "a planned restart", Routers: 1, PerDay: c.Replaced, MovedUpstreams: c.ownedUpstreams()}
 	e.ServedSeconds = 2 * upstream.PollInterval.Seconds()
@@ -72,8 +82,9 @@
 	return e
 }
 
-// regionSplit is two regions that lose each other and both live on. Owners come
-// from the upstream's own data centre, so that none moves.
+// regionSplit returns the event in which two regions are disconnected from each
+// other and both keep running. The owner of an upstream is always in the same
+// data centre, so no upstream moves.
 func (c *calculator) regionSplit(region float64) FailureEvent {
 	e := FailureEvent{Name: "two regions apart", Routers: region, NoticedSeconds: silenceSeconds}
 	c.addSettlingCost(&e)
@@ -81,8 +92,8 @@
 	return e
 }
 
-// addSettlingCost adds what a survivor sends and works: all its demand to every new
-// owner, and owners worked out anew once.
+// addSettlingCost adds the messages and the work of a remaining router. It
+// sends its whole demand to every new owner and recalculates the owners once.
 func (c *calculator) addSettlingCost(e *FailureEvent) {
 	newOwners := math.Min(e.MovedUpstreams, c.routersPerDataCentre())
 	e.Messages = newOwners
@@ -90,13 +101,15 @@
 	e.SchedulerSeconds = c.peerChangeSeconds() / 2
 }
 
-// peerChangeSeconds is the seconds of the scheduler when a peer goes and comes back.
+// peerChangeSeconds returns the time, in seconds, for which the scheduler is
+// occupied when one peer leaves and returns.
 func (c *calculator) peerChangeSeconds() float64 {
 	return nanosecond * (c.growth(PeersRouters, c.Routers) + c.costAt(PeersUpstreams, c.Upstreams))
 }
 
-// addRejoinCost adds what a survivor tells peers that are back, each on a new
-// session. A router that starts hears as much from every peer.
+// addRejoinCost adds the counters that a remaining router sends to the
+// returning peers, each on a new session. A starting router receives the same
+// amount from every peer.
 func (c *calculator) addRejoinCost(e *FailureEvent) {
 	e.RejoinMB = e.Routers * c.introductionMB()
 	e.RejoinSeconds = e.Routers * c.peerChangeSeconds()
--- a/capacity/measure.go
+++ b/capacity/measure.go
@@ -10,29 +10,30 @@
 )
 
 const (
-	// batchDuration is how long one batch of a timed operation runs, and batches
-	// how many there are. The fastest counts: others on the machine only ever
+	// batchDuration is the minimum time for which one batch of a timed
+	// operation runs, and batches the number of batches. The result is the time
+	// of the fastest batch, because other processes on the machine can only
 	// make a batch slower.
 	batchDuration = 20 * time.Millisecond
 	batches       = 11
 )
 
-// measurement fills one or more slopes.
+// measurement describes the measurement of one slope.
 type measurement struct {
 	name             SlopeName
 	unit             string
 	sizeUnit         string
 	machineDependent bool
 	sizes            []int
-	// measure measures one size.
+	// measure returns the value at one size.
 	measure func(ctx context.Context, size int) (float64, error)
 }
 
-// ProgressFunc hears of each slope once it is measured.
+// ProgressFunc is called with each slope after it has been measured.
 type ProgressFunc func(Slope)
 
-// Measure measures every slope. It takes about a minute, most of it in real
-// time for the calls to the platform.
+// Measure measures all slopes. It takes about a minute, most of which is real
+// time spent waiting for calls to the platform.
 func Measure(ctx context.Context, onSlope ProgressFunc) (*Slopes, error) {
 	result := &Slopes{
 		MeasuredAt: time.Now().UTC().Truncate(time.Second),
@@ -67,7 +68,8 @@
 	return slope.fit(), nil
 }
 
-// loadAverage is empty where the system does not tell.
+// loadAverage returns the one-minute load average, or an empty string if the
+// system does not provide it.
 func loadAverage() string {
 	data, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -77,8 +79,8 @@
 	return first
 }
 
-// timeMeasurement returns a measurement of nanoseconds for one call of the operation
-// that prepare returns.
+// timeMeasurement returns a measurement of the time, in nanoseconds, of one
+// call of the operation that prepare returns.
 func timeMeasurement(name SlopeName, sizeUnit string, sizes []int, prepare func(size int) func()) measurement {
 	return measurement{
 		name: name, unit: "ns", sizeUnit: sizeUnit, machineDependent: true, sizes: sizes,
@@ -97,7 +99,7 @@
 	return float64(best.Nanoseconds()) / float64(n)
 }
 
-// callsPerBatch returns how many calls fill a batch.
+// callsPerBatch returns the number of calls that take at least batchDuration.
 func callsPerBatch(op func()) int {
 	for n := 1; ; n *= 2 {
 		if timeCalls(op, n) >= batchDuration {
@@ -114,8 +116,9 @@
 	return time.Since(start)
 }
 
-// allocMeasurement returns a measurement of allocations for one call. Unlike a time
-// it is the same on a busy machine.
+// allocMeasurement returns a measurement of the number of allocations per call
+// of the operation that prepare returns. Unlike a time, it does not depend on
+// the load of the machine.
 func allocMeasurement(name SlopeName, sizeUnit string, sizes []int, prepare func(size int) func()) measurement {
 	return measurement{
 		name: name, unit: "allocs", sizeUnit: sizeUnit, sizes: sizes,
@@ -135,8 +138,8 @@
 	return float64(after.Mallocs-before.Mallocs) / calls
 }
 
-// heapMeasurement returns a measurement of the bytes that what build returns holds on
-// the heap and in stacks.
+// heapMeasurement returns a measurement of the memory, in bytes of heap and
+// stacks, that the value returned by build occupies.
 func heapMeasurement(name SlopeName, sizeUnit string, sizes []int, build func(size int) any) measurement {
 	return measurement{
 		name: name, unit: "B", sizeUnit: sizeUnit, sizes: sizes,
@@ -154,8 +157,9 @@
 	return max(0, float64(after)-float64(before))
 }
 
-// memoryInUse collects twice, since finalizers free some memory only at the
-// second collection.
+// memoryInUse returns the bytes of heap and stacks in use. It runs the garbage
+// collector twice, because memory with finalizers is freed only by the second
+// run.
 func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
--- a/capacity/measure_deciders.go
+++ b/capacity/measure_deciders.go
@@ -15,7 +15,8 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// Slopes of processor time and allocations in the deciders.
+// These slopes measure CPU time and allocations of the state machines:
+// scheduler, fairness, membership, claims and settings.
 const (
 	ChoiceBacklogged    SlopeName = "choice.backlogged"
 	ChoiceIdle          SlopeName = "choice.idle"
@@ -89,36 +90,39 @@
 	}
 }
 
-// grantSlot grants one slot: the next workspace, its reservation, its charge.
+// grantSlot returns an operation that grants one slot: it selects the next
+// workspace, reserves the cost and charges it.
 func grantSlot(known, backlogged int) func() {
 	now := time.Unix(1_800_000_000, 0)
-	l := fairness.New(1)
+	ledger := fairness.New(1)
 	for i := range known {
-		l.SetShare(workspaceNamed(i), 1/float64(known))
+		ledger.SetShare(workspaceNamed(i), 1/float64(known))
 		if i < backlogged {
-			l.SetBacklog(now, workspaceNamed(i), "", true)
+			ledger.SetBacklog(now, workspaceNamed(i), "", true)
 		}
 	}
 	return func() {
-		w, _ := l.Next(nil)
-		l.Reserve(w, state.CostUnit)
-		l.Charge(w, state.CostUnit, -state.CostUnit)
+		workspace, _ := ledger.Next(nil)
+		ledger.Reserve(workspace, state.CostUnit)
+		ledger.Charge(workspace, state.CostUnit, -state.CostUnit)
 	}
 }
 
-// saturatedScheduler ends one request and lets a waiting one take its slot; an arrival
-// keeps the backlog as long as it was.
+// saturatedScheduler returns an operation that ends one request, so that a
+// waiting one takes its slot. It also adds one request, so that the backlog
+// keeps its length.
 func saturatedScheduler(s fleetSize, backlogged int) func() {
 	h := newSchedulerHarness(s)
-	running := dispatchedIDs(h.queueRequests(len(h.owned)*slotsPerUpstream + backlogged))
+	runningIDs := dispatchedIDs(h.queueRequests(len(h.owned)*slotsPerUpstream + backlogged))
 	return func() {
 		h.lastID++
 		actions := h.step(scheduler.Arrived{Request: h.newRequest(int(h.lastID))})
-		actions = append(actions, h.step(scheduler.Ended{ID: running[0], Cost: state.CostUnit, Outcome: scheduler.OutcomeServed})...)
-		running = append(running[1:], dispatchedIDs(actions)...)
+		actions = append(actions, h.step(scheduler.Ended{ID: runningIDs[0], Cost: state.CostUnit, Outcome: scheduler.OutcomeServed})...)
+		runningIDs = append(runningIDs[1:], dispatchedIDs(actions)...)
 	}
 }
 
+// dispatchedIDs returns the IDs of the requests that the actions dispatch.
 func dispatchedIDs(actions []scheduler.Action) []state.RequestID {
 	var ids []state.RequestID
 	for _, a := range actions {
@@ -129,12 +133,15 @@
 	return ids
 }
 
-// tickRouters is the fleet in which ticks are measured against other sizes.
+// tickRouters is the number of routers of the fleet in which ticks are measured
+// against other sizes.
 const tickRouters = 32
 
-// tickMeasurement measures one tick as a mean over half a minute, which holds every
-// periodic work of a scheduler: exchanges, batches, refreshes. With lines
-// waiting nearly all of it is demand sent, and it is divided by the owners.
+// tickMeasurement returns a measurement of the time of one tick, averaged over
+// half a minute, which includes all periodic work of a scheduler: exchanges,
+// batches of demand and refreshes. If requests are waiting, almost all of the
+// time is spent on sending demand, so the time is divided by the number of
+// owners that receive it.
 func tickMeasurement(name SlopeName, sizeUnit string, sizes []int, sizeFor func(n int) (fleetSize, int)) measurement {
 	const perRun = int(30 * time.Second / scheduler.TickInterval)
 	return measurement{
@@ -162,7 +169,8 @@
 	return func() { h.step(scheduler.Configured{Settings: settings}) }
 }
 
-// changeTree takes one changed object into the tree and derives the view.
+// changeTree returns an operation that applies one changed object to the
+// settings tree and derives the view.
 func changeTree(workspaces int) func() {
 	const team = 10
 	tree := newTree(workspaces/team, team, 100)
@@ -191,8 +199,8 @@
 	return tree
 }
 
-// rejoinPeer takes one router away and brings it back, as the daemon does for
-// every new session.
+// rejoinPeer returns an operation that removes one router from the peers and
+// adds it again, as the daemon does for every new session.
 func rejoinPeer(s fleetSize) func() {
 	h := newSchedulerHarness(s)
 	all := samplePeers(s.routers)
@@ -202,15 +210,17 @@
 	}
 }
 
-// receiveUsage takes in one peer's counters. Every call takes them from the
-// next peer, and some workspaces were granted to since each was last heard.
-func receiveUsage(entries, moved int) func() {
+// receiveUsage returns an operation that processes the counters of one peer.
+// Each call uses the next peer. The argument grantedWorkspaces is the number of
+// workspaces that have been granted requests since the counters of each peer
+// were last received.
+func receiveUsage(entries, grantedWorkspaces int) func() {
 	const routers = 32
 	h := newSchedulerHarness(fleetSize{routers, 100, 6300, 1})
 	charged := state.Cost(0)
 	peer := 0
 	return func() {
-		h.serveWorkspacesOnce(moved)
+		h.serveWorkspacesOnce(grantedWorkspaces)
 		charged += state.CostUnit
 		peer = peer%(routers-1) + 1
 		h.step(scheduler.UsageHeard{
@@ -219,7 +229,8 @@
 	}
 }
 
-// serveWorkspacesOnce serves a request of so many workspaces, once.
+// serveWorkspacesOnce serves one request for each of the given number of
+// workspaces on the first call. Later calls do nothing.
 func (h *schedulerHarness) serveWorkspacesOnce(workspaces int) {
 	if h.lastID > 0 {
 		return
@@ -261,7 +272,8 @@
 	return d
 }
 
-// membershipHarness is a membership machine with a session to every other router.
+// membershipHarness runs a membership state machine that has a session with
+// every other router.
 type membershipHarness struct {
 	*membership.Machine
 	now time.Time
@@ -283,7 +295,8 @@
 	}
 }
 
-// tick lets one tick pass in which every peer was heard of.
+// tick advances the clock by one tick, in which a message of every peer is
+// received.
 func (m *membershipHarness) tick(routers int) []membership.Action {
 	m.now = m.now.Add(membership.TickInterval)
 	for i := 1; i < routers; i++ {
@@ -312,20 +325,21 @@
 	}
 }
 
-// countRemovedOrigins is how many incarnations that are gone a ledger remembers.
+// countRemovedOrigins returns how many of n incarnations that are no longer
+// live a ledger stores.
 func countRemovedOrigins(_ context.Context, n int) (float64, error) {
-	l := fairness.New(1)
+	ledger := fairness.New(1)
 	for i := range n {
-		l.ReceiveCounters(fairness.Origin{Router: "router-0001", Incarnation: state.Incarnation(1 + i)}, sampleCounters(1))
+		ledger.ReceiveCounters(fairness.Origin{Router: "router-0001", Incarnation: state.Incarnation(1 + i)}, sampleCounters(1))
 	}
-	return float64(len(l.RemovedOrigins())), nil
+	return float64(len(ledger.RemovedOrigins())), nil
 }
 
-// openSegmentSizes are the entries an open segment may hold.
+// openSegmentSizes are numbers of entries that an open segment may have.
 var openSegmentSizes = []int{50, 250, 500}
 
-// claimsRound reads, extends and writes an open segment, as a contended round
-// does.
+// claimsRound returns an operation that encodes and decodes an open segment, as
+// a contended round does to read, extend and write it.
 func claimsRound(entries int) func() {
 	segment := sampleSegment(entries)
 	return func() {
@@ -339,8 +353,8 @@
 	}
 }
 
-// rememberedClaims is a machine that has read a shard's chain of sealed
-// segments.
+// rememberedClaims returns a claims state machine that has read the chain of
+// sealed segments of one shard.
 func rememberedClaims(n int) any {
 	const perSegment = 500
 	m := claims.NewMachine("router-0001", sampleIncarnation)
@@ -357,7 +371,7 @@
 	return m
 }
 
-// sealedChain answers the read of a whole chain.
+// sealedChain returns the result of reading a whole chain of segments.
 func sealedChain(shard, entries, perSegment int) claims.ReadDone {
 	done := claims.ReadDone{Shard: shard, Outcome: claims.ReadOK}
 	all := sampleSegment(entries).Entries
@@ -380,8 +394,8 @@
 	return done
 }
 
-// sampleSegment holds claims of some hundred incarnations, as a day in a large
-// fleet leaves them.
+// sampleSegment returns a segment with claims of several hundred incarnations,
+// which a large fleet accumulates within the retention time of claims.
 func sampleSegment(entries int) *claims.Segment {
 	const claimers = 256
 	segment := &claims.Segment{}
--- a/capacity/measure_memory.go
+++ b/capacity/measure_memory.go
@@ -10,7 +10,7 @@
 	"github.com/figstile/figstile/transport/metrics"
 )
 
-// Slopes of memory.
+// These slopes measure memory in use, in bytes.
 const (
 	MemoryWorkspaces    SlopeName = "memory.workspaces"
 	MemoryUpstreams     SlopeName = "memory.upstreams"
@@ -54,13 +54,13 @@
 	return h
 }
 
-// ledgerWithCounters holds the counters of 630 workspaces for so many routers as
-// the number asks for.
+// ledgerWithCounters returns a ledger with n counters: those of 630 workspaces
+// for each of n/630 routers.
 func ledgerWithCounters(n int) any {
 	const workspaces = 630
-	l := fairness.New(1)
+	ledger := fairness.New(1)
 	for i := range workspaces {
-		l.SetShare(workspaceNamed(i), 1.0/workspaces)
+		ledger.SetShare(workspaceNamed(i), 1.0/workspaces)
 	}
 	routers := n / workspaces
 	var peers []fairness.Peer
@@ -69,11 +69,11 @@
 		origin := fairness.Origin{Router: peer.Router, Incarnation: peer.Incarnation}
 		peers = append(peers, fairness.Peer{Origin: origin, Share: 1 / float64(routers)})
 	}
-	l.SetPeers(1, peers)
+	ledger.SetPeers(1, peers)
 	for _, peer := range peers {
-		l.ReceiveCounters(peer.Origin, sampleCounters(workspaces))
+		ledger.ReceiveCounters(peer.Origin, sampleCounters(workspaces))
 	}
-	return l
+	return ledger
 }
 
 func sampleCounters(n int) []fairness.Entry {
--- a/capacity/measure_platform.go
+++ b/capacity/measure_platform.go
@@ -23,7 +23,8 @@
 	standin "github.com/figstile/figstile/standin/upstream"
 )
 
-// Slopes of whole daemons and pollers in real time, beside stand-ins.
+// These slopes measure whole daemons and pollers in real time, connected to
+// stand-ins.
 const (
 	PlatformWatches SlopeName = "platform.watches"
 	PlatformVMs     SlopeName = "platform.vms"
@@ -34,14 +35,16 @@
 )
 
 const (
-	// idleWindow holds three waiting watches.
+	// idleWindow is long enough for three watches that wait until they time out
+	// at the platform.
 	idleWindow = 16 * time.Second
-	// changeWindow holds enough changes that the first and last call weigh
-	// little.
+	// changeWindow contains enough changes that the first and the last call
+	// have little effect on the mean.
 	changeWindow = 6 * time.Second
-	// pollWindow holds a dozen polls of each upstream.
+	// pollWindow is long enough for a dozen polls of each upstream.
 	pollWindow = 3 * time.Second
-	// changeRouters share a platform while settings change.
+	// changeRouters is the number of routers that share the platform in the
+	// measurement of changes of the settings.
 	changeRouters = 2
 )
 
@@ -92,7 +95,7 @@
 	}
 }
 
-// processCPUTime is the processor time of this process so far.
+// processCPUTime returns the CPU time that this process has used so far.
 func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -101,7 +104,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// countPlatformCalls counts what daemons without requests ask of the platform.
+// countPlatformCalls returns the number of calls that daemons without requests
+// make to the platform within the window.
 func countPlatformCalls(ctx context.Context, routers, changes int, window time.Duration) (platform.Calls, error) {
 	p := platform.New(platform.Options{})
 	url, stop, err := p.Start("127.0.0.1:0")
@@ -130,7 +134,8 @@
 
 var errNoWatch = errors.New("capacity: routers do not follow the platform")
 
-// awaitWatches returns once every router has listed and watches.
+// awaitWatches returns when every router has listed the settings and is
+// watching them, or with an error after sessionTimeout.
 func awaitWatches(ctx context.Context, p *platform.Platform, routers int64) error {
 	deadline := time.Now().Add(sessionTimeout)
 	for p.Calls().Watch < routers {
@@ -142,7 +147,8 @@
 	return nil
 }
 
-// writeChanges writes a team's object so many times a second.
+// writeChanges writes the object of a team the given number of times per
+// second.
 func writeChanges(ctx context.Context, store *platform.Store, perSecond int, window time.Duration) error {
 	if perSecond == 0 {
 		time.Sleep(window)
@@ -159,7 +165,8 @@
 	return nil
 }
 
-// startDaemons runs whole routers in this process.
+// startDaemons runs n complete routers in this process. The returned function
+// stops them.
 func startDaemons(ctx context.Context, platformURL string, n int) (finish func(), err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -187,7 +194,8 @@
 	}
 }
 
-// pollingCost fetches load reports of so many upstreams for a while.
+// pollingCost returns the cost per second of fetching the load reports of n
+// upstreams.
 func pollingCost(ctx context.Context, n int) (resourceCost, error) {
 	server, err := newCountingServer(loadReportHandler())
 	if err != nil {
@@ -208,16 +216,17 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	bytes, cpu := server.bytes.Load(), processCPUTime()
+	bytesBefore, cpuBefore := server.bytes.Load(), processCPUTime()
 	time.Sleep(pollWindow)
 	seconds := pollWindow.Seconds()
 	return resourceCost{
-		bytes:          float64(server.bytes.Load()-bytes) / seconds,
-		cpuNanoseconds: float64((processCPUTime() - cpu).Nanoseconds()) / seconds,
+		bytes:          float64(server.bytes.Load()-bytesBefore) / seconds,
+		cpuNanoseconds: float64((processCPUTime() - cpuBefore).Nanoseconds()) / seconds,
 	}, nil
 }
 
-// loadReportHandler answers every path with a stand-in's load report.
+// loadReportHandler returns a handler that answers every path with the load
+// report of a stand-in worker.
 func loadReportHandler() http.Handler {
 	w := worker.New(worker.Options{Options: standin.Options{Name: upstreamName(0), Slots: slotsPerUpstream}})
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -226,7 +235,7 @@
 	})
 }
 
-// countingServer counts the bytes of its connections both ways.
+// countingServer counts the bytes that its connections read and write.
 type countingServer struct {
 	net.Listener
 	server *http.Server
@@ -245,9 +254,9 @@
 
 func (s *countingServer) close() { _ = s.server.Close() }
 
-// targets are upstreams behind the same address. The poller takes a report
-// only from the upstream it asked, so all bear one name and differ in their
-// paths.
+// targets returns n upstreams at the same address. The poller accepts a report
+// only if it names the upstream that was polled, so all have the same name and
+// differ in their paths.
 func (s *countingServer) targets(n int) []upstream.Target {
 	targets := make([]upstream.Target, n)
 	for i := range targets {
@@ -256,25 +265,26 @@
 	return targets
 }
 
-// Accept counts the next connection.
+// Accept returns the next connection, wrapped so that its bytes are counted.
 func (s *countingServer) Accept() (net.Conn, error) {
 	conn, err := s.Listener.Accept()
 	return &countingConn{Conn: conn, bytes: &s.bytes}, err
 }
 
+// countingConn adds the bytes of a connection to a shared counter.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-// Read reads and counts.
+// Read reads from the connection and counts the bytes.
 func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
+// Write writes to the connection and counts the bytes.
 func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
--- a/capacity/measure_progress.go
+++ b/capacity/measure_progress.go
@@ -22,11 +22,11 @@
 	standin "github.com/figstile/figstile/standin/upstream"
 )
 
-// tokenDelay is how fast the measured stream runs.
+// tokenDelay is the time between two tokens of the measured stream.
 const tokenDelay = 20 * time.Millisecond
 
-// countProgressReports counts the reports of cost that the caller's handler makes
-// while it relays one stream.
+// countProgressReports returns the number of cost reports that the handler of
+// callers makes while it relays one stream of the given duration in seconds.
 func countProgressReports(_ context.Context, seconds int) (float64, error) {
 	e := engine.New(engine.Options{
 		Options:       standin.Options{Name: upstreamName(0), Slots: 1},
@@ -60,13 +60,14 @@
 	return r
 }
 
-// countingScheduler dispatches each request at once and counts its reports.
+// countingScheduler dispatches each request immediately and counts its progress
+// reports.
 type countingScheduler struct{ reports atomic.Int64 }
 
-// NextID numbers a request.
+// NextID returns the same ID for every request.
 func (*countingScheduler) NextID() state.RequestID { return 1 }
 
-// Submit dispatches to the only upstream.
+// Submit dispatches the request to the only upstream.
 func (*countingScheduler) Submit(scheduler.Request) <-chan scheduler.Action {
 	actions := make(chan scheduler.Action, 1)
 	actions <- scheduler.Dispatch{ID: 1, Upstream: upstreamName(0), Attempt: 1}
@@ -76,30 +77,30 @@
 // Withdraw does nothing.
 func (*countingScheduler) Withdraw(state.RequestID) {}
 
-// ReportProgress counts.
+// ReportProgress counts one report.
 func (c *countingScheduler) ReportProgress(state.RequestID, state.Cost) { c.reports.Add(1) }
 
 // ReportEnd does nothing.
 func (*countingScheduler) ReportEnd(state.RequestID, state.Cost, scheduler.Outcome) {}
 
-// singleService is a view with one engine.
+// singleService is a view of the settings with one engine.
 type singleService struct{ url string }
 
-// View returns itself.
+// View returns the receiver.
 func (s singleService) View() caller.View { return s }
 
-// AuthenticateCaller knows one workspace.
+// AuthenticateCaller accepts every token as that of the same workspace.
 func (singleService) AuthenticateCaller(string) (state.Workspace, bool) {
 	return workspaceNamed(0), true
 }
 
-// Service returns the engine for every name.
+// Service returns a service with the single engine for every name.
 func (s singleService) Service(name state.Service) (config.Service, bool) {
 	up := config.Upstream{Name: upstreamName(0), URL: s.url}
 	return config.Service{Name: name, Kind: config.KindEngine, Repeatable: true, Upstreams: []config.Upstream{up}}, true
 }
 
-// Allows permits everything.
+// Allows permits every request.
 func (singleService) Allows(state.Workspace, state.Service, state.Model) result.Code {
 	return result.OK
 }
--- a/capacity/measure_sessions.go
+++ b/capacity/measure_sessions.go
@@ -14,7 +14,7 @@
 	"github.com/figstile/figstile/transport/peer"
 )
 
-// Slopes of real sessions over loopback.
+// These slopes measure real sessions over the loopback interface.
 const (
 	SessionBytes  SlopeName = "session.bytes"
 	SessionTime   SlopeName = "session.time"
@@ -22,7 +22,8 @@
 	SessionQueue  SlopeName = "session.queue"
 )
 
-// sessionTimeout ends a measurement whose sessions do not come about.
+// sessionTimeout is the time after which a measurement fails if its sessions
+// have not been established.
 const sessionTimeout = 10 * time.Second
 
 var errNoSession = errors.New("capacity: no session between routers on loopback")
@@ -55,16 +56,18 @@
 	}
 }
 
-// stoppedClock never ticks, so that no heartbeat is among what is counted.
+// stoppedClock is a clock without ticks, so that no heartbeats are sent and
+// counted.
 type stoppedClock struct{}
 
-// Now returns the time.
+// Now returns the real time.
 func (stoppedClock) Now() time.Time { return time.Now() }
 
 // Ticker returns a channel that never receives.
 func (stoppedClock) Ticker(time.Duration) (<-chan time.Time, func()) { return nil, func() {} }
 
-// meshGroup are routers of one process with sessions between all of them.
+// meshGroup runs several routers in one process, with sessions between all of
+// them.
 type meshGroup struct {
 	meshes   []*peer.Mesh
 	received chan struct{}
@@ -109,14 +112,16 @@
 	}
 }
 
-// decode does what a daemon does before the scheduler hears of a message.
+// decode decodes a message as a daemon does before it passes the message to the
+// scheduler.
 func (m *meshGroup) decode(from peer.Peer, env *peerpb.Envelope) {
 	if _, err := wire.ToEvent(from.Router, from.Incarnation, env); err == nil {
 		m.received <- struct{}{}
 	}
 }
 
-// awaitSessions returns once every router has a session with every other one.
+// awaitSessions returns when every router has a session with every other one,
+// or with an error after sessionTimeout.
 func (m *meshGroup) awaitSessions(ctx context.Context) error {
 	deadline := time.Now().Add(sessionTimeout)
 	for !m.allConnected() {
@@ -149,16 +154,19 @@
 	close(m.received)
 }
 
-// resourceCost is what one message takes at both ends together.
+// resourceCost is the traffic in bytes and the CPU time in nanoseconds of both
+// ends together, for one message or per second.
 type resourceCost struct{ bytes, cpuNanoseconds float64 }
 
-// countedMessages are so many that a frame of the session's own among them,
-// such as the one that opens the bulk stream, is a thousandth of the result.
+// countedMessages is the number of messages that are counted. It is large
+// enough that one frame of the session itself, such as the one that opens the
+// bulk stream, changes the result by a thousandth.
 const countedMessages = 1000
 
-// messageCost sends one usage message after the other, since those that wait
-// together share a yamux frame. The receiver counts a message's bytes before it
-// is heard of, the sender perhaps later.
+// messageCost returns the cost of one usage message. It sends the messages one
+// after the other, because messages that wait together share a yamux frame. It
+// uses the byte count of the receiver, which is updated before the message is
+// delivered, whereas the sender may update its own count later.
 func messageCost(ctx context.Context, counters int) (resourceCost, error) {
 	m, err := startMeshGroup(ctx, 2)
 	if err != nil {
@@ -171,24 +179,25 @@
 		return resourceCost{}, err
 	}
 	m.sendUsage(usage)
-	bytes, cpu := m.meshes[1].Stats().Total.BytesIn, processCPUTime()
+	bytesBefore, cpuBefore := m.meshes[1].Stats().Total.BytesIn, processCPUTime()
 	for range countedMessages {
 		m.sendUsage(usage)
 	}
-	used := processCPUTime() - cpu
-	sentBytes := float64(m.meshes[1].Stats().Total.BytesIn-bytes) / countedMessages
-	return resourceCost{bytes: sentBytes - frame, cpuNanoseconds: float64(used.Nanoseconds()) / countedMessages}, nil
+	cpuTime := processCPUTime() - cpuBefore
+	sentBytes := float64(m.meshes[1].Stats().Total.BytesIn-bytesBefore) / countedMessages
+	return resourceCost{bytes: sentBytes - frame, cpuNanoseconds: float64(cpuTime.Nanoseconds()) / countedMessages}, nil
 }
 
-// sendUsage sends one message and waits until its receiver has decoded it.
+// sendUsage sends one message and waits until the receiver has decoded it.
 func (m *meshGroup) sendUsage(usage scheduler.SendUsage) {
 	if m.meshes[0].Send(peerNamed(1).Router, envelope(usage)) {
 		<-m.received
 	}
 }
 
-// sessionQueue sends to a router that does not read until the session ends,
-// as one that is told much at once over a slow link does.
+// sessionQueue returns the number of bytes that can be sent to a router that
+// does not read until the session ends. A router that is sent much data at once
+// over a slow link behaves in the same way.
 func sessionQueue(ctx context.Context, counters int) (float64, error) {
 	m, err := startMeshGroup(ctx, 2)
 	if err != nil {
@@ -205,7 +214,8 @@
 	return queued, err
 }
 
-// drainReceived lets handlers end that wait to be heard.
+// drainReceived discards notifications of received messages, so that handlers
+// blocked on sending them return.
 func (m *meshGroup) drainReceived() {
 	go func() {
 		for range m.received {
@@ -213,7 +223,8 @@
 	}()
 }
 
-// sessionMemory is the memory of one router with so many sessions.
+// sessionMemory returns the memory, in bytes, of one router with the given
+// number of sessions.
 func sessionMemory(ctx context.Context, sessions int) (float64, error) {
 	routers := sessions + 1
 	var started *meshGroup
--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -11,16 +11,16 @@
 	"github.com/figstile/figstile/state"
 )
 
-// The measured scheduler must do what its name says: otherwise a slope would
-// be that of refusals.
+// The measured scheduler must serve and queue requests. Otherwise a slope would
+// contain the cost of refusing them.
 func TestHarnessServesAndQueues(t *testing.T) {
 	h := newSchedulerHarness(fleetSize{routers: 4, upstreams: 16, workspaces: 64, services: 1})
 	require.NotEmpty(t, h.owned)
 	served := dispatchedIDs(h.queueRequests(len(h.owned) * slotsPerUpstream))
 	require.Len(t, served, len(h.owned)*slotsPerUpstream)
-	require.Empty(t, dispatchedIDs(h.queueRequests(10)), "full")
+	require.Empty(t, dispatchedIDs(h.queueRequests(10)), "all slots are in use")
 	actions := h.step(scheduler.Ended{ID: served[0], Cost: state.CostUnit, Outcome: scheduler.OutcomeServed})
-	require.Len(t, dispatchedIDs(actions), 1, "the slot goes to one that waited")
+	require.Len(t, dispatchedIDs(actions), 1, "a waiting request takes the free slot")
 }
 
 func TestTrafficGrowsWithChangedCounters(t *testing.T) {
@@ -29,13 +29,13 @@
 	many, err := usageTraffic(160)
 	require.NoError(t, err)
 	require.Greater(t, many, 9*few)
-	lone, err := demandTraffic(10)
+	demand, err := demandTraffic(10)
 	require.NoError(t, err)
-	require.Positive(t, lone.bytes)
+	require.Positive(t, demand.bytes)
 }
 
-// Rounds are shared out over the fleet, so that one router's claims wait
-// longer the more routers there are.
+// The fleet has a limited number of rounds per second, which all routers share.
+// The claims of one router therefore wait longer in a fleet with more routers.
 func TestClaimsWaitLongerInALargerFleet(t *testing.T) {
 	small, err := meanClaimWait(73)
 	require.NoError(t, err)
@@ -48,12 +48,13 @@
 	cost, err := messageCost(context.Background(), 10)
 	require.NoError(t, err)
 	const header = 12.0
-	further := (cost.bytes - header) * countedMessages / header
-	require.Contains(t, []float64{0, 1}, math.Round(further*1e6)/1e6, "yamux puts 12 bytes before each message, and opens the bulk stream once")
+	extraHeaders := (cost.bytes - header) * countedMessages / header
+	require.Contains(t, []float64{0, 1}, math.Round(extraHeaders*1e6)/1e6, "yamux adds 12 bytes to each message, and one frame to open the bulk stream")
 }
 
-// A router that starts is told everything at once. What a session's queue does
-// not hold ends the session, and the next one begins with the same.
+// A starting router receives all counters of a peer at once. If they do not fit
+// into the queue of the session, the session ends, and the next session starts
+// by sending the same counters.
 func TestFullQueueEndsTheSession(t *testing.T) {
 	queued, err := sessionQueue(context.Background(), 6000)
 	require.NoError(t, err)
--- a/capacity/measure_traffic.go
+++ b/capacity/measure_traffic.go
@@ -10,8 +10,9 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Slopes of what one decider sends over a minute of its own clock. They hold
-// the periods that the deciders keep to themselves.
+// These slopes measure the messages that one state machine sends within a
+// minute of simulated time. They include the effect of the intervals that are
+// private to the state machines.
 const (
 	UsageBytes      SlopeName = "traffic.usage"
 	DemandBytes     SlopeName = "traffic.demand"
@@ -22,11 +23,12 @@
 	ClaimWait       SlopeName = "claims.wait"
 )
 
-// observedPeriod is how much of a decider's clock a traffic measurement lets pass:
-// a multiple of every period that it has.
+// observedPeriod is the simulated time of a traffic measurement. It is a
+// multiple of every interval of the state machines.
 const observedPeriod = time.Minute
 
-// trafficPeers are the routers of a measured scheduler, itself included.
+// trafficPeers is the number of routers in the fleet of a measured scheduler,
+// including its own router.
 const trafficPeers = 8
 
 func trafficMeasurements() []measurement {
@@ -55,12 +57,13 @@
 	}
 }
 
-// sentTraffic counts messages to peers.
+// sentTraffic counts messages to peers and their bytes.
 type sentTraffic struct{ messages, bytes float64 }
 
-func (s *sentTraffic) add(actions []scheduler.Action, wanted func(scheduler.Action) bool) error {
+// add counts the actions that match.
+func (s *sentTraffic) add(actions []scheduler.Action, matches func(scheduler.Action) bool) error {
 	for _, a := range actions {
-		if !wanted(a) {
+		if !matches(a) {
 			continue
 		}
 		n, err := frameBytes(envelope(a))
@@ -83,8 +86,9 @@
 	return ok
 }
 
-// usageTraffic serves every workspace once a second. Usage goes to all peers
-// alike, so that one message is what one peer gets.
+// usageTraffic returns the bytes per second that one peer receives if every
+// workspace is served once per second. The same usage message goes to all
+// peers, so the size of one message is what one peer receives.
 func usageTraffic(workspaces int) (float64, error) {
 	h := newSchedulerHarness(fleetSize{trafficPeers, 100, workspaces, 1})
 	var sum sentTraffic
@@ -102,8 +106,9 @@
 	return sum.bytes / observedPeriod.Seconds(), nil
 }
 
-// demandTraffic keeps requests of so many workspaces waiting for upstreams
-// that others own, and is the mean over the owners.
+// demandTraffic returns the messages and bytes per second that one owner
+// receives while requests of the given number of workspaces wait for upstreams
+// of other owners. The result is a mean over the owners.
 func demandTraffic(lines int) (sentTraffic, error) {
 	h := newSchedulerHarness(fleetSize{trafficPeers, 100, lines, 1})
 	h.now = h.now.Add(observedPeriod)
@@ -120,7 +125,8 @@
 	return sentTraffic{messages: sum.messages / scale, bytes: sum.bytes / scale}, nil
 }
 
-// heartbeatTraffic is heartbeats and gossip, as a mean over the peers.
+// heartbeatTraffic returns the bytes per second of heartbeats and gossip, as a
+// mean over the peers.
 func heartbeatTraffic(routers int) (float64, error) {
 	m := newMembershipHarness(routers)
 	total := 0.0
@@ -140,7 +146,8 @@
 	return total / observedPeriod.Seconds() / float64(routers-1), nil
 }
 
-// introductionTraffic is what one router tells another that newly appears.
+// introductionTraffic returns the bytes of counters that a router sends to a
+// router that it sees for the first time.
 func introductionTraffic(workspaces int) (float64, error) {
 	h := newSchedulerHarness(fleetSize{trafficPeers, 100, workspaces, 1})
 	for range workspaces {
@@ -149,10 +156,12 @@
 	return h.introducePeer()
 }
 
-// relayWorkspaces is the workspaces that each gone incarnation has served.
+// relayWorkspaces is the number of workspaces that each incarnation that is no
+// longer live has served.
 const relayWorkspaces = 630
 
-// relayTraffic is the same with counters of incarnations that are gone.
+// relayTraffic returns the same as introductionTraffic for a router that stores
+// counters of incarnations that are no longer live.
 func relayTraffic(removed int) (float64, error) {
 	h := newSchedulerHarness(fleetSize{trafficPeers, 100, relayWorkspaces, 1})
 	for i := range removed {
@@ -163,6 +172,8 @@
 	return h.introducePeer()
 }
 
+// introducePeer removes the last peer, adds it again and returns the bytes of
+// counters that are sent to it.
 func (h *schedulerHarness) introducePeer() (float64, error) {
 	all := samplePeers(h.routers)
 	h.step(scheduler.PeersChanged{Peers: all[:len(all)-1]})
@@ -171,9 +182,9 @@
 	return sum.bytes, err
 }
 
-// meanClaimWait is the mean time from a claim to its decision with a platform
-// that answers at once and claims of every shard: what is left is the pace of
-// one router's rounds.
+// meanClaimWait returns the mean time, in seconds, from a claim to its
+// decision. The platform answers immediately and claims use every shard, so
+// only the pace of the rounds of one router remains.
 func meanClaimWait(routers int) (float64, error) {
 	const (
 		step          = 5 * time.Millisecond
@@ -194,7 +205,8 @@
 	return simulation.totalWait.Seconds() / float64(max(simulation.decidedClaims, 1)), nil
 }
 
-// claimSimulation answers a claims machine at once.
+// claimSimulation runs a claims state machine and answers its reads and writes
+// immediately.
 type claimSimulation struct {
 	machine       *claims.Machine
 	claimedAt     map[state.AttemptID]time.Time
--- a/capacity/measure_wire.go
+++ b/capacity/measure_wire.go
@@ -13,7 +13,8 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// Slopes of bytes in a message, its length prefix included, yamux not.
+// These slopes measure the encoded size of messages in bytes, including the
+// length prefix and without yamux framing.
 const (
 	WireUsage     SlopeName = "wire.usage"
 	WireDemand    SlopeName = "wire.demand"
@@ -30,7 +31,7 @@
 	WireHeartbeat SlopeName = "wire.heartbeat"
 )
 
-// nameLengths are lengths of workspaces' names.
+// nameLengths are lengths of workspace names in bytes.
 var nameLengths = []int{8, 16, 32}
 
 func wireMeasurements() []measurement {
@@ -133,7 +134,7 @@
 	return &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: beat}}
 }
 
-// vmList is the platform's answer of so many VMs.
+// vmList returns the response of the platform with a list of n VMs.
 func vmList(n int) []byte {
 	var answer objectstore.VMsAnswer
 	for i := range n {
@@ -145,7 +146,9 @@
 	return mustMarshal(answer)
 }
 
-// meanOpenEntries is the mean number of entries in an open segment.
+// meanOpenEntries returns the mean number of entries in an open segment, which
+// is half of the number that fits. The argument bytes is the size of a segment
+// against its number of entries.
 func meanOpenEntries(bytes Slope) float64 {
 	return max(0, claims.SegmentBytes-bytes.Base) / bytes.Rate / 2
 }
--- a/capacity/plan.go
+++ b/capacity/plan.go
@@ -7,36 +7,44 @@
 	"github.com/figstile/figstile/coordination/slots"
 )
 
-// Choices of the plan. They are not measured; the tool works out what follows.
+// These are the parameters of the plan. The costs of the plan are calculated
+// from them.
 const (
-	// linksPerCentrePair is the links between each pair of data centres: two, so that
-	// the loss of one VM separates none.
+	// linksPerCentrePair is the number of sessions between each pair of data
+	// centres. There are two, so that the loss of one VM does not disconnect
+	// any pair.
 	linksPerCentrePair = 2
-	// heartbeatNeighbours is how many neighbours send a router heartbeats. Others learn
-	// of its loss from them.
+	// heartbeatNeighbours is the number of neighbours that send heartbeats to a
+	// router. The other routers learn about its loss from them.
 	heartbeatNeighbours = 4
-	// ownersPerDemand is how many owners hear of a line: as many as the
-	// scheduler asks first today.
+	// ownersPerDemand is the number of owners that receive one line of demand.
+	// It is equal to the number of owners that the current scheduler asks
+	// first.
 	ownersPerDemand = 2
-	// loanSeconds is how long a line keeps the slots it was lent: as long as
-	// counters may be old without a wider gap in the design's trial.
+	// loanSeconds is the time, in seconds, for which a line of demand keeps the
+	// slots that were lent to it. Counters up to this age do not widen the
+	// fairness gap.
 	loanSeconds = 10
-	// watchersPerCentre follow the platform for a data centre.
+	// watchersPerCentre is the number of routers per data centre that watch the
+	// platform.
 	watchersPerCentre = 2
-	// objectFanOut is to how many neighbours one router passes a changed object.
+	// objectFanOut is the number of neighbours to which a router forwards a
+	// changed object.
 	objectFanOut = 2
-	// indexBytes replaces a name in a message: a tag and two bytes of an
-	// index that the settings define.
+	// indexBytes is the size, in bytes, of the index that replaces a name in a
+	// message: a tag and two bytes of an index that is defined in the settings.
 	indexBytes = 3
-	// nameOverheadBytes is the tag and the length that come with a name.
+	// nameOverheadBytes is the size, in bytes, of the tag and the length that
+	// precede a name in a message.
 	nameOverheadBytes = 2
 )
 
-// Step is one mechanism of today, where it stops, and what replaces it.
+// Step describes one current mechanism, the size at which it stops working, the
+// mechanism that replaces it and the cost of the replacement on one router.
 type Step struct {
 	Current string `json:"today"`
-	// StopsAtRouters is the number of routers at which today's mechanism breaks a
-	// limit, with a fleet that grows evenly; zero if it does not.
+	// StopsAtRouters is the number of routers at which the current mechanism
+	// exceeds a limit in a fleet that grows evenly. It is zero if it does not.
 	StopsAtRouters    float64 `json:"stops_at"`
 	Replacement       string  `json:"replacement"`
 	MessagesPerSecond float64 `json:"messages"`
@@ -47,17 +55,19 @@
 	WritesPerSecond   float64 `json:"writes"`
 }
 
-// planStep is a Step before it is calculated.
+// planStep is the definition of a Step, from which the Step of a fleet is
+// calculated.
 type planStep struct {
 	current     string
 	replacement string
-	// role and figure name the line whose limit today's mechanism breaks.
+	// role and metric identify the row whose limit the current mechanism
+	// exceeds.
 	role   Role
 	metric string
 	costOf func(*calculator) roleCost
 }
 
-// planSteps lists the plan.
+// planSteps returns the steps of the plan.
 func planSteps() []planStep {
 	return []planStep{
 		{"full mesh", "sessions within a data centre, 4 monitors each, 2 links per pair of data centres", RolePeer, "memory", (*calculator).plannedSessionCost},
@@ -75,12 +85,15 @@
 	}
 }
 
-// plannedSessions is the sessions of one router in the plan.
+// plannedSessions returns the mean number of sessions of one router in the
+// plan.
 func (c *calculator) plannedSessions() float64 {
 	return c.routersPerDataCentre() - 1 + linksPerCentrePair*(c.DataCentres-1)/c.routersPerDataCentre()
 }
 
-// indexedBytes is a message or entry of today with indices for its names.
+// indexedBytes returns the size, in bytes, of a message or entry in which
+// indexes replace the given names. The argument bytes is the current size,
+// which includes the names.
 func indexedBytes(bytes float64, names ...string) float64 {
 	for _, name := range names {
 		bytes += indexBytes - nameOverheadBytes - float64(len(name))
@@ -88,10 +101,14 @@
 	return bytes
 }
 
+// indexedCounterBytes returns the size of one counter in a message in which
+// indexes replace names.
 func (c *calculator) indexedCounterBytes() float64 {
 	return indexedBytes(c.slopes[WireUsage].Rate, string(serviceNamed(0)), string(workspaceNamed(0)))
 }
 
+// plannedSessionCost returns the cost of sessions and membership with few
+// sessions between data centres.
 func (c *calculator) plannedSessionCost() roleCost {
 	sessions := c.plannedSessions()
 	heartbeats := heartbeatsPerSecond * (heartbeatNeighbours + sessions - c.routersPerDataCentre() + 1)
@@ -104,11 +121,14 @@
 	}
 }
 
-// exchangeSize is the counters that one router sends in one exchange: its own to
-// their homes, the sums of its share to the neighbours that hear of such
-// demand, and to other data centres, first within the region and then once to
-// each other region. Only backlogged workspaces count: an idle one is lifted
-// when it comes back.
+// exchangeSize returns the numbers of counters and messages that one router
+// sends in one exchange. Each counter is assigned to one router of the data
+// centre, which sums it up. A router sends its own counters to the routers they
+// are assigned to, and the sums of its assigned counters to the neighbours that
+// receive demand from these workspaces. It also sends the sums to the other
+// data centres: first to those of its region and then once to each other
+// region. Only backlogged workspaces count, because the virtual time of an idle
+// workspace is raised when it becomes active again.
 func (c *calculator) exchangeSize() (counters, messages float64) {
 	n := c.routersPerDataCentre()
 	relevantWorkspaces := math.Min(c.backloggedWorkspaces(), (ownersPerDemand+1)*c.demandLines())
@@ -118,14 +138,15 @@
 	return counters, messages
 }
 
-// exchangeBytes is the traffic of one exchange.
+// exchangeBytes returns the traffic of one exchange in bytes.
 func (c *calculator) exchangeBytes() float64 {
 	counters, messages := c.exchangeSize()
 	return counters*c.indexedCounterBytes() + messages*c.withFraming(c.slopes[WireUsage].Base)
 }
 
-// exchangeInterval is the seconds between two exchanges that the traffic left over by
-// the other mechanisms allows, and never less than today's.
+// exchangeInterval returns the time, in seconds, between two exchanges. It is
+// the shortest interval that the traffic limit allows after the traffic of all
+// other mechanisms, but not shorter than the current one.
 func (c *calculator) exchangeInterval() float64 {
 	remaining := c.MaxKB * kilobyte
 	for _, s := range planSteps() {
@@ -139,12 +160,16 @@
 	return math.Max(1/exchangesPerSecond, c.exchangeBytes()/remaining)
 }
 
-// noExchangeInterval is the interval if nothing of the limit is left: no exchange at all.
+// noExchangeInterval is the interval in seconds that is used if the other
+// mechanisms use up the traffic limit. It means that no exchange is possible.
 const noExchangeInterval = 1e9
 
-// counterExchangeStep is the step whose interval fills what is left of the limit.
+// counterExchangeStep identifies the step whose interval is set so that its
+// traffic uses the rest of the limit.
 const counterExchangeStep = "counters to all peers"
 
+// plannedCounterCost returns the cost of the exchange of counters that are
+// assigned to routers.
 func (c *calculator) plannedCounterCost() roleCost {
 	counters, messages := c.exchangeSize()
 	perSecond := 1 / c.exchangeInterval()
@@ -158,10 +183,14 @@
 	}
 }
 
+// mergedCounterCost returns the cost of storing the counters of incarnations
+// that are no longer live, merged into one sum per data centre.
 func (c *calculator) mergedCounterCost() roleCost {
 	return roleCost{memoryMB: c.growth(MemoryCounters, c.Workspaces/c.routersPerDataCentre()) / megabyte}
 }
 
+// plannedDemandCost returns the cost of sending each line of demand to
+// ownersPerDemand owners.
 func (c *calculator) plannedDemandCost() roleCost {
 	lines := c.demandLines()
 	messages := ownersPerDemand * c.costAt(DemandMessages, lines)
@@ -175,8 +204,9 @@
 	}
 }
 
-// plannedLoanCost renews for each line and owner how many slots it holds, instead of
-// granting every request; what was served goes with the counters.
+// plannedLoanCost returns the cost of lending slots. For each line and owner,
+// the number of lent slots is renewed every loanSeconds, instead of one grant
+// per request. The served cost is reported with the counters.
 func (c *calculator) plannedLoanCost() roleCost {
 	names := []string{string(serviceNamed(0)), string(workspaceNamed(0)), string(upstreamName(0))}
 	loans := ownersPerDemand * c.demandLines() / loanSeconds
@@ -188,8 +218,9 @@
 	}
 }
 
-// plannedLoadReportCost polls only upstreams that sent no answer within half the time
-// for which a report is fresh. At the peak every upstream answers more often.
+// plannedLoadReportCost returns the cost of polling only those upstreams that
+// have sent no answer for half of the maximum age of a load report. At peak
+// load every upstream answers more often.
 func (c *calculator) plannedLoadReportCost() roleCost {
 	answersPerSecond := c.Requests / c.Upstreams
 	silentFraction := math.Exp(-answersPerSecond * slots.ReportExpiry.Seconds() / 2)
@@ -202,6 +233,8 @@
 	}
 }
 
+// plannedWatchCost returns the cost of watching the settings from a few routers
+// per data centre, which forward changed objects.
 func (c *calculator) plannedWatchCost() roleCost {
 	object := c.withFraming(c.costAt(WireObject, c.Workspaces/c.Teams))
 	changes := c.changesPerSecond()
@@ -217,8 +250,9 @@
 	}
 }
 
-// plannedVMListCost is a mean over the routers of a data centre, which take turns.
-// It needs a list that the platform filters by data centre.
+// plannedVMListCost returns the cost of reading the list of VMs, averaged over
+// the routers of a data centre, which take turns. The platform must be able to
+// filter the list by data centre.
 func (c *calculator) plannedVMListCost() roleCost {
 	readers := math.Min(c.Routers, c.DataCentres*watchersPerCentre)
 	reads := c.growth(PlatformVMs, readers) * slots.ReportExpiry.Seconds() / slots.DepartureExpiry.Seconds()
@@ -233,10 +267,14 @@
 	}
 }
 
+// plannedHistogramCost returns the cost of the histograms of the workspaces
+// that are assigned to the router.
 func (c *calculator) plannedHistogramCost() roleCost {
 	return roleCost{memoryMB: c.costAt(MemorySeries, c.Workspaces/c.routersPerDataCentre()) / megabyte}
 }
 
+// plannedStateCost returns the cost of storing all workspaces and upstreams and
+// of ticks over the upstreams of one data centre.
 func (c *calculator) plannedStateCost() roleCost {
 	tick := c.costAt(TickUpstreams, c.Upstreams/c.DataCentres) + c.growth(TickWorkspaces, c.Workspaces) + c.growth(TickServices, c.Services)
 	return roleCost{
@@ -245,6 +283,8 @@
 	}
 }
 
+// plannedRequestCost returns the cost of queueing and dispatching requests over
+// the upstreams of one data centre.
 func (c *calculator) plannedRequestCost() roleCost {
 	stepTime := c.costAt(RequestUpstreams, c.Upstreams/c.DataCentres) + c.growth(RequestOwned, c.ownedUpstreams())
 	return roleCost{
@@ -253,16 +293,18 @@
 	}
 }
 
-// callerKeysPerSecond is the claims a second of callers' own keys that one writer per
-// shard can take: a shard's turn must come within the time for a first token,
-// which bounds the shards, and they hold a day's claims.
+// callerKeysPerSecond returns the rate of claims with keys generated by callers
+// that one writer per shard can process. The turn of a shard must come within
+// the limit for the first token, which bounds the number of shards. The shards
+// store the claims of one retention time.
 func (c *calculator) callerKeysPerSecond() float64 {
 	shards := claims.FleetRoundsPerSecond * c.MaxFirst
 	return shards * c.claimCapacity() / claims.Shards / claimRetentionSeconds
 }
 
-// plannedClaimCost leaves own keys up to ownKeys; the rest is minted by routers and
-// costs the platform nothing.
+// plannedClaimCost returns the cost of claims with keys generated by callers,
+// up to callerKeysPerSecond. All other keys are generated by routers and need
+// no calls to the platform.
 func (c *calculator) plannedClaimCost() roleCost {
 	callerKeys := math.Min(c.claimsPerSecond(), c.callerKeysPerSecond())
 	shards := claims.FleetRoundsPerSecond * c.MaxFirst
@@ -276,6 +318,7 @@
 	}
 }
 
+// plannedCost returns the sum of the costs of all steps.
 func (c *calculator) plannedCost() roleCost {
 	var sum roleCost
 	for _, s := range planSteps() {
--- a/capacity/rig.go
+++ b/capacity/rig.go
@@ -10,14 +10,14 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// harnessCentres is the number of data centres of a measured scheduler. Few of
-// them leave each router some upstreams at every size.
+// harnessCentres is the number of data centres of a measured scheduler. It is
+// small, so that each router owns some upstreams at every size.
 const harnessCentres = 4
 
-// slotsPerUpstream is how many requests a measured upstream runs.
+// slotsPerUpstream is the number of slots of a measured upstream.
 const slotsPerUpstream = 8
 
-// fleetSize is what one scheduler is measured with.
+// fleetSize is the size of the fleet in which a scheduler is measured.
 type fleetSize struct {
 	routers    int
 	upstreams  int
@@ -25,7 +25,7 @@
 	services   int
 }
 
-// schedulerHarness is one scheduler with a clock of its own.
+// schedulerHarness runs one scheduler with a simulated clock.
 type schedulerHarness struct {
 	*scheduler.Scheduler
 	fleetSize
@@ -49,12 +49,14 @@
 
 func (h *schedulerHarness) step(ev scheduler.Event) []scheduler.Action { return h.Step(h.now, ev) }
 
-// tick lets one tick's time pass.
+// tick advances the clock by one tick and runs the tick.
 func (h *schedulerHarness) tick() []scheduler.Action {
 	h.now = h.now.Add(scheduler.TickInterval)
 	return h.step(scheduler.Tick{})
 }
 
+// recordOwned stores the upstreams that the scheduler owns according to the
+// given actions.
 func (h *schedulerHarness) recordOwned(actions []scheduler.Action) {
 	for _, a := range actions {
 		if owned, ok := a.(scheduler.Owned); ok {
@@ -63,14 +65,16 @@
 	}
 }
 
-// reportOwned makes the owned upstreams usable.
+// reportOwned sends a load report of each owned upstream, which makes the
+// upstreams usable.
 func (h *schedulerHarness) reportOwned() {
 	for _, name := range h.owned {
 		h.step(scheduler.Reported{Report: state.LoadReport{Upstream: name, Boot: "1", Slots: slotsPerUpstream}})
 	}
 }
 
-// serveRequest takes one request from its arrival to its end at an own upstream.
+// serveRequest processes one request, from its arrival to its end, on an
+// upstream that the scheduler owns.
 func (h *schedulerHarness) serveRequest() {
 	h.lastID++
 	h.step(scheduler.Arrived{Request: h.newRequest(int(h.lastID))})
@@ -84,7 +88,8 @@
 	}
 }
 
-// queueRequests queues requests of so many workspaces, which nobody can serve.
+// queueRequests adds the given number of requests, spread over the workspaces.
+// Those for which there is no free slot stay in the queue.
 func (h *schedulerHarness) queueRequests(workspaces int) []scheduler.Action {
 	var actions []scheduler.Action
 	for i := range workspaces {
@@ -127,11 +132,12 @@
 	}
 }
 
-// sampleIncarnation is as long as a real one, which is a time in nanoseconds.
+// sampleIncarnation has the length of a real incarnation, which is a time in
+// nanoseconds.
 const sampleIncarnation state.Incarnation = 1_800_000_000_000_000_000
 
-// The names are of the length that real ones have: most bytes of a message
-// are names.
+// The following functions return names of the same length as real ones, because
+// names make up most of the bytes of a message.
 func serviceNamed(i int) state.Service { return state.Service(fmt.Sprintf("redaccion-%02d", i)) }
 
 func workspaceNamed(i int) state.Workspace { return state.Workspace(fmt.Sprintf("workspace-%05d", i)) }
@@ -145,7 +151,8 @@
 	}
 }
 
-// rootObject is the operators' object of a fleet.
+// rootObject returns the settings object of the operators, with the given
+// numbers of teams and upstreams.
 func rootObject(teams, upstreams int) []byte {
 	root := config.Root{OperatorTokens: []string{sampleDigest(0)}}
 	for i := range teams {
@@ -155,7 +162,8 @@
 	return mustMarshal(root)
 }
 
-// teamObject is the object of one team.
+// teamObject returns the settings object of one team with the given number of
+// workspaces.
 func teamObject(team, workspaces int) []byte {
 	subtree := config.Subtree{Team: teamNamed(team)}
 	for i := range workspaces {
@@ -169,7 +177,8 @@
 
 func sampleDigest(i int) string { return config.DigestOf(fmt.Sprintf("token-%d", i)).String() }
 
-// mustMarshal cannot fail: the objects hold nothing that JSON lacks.
+// mustMarshal encodes v as JSON. It cannot fail for the settings objects and VM
+// lists of this package, which contain only types that JSON supports.
 func mustMarshal(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -178,7 +187,7 @@
 	return data
 }
 
-// receiveDemand passes on a peer's demand.
+// receiveDemand processes the demand of the given peer.
 func (h *schedulerHarness) receiveDemand(peer int, d scheduler.Demand) []scheduler.Action {
 	return h.step(scheduler.DemandHeard{From: peerNamed(peer).Router, Demand: d})
 }
--- a/capacity/roles.go
+++ b/capacity/roles.go
@@ -9,10 +9,10 @@
 	"github.com/figstile/figstile/transport/upstream"
 )
 
-// Role is a part that every router plays.
+// Role is one of the functions that every router performs.
 type Role string
 
-// The roles. Daemon is all of them together.
+// These are the roles. RoleDaemon stands for the sum of all other roles.
 const (
 	RoleDaemon   Role = "daemon"
 	RoleEntry    Role = "entry"
@@ -23,7 +23,9 @@
 	RolePlatform Role = "platform client"
 )
 
-// roleCost is what one role costs one router.
+// roleCost is the cost of one role on one router. coreFraction is in CPU cores,
+// memoryMB in MB and trafficKBPerSecond in KB/s. Reads and writes of the
+// platform, per second, are those of the whole fleet.
 type roleCost struct {
 	messagesPerSecond  float64
 	coreFraction       float64
@@ -33,14 +35,15 @@
 	writesPerSecond    float64
 }
 
-func (l roleCost) add(other roleCost) roleCost {
+func (r roleCost) add(other roleCost) roleCost {
 	return roleCost{
-		messagesPerSecond: l.messagesPerSecond + other.messagesPerSecond, coreFraction: l.coreFraction + other.coreFraction, memoryMB: l.memoryMB + other.memoryMB,
-		trafficKBPerSecond: l.trafficKBPerSecond + other.trafficKBPerSecond, readsPerSecond: l.readsPerSecond + other.readsPerSecond, writesPerSecond: l.writesPerSecond + other.writesPerSecond,
+		messagesPerSecond: r.messagesPerSecond + other.messagesPerSecond, coreFraction: r.coreFraction + other.coreFraction, memoryMB: r.memoryMB + other.memoryMB,
+		trafficKBPerSecond: r.trafficKBPerSecond + other.trafficKBPerSecond, readsPerSecond: r.readsPerSecond + other.readsPerSecond, writesPerSecond: r.writesPerSecond + other.writesPerSecond,
 	}
 }
 
-// roleCosts lists the roles with what they cost today.
+// roleCosts lists the roles and the functions that calculate their current
+// cost.
 var roleCosts = []struct {
 	role Role
 	of   func(*calculator) roleCost
@@ -53,16 +56,18 @@
 	{RolePlatform, (*calculator).platformCost},
 }
 
+// daemonCost returns the sum of the costs of all roles.
 func (c *calculator) daemonCost() roleCost {
 	var sum roleCost
-	for _, l := range roleCosts {
-		sum = sum.add(l.of(c))
+	for _, role := range roleCosts {
+		sum = sum.add(role.of(c))
 	}
 	return sum
 }
 
-// entryCost queues requests, tells owners of them and reports what granted ones
-// cost.
+// entryCost returns the cost of the router that receives requests from callers.
+// It queues them, sends its demand to the owners of upstreams and reports the
+// cost of the requests that they granted.
 func (c *calculator) entryCost() roleCost {
 	lines := c.demandLines()
 	demand := c.costAt(DemandMessages, lines) * c.ownerCount()
@@ -81,10 +86,11 @@
 	}
 }
 
-// nameBytes is the length of a usual workspace's name.
+// nameBytes is the length of a typical workspace name in bytes.
 var nameBytes = float64(len(workspaceNamed(0)))
 
-// ownerCost holds every router's demand and grants the slots of its upstreams.
+// ownerCost returns the cost of an owner, which stores the demand of every
+// router and grants the slots of its upstreams.
 func (c *calculator) ownerCost() roleCost {
 	lines := c.demandLines()
 	receivedLines := c.costAt(DemandBytes, lines) / c.slopes[WireDemand].Rate * c.ownerCount()
@@ -99,8 +105,8 @@
 	}
 }
 
-// claimWriterCost remembers the keys of every shard and writes open segments in
-// rounds.
+// claimWriterCost returns the cost of a writer of claims, which stores the keys
+// of every shard and writes open segments in rounds.
 func (c *calculator) claimWriterCost() roleCost {
 	roundsPerRouter := c.claimRoundsPerSecond() / c.Routers
 	claimsInShard := c.claimsPerShard()
@@ -114,7 +120,8 @@
 	}
 }
 
-// watcherCost follows the settings and tells every peer what it holds.
+// watcherCost returns the cost of watching the settings and announcing to every
+// peer the versions that the router has.
 func (c *calculator) watcherCost() roleCost {
 	perChange := c.changeSeconds()
 	announced := c.changesPerSecond() * c.peerCount()
@@ -131,19 +138,21 @@
 	}
 }
 
-// changeSeconds is the seconds of processor time that one change of the settings
-// takes on one router, and configureTime the part of it on the scheduler's
-// goroutine, in which nothing is dispatched.
+// changeSeconds returns the CPU time, in seconds, that one change of the
+// settings takes on one router.
 func (c *calculator) changeSeconds() float64 {
 	return nanosecond*c.costAt(TreeWorkspaces, c.Workspaces) + c.configureSeconds()
 }
 
+// configureSeconds returns the part of changeSeconds that is spent on the
+// goroutine of the scheduler. No request is dispatched in that time.
 func (c *calculator) configureSeconds() float64 {
 	return nanosecond * (c.Services*c.growth(ConfigureWorkspaces, c.Workspaces) +
 		c.costAt(ConfigureUpstreams, c.Upstreams) + c.growth(ConfigureRouters, c.Routers))
 }
 
-// peerCost holds a session with every other router and everybody's counters.
+// peerCost returns the cost of the sessions with all other routers and of the
+// usage counters received from them.
 func (c *calculator) peerCost() roleCost {
 	heartbeats := heartbeatsPerSecond * c.peerCount()
 	exchanges := exchangesPerSecond * c.peerCount()
@@ -159,7 +168,8 @@
 	}
 }
 
-// platformCost reads the list of VMs, upstreams included.
+// platformCost returns the cost of reading the list of VMs, which includes the
+// upstreams.
 func (c *calculator) platformCost() roleCost {
 	reads := c.costAt(PlatformVMs, c.Routers)
 	vms := c.Routers + c.Upstreams
@@ -173,7 +183,8 @@
 	}
 }
 
-// reportMetric is one line of a role's table.
+// reportMetric is one row in the table of a role. Its limit is nil if there is
+// none.
 type reportMetric struct {
 	role      Role
 	name      string
@@ -183,22 +194,24 @@
 	mechanism string
 }
 
+// constantLimit returns a limit that does not depend on the size of the fleet.
 func constantLimit(limit float64) func(*calculator) float64 {
 	return func(*calculator) float64 { return limit }
 }
 
-// reportMetrics lists all lines in the order of the roles.
+// reportMetrics returns all rows of a report, grouped by role.
 func reportMetrics() []reportMetric {
 	var rows []reportMetric
 	rows = append(rows, costMetrics(RoleDaemon, (*calculator).daemonCost, "all roles together")...)
-	for _, l := range roleCosts {
-		rows = append(rows, costMetrics(l.role, l.of, mechanisms[l.role])...)
-		rows = append(rows, roleMetrics[l.role]...)
+	for _, role := range roleCosts {
+		rows = append(rows, costMetrics(role.role, role.of, mechanisms[role.role])...)
+		rows = append(rows, roleMetrics[role.role]...)
 	}
 	return rows
 }
 
-// costMetrics are the lines that every role has.
+// costMetrics returns the rows that every role has. Only some roles read or
+// write the platform.
 func costMetrics(role Role, costOf func(*calculator) roleCost, mechanism string) []reportMetric {
 	rows := []reportMetric{
 		{role, "messages", "1/s", func(c *calculator) float64 { return costOf(c).messagesPerSecond }, nil, mechanism},
@@ -215,7 +228,7 @@
 	return rows
 }
 
-// mechanisms name what carries each role today.
+// mechanisms maps each role to a description of its current mechanism.
 var mechanisms = map[Role]string{
 	RoleEntry:    "demand to all owners, reports per request",
 	RoleOwner:    "all upstreams known, own ones polled",
@@ -225,7 +238,8 @@
 	RolePlatform: "VM list read by every router",
 }
 
-// roleMetrics are the lines that only one role has: state, staleness and bounds.
+// roleMetrics maps each role to the rows that only this role has: stored state,
+// staleness and bounds.
 var roleMetrics = map[Role][]reportMetric{
 	RoleEntry: {
 		{RoleEntry, "requests waiting", "requests", func(c *calculator) float64 { return c.demandLines() * c.Waiting }, nil, "queue per workspace"},
@@ -263,24 +277,27 @@
 	},
 }
 
-// introductionMB is what one peer tells a router that newly appears, in MB: its
-// own counters and those of every incarnation that is gone.
+// introductionMB returns the size, in MB, of the counters that one peer sends
+// to a router that it sees for the first time: its own counters and those of
+// every incarnation that is no longer live.
 func (c *calculator) introductionMB() float64 {
 	perCounter := c.slopes[IntroduceRelays].Rate / relayWorkspaces
 	return (c.costAt(IntroduceBytes, c.Workspaces) + perCounter*c.removedIncarnations()*c.Workspaces) / megabyte
 }
 
-// startReceivedMB is what all peers tell a router that starts, in MB.
+// startReceivedMB returns the size, in MB, of the counters that a router
+// receives from all peers when it starts.
 func (c *calculator) startReceivedMB() float64 { return c.peerCount() * c.introductionMB() }
 
-// meanIntroductionKBPerSecond is the mean of what one router tells those that start, in KB a
-// second.
+// meanIntroductionKBPerSecond returns the traffic in KB/s, averaged over a day,
+// that one router sends to routers that start.
 func (c *calculator) meanIntroductionKBPerSecond() float64 {
 	return (c.Failed + c.Replaced) / secondsPerDay * c.introductionMB() * megabyte / kilobyte
 }
 
-// startSchedulerSeconds is how long a new router's scheduler works on its sessions: the
-// peers change twice for each.
+// startSchedulerSeconds returns the time, in seconds, for which the scheduler
+// of a starting router processes changes of its peers. Each new session causes
+// two changes.
 func (c *calculator) startSchedulerSeconds() float64 {
 	return nanosecond * c.peerCount() * (c.growth(PeersRouters, c.Routers) + c.costAt(PeersUpstreams, c.Upstreams))
 }
--- a/capacity/slope_test.go
+++ b/capacity/slope_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// points of a cost function at some sizes.
+// points returns the values of a cost function at the given sizes.
 func points(f func(n float64) float64, sizes ...float64) []Point {
 	list := make([]Point, len(sizes))
 	for i, n := range sizes {
@@ -27,8 +27,8 @@
 	}
 }
 
-// A shared machine makes single times a fifth slower. A flat time must not
-// become a curve by that, while a count that grows by as little must show.
+// A shared machine makes single times a fifth slower. This must not turn a flat
+// time into a curve, but growth of a count by the same amount must be detected.
 func TestNoiseIsIgnoredInTimesOnly(t *testing.T) {
 	noisy := []Point{{10, 100}, {100, 120}, {1000, 110}}
 	require.Equal(t, Flat, Slope{MachineDependent: true, Points: noisy}.fit().Shape)
@@ -59,8 +59,8 @@
 	}
 }
 
-// A fleet just below the size at which a line breaks keeps its limit, and one
-// just above does not.
+// A fleet slightly smaller than the size at which a limit is exceeded must stay
+// within it, and a slightly larger one must exceed it.
 func TestLimitBreaksAtTheReportedSize(t *testing.T) {
 	slopes, err := Load()
 	require.NoError(t, err)
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-// Table is one table of a report for people.
+// Table is one table of a report in readable form.
 type Table struct {
 	Title  string
 	Header []string
 	Rows   [][]string
 }
 
-// Tables renders a report.
+// Tables returns the report as a list of tables.
 func (r *Report) Tables() []Table {
 	tables := []Table{r.summary()}
 	for _, role := range allRoles() {
@@ -23,7 +23,7 @@
 	return append(tables, r.planTable(), roleTable("plan, one router", r.PlannedRows, RoleDaemon), r.eventTable())
 }
 
-// Table renders the slopes with their points.
+// Table returns the slopes and their measured points as a table.
 func (s *Slopes) Table() Table {
 	t := Table{Title: "slopes", Header: []string{"SLOPE", "SHAPE", "BASE", "RATE", "UNIT", "AGAINST", "WORST ERROR", "MACHINE'S", "MEASURED"}}
 	for _, slope := range s.Slopes {
@@ -39,7 +39,7 @@
 	return t
 }
 
-// formatPoints lists the points as size and value.
+// formatPoints returns the measured points as a list of sizes and values.
 func (s Slope) formatPoints() string {
 	var points []string
 	for _, p := range s.Points {
@@ -50,13 +50,14 @@
 
 func allRoles() []Role {
 	list := []Role{RoleDaemon}
-	for _, l := range roleCosts {
-		list = append(list, l.role)
+	for _, role := range roleCosts {
+		list = append(list, role.role)
 	}
 	return list
 }
 
-// summary says what breaks, the first line first.
+// summary returns a table of the rows whose limits are exceeded at some size,
+// the smallest size first.
 func (r *Report) summary() Table {
 	t := Table{Title: "what breaks first", Header: []string{"ROLE", "FIGURE", "BREAKS AT ROUTERS", "MECHANISM"}}
 	for _, row := range sortedByBreak(r.Rows) {
@@ -75,7 +76,8 @@
 	return t
 }
 
-// formatValue marks a broken limit.
+// formatValue formats the value of a row and marks it with an exclamation mark
+// if it exceeds its limit.
 func formatValue(row Row) string {
 	if row.ExceedsLimit() {
 		return formatNumber(row.Value) + " !"
@@ -114,8 +116,9 @@
 	return t
 }
 
-// formatRouters renders a number of routers; a line that does not grow with the fleet
-// and is broken anyway breaks at any size.
+// formatRouters formats the number of routers at which a limit is exceeded. A
+// number below one means that a value which does not depend on the size of the
+// fleet exceeds its limit at any size.
 func formatRouters(routers float64) string {
 	if routers > 0 && routers < 1 {
 		return "any"
@@ -123,7 +126,8 @@
 	return formatOptional(routers)
 }
 
-// formatOptional renders a figure that may be missing.
+// formatOptional formats a value, and zero as "-", because zero means that
+// there is no value.
 func formatOptional(v float64) string {
 	if v == 0 {
 		return "-"
@@ -137,7 +141,8 @@
 	billion  = 1e9
 )
 
-// formatNumber renders three digits: no figure is known better.
+// formatNumber formats a number with three digits, because no value in a report
+// is more precise.
 func formatNumber(v float64) string {
 	switch size := math.Abs(v); {
 	case size >= billion:
