--- a/coordination/overlay/order.go
+++ b/coordination/overlay/order.go
@@ -109,9 +109,9 @@
 	return append(list, predecessors[min(ownLevelStart, len(predecessors)):]...)
 }
 
-// levelAbove returns the bounds of the level above the level of an index. Level
-// 0 contains only index 0; each further level holds degree times as many
-// indexes as the level above it.
+// levelAbove returns the half-open range of indexes on the level above the
+// level of the given index. Level 0 contains only index 0; each further level
+// holds degree times as many indexes as the level above it.
 func levelAbove(index, degree int) (first, last int) {
 	size, end := 1, 1
 	for index >= end+size*degree {
--- a/coordination/overlay/overlay.go
+++ b/coordination/overlay/overlay.go
@@ -33,8 +33,8 @@
 	// reviewInterval is the period at which a router compares its parent with
 	// other candidates.
 	reviewInterval = 250 * time.Millisecond
-	// attachTimeout is the limit for opening a session to the requested parent
-	// and for its answer to KindAttach.
+	// attachTimeout limits how long opening a session to the requested parent
+	// may take, and then how long its answer to KindAttach may take.
 	attachTimeout = 400 * time.Millisecond
 	// introductionTimeout is how long a router that received an introduction
 	// may take to appear in the live view.
--- a/coordination/overlay/seek.go
+++ b/coordination/overlay/seek.go
@@ -75,8 +75,9 @@
 	o.emit(Send{To: o.introducedTo, Message: Message{Kind: KindIntroduction, Present: o.knownMembers(), TreeMode: true}})
 }
 
-// reviewParent requests another parent once that router has been preferable for
-// parentSwitchDelay.
+// reviewParent compares the parent with other candidates every reviewInterval.
+// It requests another router as parent once that router has been the best
+// candidate for parentSwitchDelay.
 func (o *Overlay) reviewParent(now time.Time) {
 	if o.requestedParent != "" || now.Sub(o.parentReviewedAt) < reviewInterval {
 		return
