--- a/coordination/membership/clock.go
+++ b/coordination/membership/clock.go
@@ -22,7 +22,8 @@
 	elapsed time.Duration
 }
 
-// advance moves the clock to now and returns the time since the previous step.
+// advance moves the clock to now and returns the unbounded time since the
+// previous step.
 func (c *runClock) advance(now time.Time) time.Duration {
 	if c.last.IsZero() {
 		c.last = now
--- a/coordination/membership/doc.go
+++ b/coordination/membership/doc.go
@@ -5,7 +5,9 @@
 //
 // A member is live while it has a session that received a message within
 // SessionTimeout. When the session closes, the member is suspect until
-// ReconnectGrace ends, and departed after that. Suspect members are still
+// ReconnectGrace ends, and departed after that. A member departs at once if it
+// was draining, if its session was silent for SessionTimeout, or if this router
+// closed the session because it is not needed. Suspect members are still
 // published, so a broken connection that is replaced at once does not change
 // the ownership of upstreams.
 //
