--- a/coordination/exchange/catchup.go
+++ b/coordination/exchange/catchup.go
@@ -16,9 +16,10 @@
 	// Sending takes a few milliseconds, and some hundred milliseconds on a
 	// loaded VM.
 	answerTimeout = time.Second
-	// emptyRetryDelay is the wait after a peer answered that it has no objects.
-	// While a whole fleet starts, no router has any until the first one has
-	// read the store.
+	// emptyRetryDelay is the longest wait after a peer answered that it has no
+	// objects; it is divided by the number of peers asked without success.
+	// While a whole fleet starts, no router has any object until the first one
+	// has read the store.
 	emptyRetryDelay = 300 * time.Millisecond
 	// steadyDifferenceDelay is how long an unchanged difference to a reader (a
 	// peer that reads the store) may last before this router asks that reader.
@@ -29,17 +30,17 @@
 	// come and go, so that two routers rarely have equal state at the moment
 	// they compare it. This limit is too long for a router that was cut off: it
 	// would go on sending requests to an upstream that left meanwhile, while
-	// returning upstreams keep changing the state. For this long after a peer
-	// was unreachable, a changing difference is therefore limited by
-	// steadyDifferenceDelay instead.
+	// returning upstreams keep changing the state. For this long after an
+	// unreachable peer has returned, a changing difference is therefore limited
+	// by steadyDifferenceDelay instead.
 	changingDifferenceDelay = 2 * time.Second
 )
 
 // CatchUp decides when a router must fetch all objects from a peer, and from
 // which peer. Changes are sent as they happen, so only a router that has just
 // started or was cut off from a peer may lack objects, and fetching them from
-// one peer is enough. When every peer sent all objects at the start of each
-// session, starting 85 routers transferred 32 MB more between data centres.
+// one peer is enough. If every peer sent all objects at the start of each
+// session, starting 85 routers would transfer 32 MB more between data centres.
 //
 // The zero value represents a router that has just started. A CatchUp is not
 // safe for concurrent use.
@@ -87,9 +88,9 @@
 }
 
 // SummaryReceived compares the state of any peer with the local state. A router
-// without a configuration asks the first peer that has one. When it asked its
-// neighbours in turn, which had just started as well, a fleet that had lost
-// power as a whole took 0.7 s longer to serve requests.
+// without a configuration asks the first peer that has one. If it asked its
+// neighbours in turn, which have just started as well, a fleet that lost power
+// as a whole would take 0.7 s longer until it serves requests.
 func (c *CatchUp) SummaryReceived(now time.Time, from state.Router, remote, local StateSummary) {
 	if c.complete || local.ConfigRevision > 0 || remote.ConfigRevision == 0 || c.askedHolder && now.Sub(c.askedAt) < answerTimeout {
 		return
@@ -100,7 +101,8 @@
 // CompareWithReader compares the state of a reader, which is a peer that reads
 // the store, with the local state. A change that was lost, for example because
 // a router stopped while it forwarded the change, shows as a lasting
-// difference.
+// difference. A configuration of the reader that is older than the local one
+// does not count as a difference.
 func (c *CatchUp) CompareWithReader(now time.Time, from state.Router, remote, local StateSummary) {
 	if c.differences == nil {
 		c.differences = make(map[state.Router]difference)
