--- a/coordination/fencing/holder.go
+++ b/coordination/fencing/holder.go
@@ -271,8 +271,8 @@
 	return h.config.ChecksFencing || now.MaxElapsedSince(h.heldLease.sentAt) < h.sendLimit()
 }
 
-// sendLimit is how long after the lease was written orders may be sent to an
-// engine that ignores fencing numbers.
+// sendLimit returns how long orders may be sent to an engine that ignores
+// fencing numbers, counted from when the write of the lease was sent.
 func (h *Holder) sendLimit() time.Duration {
 	return h.config.Timing.LeaseDuration - h.config.Timing.SafetyMargin
 }
--- a/coordination/fencing/holder_test.go
+++ b/coordination/fencing/holder_test.go
@@ -197,7 +197,7 @@
 }
 
 // The holder is paused between deciding on an order and sending it. Only its
-// wall clock shows the pause, as the monotonic clock stood still. The order
+// wall clock shows the pause, as the monotonic clock had stopped. The order
 // must be found late, and the lease must be read and written again before the
 // next order.
 func TestPausedHolderMustAcquireItsLeaseAgain(t *testing.T) {
@@ -313,8 +313,8 @@
 
 // Three routers all assume that they control an engine which ignores fencing
 // numbers. They are paused or suspended for about a minute at random points,
-// and the store loses answers and reads outdated replicas. No order may be sent
-// once another router has the lease.
+// also between a decision and its send. The store loses answers and reads
+// outdated replicas. No order may be sent once another router has the lease.
 func TestNoOrderOutsideTheLease(t *testing.T) {
 	const runs, steps = 300, 3000
 	ordersSent, fencingNumbers := 0, uint64(0)
--- a/coordination/fencing/lease.go
+++ b/coordination/fencing/lease.go
@@ -16,7 +16,7 @@
 
 // MaxElapsedSince returns the longest time that may have passed since an
 // earlier instant. A holder uses it to measure the age of its own lease, so
-// that a clock that stood still does not extend the lease.
+// that a clock that stopped does not extend the lease.
 func (i Instant) MaxElapsedSince(earlier Instant) time.Duration {
 	return max(i.Monotonic-earlier.Monotonic, i.Wall.Sub(earlier.Wall))
 }
