--- a/transport/peer/conn.go
+++ b/transport/peer/conn.go
@@ -29,8 +29,8 @@
 }
 
 // countedConn counts the bytes of one connection, both in the total of the mesh
-// and in the counters of the peer. Until the peer's hello identifies it, they
-// are counted in unattributed.
+// and in the counters of the peer. Until the hello identifies the peer, its
+// bytes are counted in unattributed.
 type countedConn struct {
 	net.Conn
 	total        *counters
--- a/transport/peer/failure_test.go
+++ b/transport/peer/failure_test.go
@@ -277,8 +277,8 @@
 }
 
 // A router stops near the end of its grace period while a peer does not read.
-// It waited a second for that peer and was killed: its last log line was
-// "requests cut off at the end of the grace period" at 7.5 s, and "stopped" was
+// If it waits a second for that peer, it is killed: its last log line is
+// "requests cut off at the end of the grace period" at 7.5 s, and "stopped" is
 // never logged.
 func TestStopWaitsAtMostTheFlushTimeout(t *testing.T) {
 	f := newFleet(t)
--- a/transport/peer/measure_test.go
+++ b/transport/peer/measure_test.go
@@ -92,9 +92,9 @@
 		env, _, _ := wire.ToEnvelope(action)
 		b.Run(name, func(b *testing.B) { measureMessage(b, env) })
 	}
-	beat := &peerpb.Heartbeat{Sequence: 100_000, Echo: 100_000, EchoHeldUs: 999_000}
+	heartbeat := &peerpb.Heartbeat{Sequence: 100_000, Echo: 100_000, EchoHeldUs: 999_000}
 	b.Run("heartbeat", func(b *testing.B) {
-		measureMessage(b, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: beat}})
+		measureMessage(b, &peerpb.Envelope{Body: &peerpb.Envelope_Heartbeat{Heartbeat: heartbeat}})
 	})
 }
 
--- a/transport/peer/options.go
+++ b/transport/peer/options.go
@@ -93,8 +93,8 @@
 	// OnSessionEnd is called, if set, when a session that was announced by
 	// OnSession has ended.
 	OnSessionEnd func(peer Peer)
-	// SelectiveDialing restricts dialling to seeds until Select names other
-	// routers.
+	// SelectiveDialing restricts dialling to seeds until SelectPeers names
+	// other routers.
 	SelectiveDialing bool
 	Log              zerolog.Logger
 	// FlushTimeout limits how long a stop waits for peers. The last counters of
