--- a/state/config/names.go
+++ b/state/config/names.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// uniqueNames maps each name to the path where it was first seen, in order to
-// report duplicates.
+// uniqueNames maps each name or token digest to the path where it was first
+// seen, in order to report duplicates.
 type uniqueNames map[string]string
 
 func (u uniqueNames) check(fs *faults, path, name string) {
--- a/state/config/settings.go
+++ b/state/config/settings.go
@@ -15,9 +15,10 @@
 	Name state.Workspace
 	Team state.Team
 	// Share is the fraction of a service's capacity that the workspace may
-	// have: the team's share divided by all teams' shares, times the
-	// workspace's weight divided by the weights of its team. All shares add up
-	// to 1, so a team gains nothing by raising its own weights.
+	// have: the team's share divided by the shares of all teams that have
+	// workspaces, times the workspace's weight divided by the weights of all
+	// workspaces of its team. All shares add up to 1, so a team gains nothing
+	// by raising its own weights.
 	Share float64
 	// Services and Models list what the workspace may use; nil means all.
 	Services []state.Service
--- a/state/config/tree.go
+++ b/state/config/tree.go
@@ -29,7 +29,7 @@
 }
 
 // TeamShare is the share of every service that a team may use when all teams
-// have more requests than fit.
+// have more requests than the service can run.
 type TeamShare struct {
 	Name  state.Team `json:"name"`
 	Share float64    `json:"share"`
--- a/state/config/view.go
+++ b/state/config/view.go
@@ -219,8 +219,8 @@
 	return s, ok
 }
 
-// Err returns the conflicts between objects that were left out of the view, or
-// nil.
+// Err returns an *Error with the conflicts between objects, or nil. The
+// conflicting names and tokens were left out of the view.
 func (v *View) Err() error {
 	return v.faults.err()
 }
