--- a/protocol/wire/check.go
+++ b/protocol/wire/check.go
@@ -79,8 +79,8 @@
 	return uint32(ms)
 }
 
-// lifetimeMillis rounds up, so that a grant with a lifetime of less than a
-// millisecond does not arrive as an expired grant.
+// lifetimeMillis rounds the lifetime of a grant up to milliseconds, so that a
+// grant with less than a millisecond left does not arrive as an expired grant.
 func lifetimeMillis(d time.Duration) uint32 {
 	return clampMillis(d + time.Millisecond - 1)
 }
--- a/protocol/wire/decode.go
+++ b/protocol/wire/decode.go
@@ -62,6 +62,8 @@
 	}
 }
 
+// demandEntry converts one entry of a demand. An entry without a model has the
+// model of the previous entry.
 func (c *checker) demandEntry(e *peerpb.DemandEntry, previous state.Model) scheduler.DemandEntry {
 	model := previous
 	if e != nil && e.Model != nil {
@@ -151,6 +153,8 @@
 	return event
 }
 
+// usageEntry converts one entry of usage counters. An entry without a service
+// has the service of the previous entry.
 func (c *checker) usageEntry(e *peerpb.UsageEntry, previous state.Service) scheduler.UsageEntry {
 	service := previous
 	if previous == "" || e.GetService() != "" {
--- a/protocol/wire/errors.go
+++ b/protocol/wire/errors.go
@@ -18,7 +18,7 @@
 	CodeTooLong
 	// CodeTooMany means that a list exceeds MaxEntries.
 	CodeTooMany
-	// CodeNegative means that a cost or a count is negative.
+	// CodeNegative means that a cost is negative.
 	CodeNegative
 	// CodeOutOfRange means that a value is outside its enumeration or the range
 	// of its type.
