--- a/protocol/trace/outcome/checks.go
+++ b/protocol/trace/outcome/checks.go
@@ -51,8 +51,9 @@
 	return s.mayHaveRun
 }
 
-// CheckNotRun checks that no upstream ran a request after its caller received
-// the answer that it was not run.
+// CheckNotRun checks that no upstream ran a request whose caller received the
+// answer that it was not run. Runs that other answers of the same router to
+// the same body account for are allowed.
 func CheckNotRun(r Records) Check {
 	check := Check{Name: "told-not-run"}
 	runs := make(map[routerBody][]trace.UpstreamRecord)
