--- a/standin/objects/objects.go
+++ b/standin/objects/objects.go
@@ -1,5 +1,5 @@
-// Package objects is a small stand-in of the users' platform's store: it lists
-// and watches, and can be away.
+// Package objects is an in-memory stand-in for the object store of the users'
+// platform. It serves lists and watches, and can be made unavailable.
 package objects
 
 import (
@@ -13,13 +13,15 @@
 	"github.com/figstile/figstile/transport/edge"
 )
 
-// Store is an http.Handler.
+// Store is an in-memory object store that serves its lists and watches as an
+// http.Handler.
 type Store struct {
 	mu       sync.Mutex
 	changed  *sync.Cond
 	revision uint64
 	objects  map[edge.Kind]map[string]edge.Object
-	// history holds every change; the store lives for a run only.
+	// history holds every change by kind and is never trimmed, as the store
+	// lives only as long as one test or trial.
 	history     map[edge.Kind][]edge.Object
 	unavailable bool
 }
@@ -31,12 +33,12 @@
 	return s
 }
 
-// Put writes an object.
+// Put creates or replaces an object and increments the store's revision.
 func (s *Store) Put(kind edge.Kind, name string, spec []byte) {
 	s.write(kind, edge.Object{Name: name, Spec: spec})
 }
 
-// Remove removes an object.
+// Remove deletes an object and records the removal for watches.
 func (s *Store) Remove(kind edge.Kind, name string) {
 	s.write(kind, edge.Object{Name: name, Removed: true, Spec: []byte("null")})
 }
@@ -58,7 +60,8 @@
 	s.changed.Broadcast()
 }
 
-// SetUnavailable makes the store refuse all calls, or serve again.
+// SetUnavailable makes the store answer every call with status 503, or serve
+// calls again.
 func (s *Store) SetUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,7 +69,7 @@
 	s.changed.Broadcast()
 }
 
-// ServeHTTP answers lists and watches.
+// ServeHTTP answers a list or a watch; the kind of object comes from the path.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	kind, ok := platform.KindFromPath(r.URL.Path)
 	if !ok {
@@ -91,7 +94,8 @@
 	_, _ = w.Write(answer)
 }
 
-// awaitChange waits for a change after a revision, at most for a time.
+// awaitChange waits until the store's revision exceeds after, the store becomes
+// unavailable or the wait has passed. The caller holds the lock.
 func (s *Store) awaitChange(after uint64, wait time.Duration) {
 	timedOut := false
 	timer := time.AfterFunc(wait, func() {
