--- a/standin/platform/bench_test.go
+++ b/standin/platform/bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// BenchmarkWatchFanOut measures one write of a kilobyte that every watcher
-// follows, from the write until the last has it: calls and bytes of answers
-// for each write. 8 is a deployment of today, 730 the fleet planned for.
+// BenchmarkWatchFanOut measures one write of a kilobyte, from the write until
+// every watcher has received it, and reports the calls and the bytes of answers
+// per write. A present deployment has 8 watchers; the fleet is planned for 730.
 func BenchmarkWatchFanOut(b *testing.B) {
 	for _, watchers := range []int{8, 64, 730} {
 		b.Run(fmt.Sprintf("watchers=%d", watchers), func(b *testing.B) { benchFanOut(b, watchers) })
--- a/standin/platform/count.go
+++ b/standin/platform/count.go
@@ -11,12 +11,12 @@
 	bytes *atomic.Int64
 }
 
-// Write counts and passes on.
+// Write adds the bytes written to the count and passes the text on.
 func (w *countingWriter) Write(text []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(text)
 	w.bytes.Add(int64(n))
 	return n, err
 }
 
-// Unwrap lets http.ResponseController find the writer underneath.
+// Unwrap gives http.ResponseController access to the wrapped writer.
 func (w *countingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -10,54 +10,56 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// Outage is a way in which the platform fails every call.
+// Outage selects how the platform fails every call.
 type Outage string
 
-// The outages. None of them lets a write take effect but Slow.
+// The outages. Only OutageSlow lets a write take effect.
 const (
-	// NoOutage: calls are served.
+	// OutageNone serves calls as usual.
 	OutageNone Outage = ""
-	// OutageRefuse answers 503 at once.
+	// OutageRefuse answers each call with status 503 at once.
 	OutageRefuse Outage = "refuse"
-	// OutageDrop cuts each connection without an answer.
+	// OutageDrop closes each connection without an answer.
 	OutageDrop Outage = "drop"
-	// OutageHang holds each call until the caller leaves or the outage ends, and
-	// then cuts the connection.
+	// OutageHang holds each call until its caller leaves or the outage ends,
+	// and then closes the connection.
 	OutageHang Outage = "hang"
-	// OutageSlow serves each call after Faults.DelayMs.
+	// OutageSlow serves each call after a delay of Faults.DelayMs.
 	OutageSlow Outage = "slow"
 )
 
-// The platform's usual rates of calls a second.
+// The usual rate limits of the platform, in calls per second.
 const (
 	UsualWritesPerSecond = 300
 	UsualReadsPerSecond  = 2000
 )
 
-// Faults is what the platform does wrong, and its limits. The zero value is a
-// platform without either.
+// Faults holds the failures that the platform simulates and its rate limits.
+// The zero value simulates no failures and limits nothing.
 type Faults struct {
-	// WritesPerSecond and ReadsPerSecond limit calls; beyond them the answer
-	// is 429. Zero is no limit. A waiting watch counts as one read.
+	// WritesPerSecond and ReadsPerSecond limit the rate of calls; calls above
+	// it are answered with status 429. Zero means no limit. A waiting watch
+	// counts as one read.
 	WritesPerSecond float64 `json:"writes_per_second,omitempty"`
 	ReadsPerSecond  float64 `json:"reads_per_second,omitempty"`
 	Outage          Outage  `json:"outage,omitempty"`
-	// DelayMs is how slow a Slow platform is.
+	// DelayMs is the delay of each call under OutageSlow, in milliseconds.
 	DelayMs int64 `json:"delay_ms,omitempty"`
-	// LoseAnswers lets this many of the next writes take effect and cuts the
-	// connection before the answer.
+	// LoseAnswers is the number of next writes that take effect although their
+	// connections are closed before the answer.
 	LoseAnswers int `json:"lose_answers,omitempty"`
-	// LoseWrites cuts the connections of this many of the next writes before
-	// they take effect. A caller cannot tell it from LoseAnswers.
+	// LoseWrites is the number of next writes whose connections are closed
+	// before the write takes effect. A caller cannot distinguish it from
+	// LoseAnswers.
 	LoseWrites int `json:"lose_writes,omitempty"`
 	// StaleReads answers reads from the objects as they were when it was
 	// switched on.
 	StaleReads bool `json:"stale_reads,omitempty"`
-	// VMLagMs is how old the list of machines is.
+	// VMLagMs is the age of the list of VMs that callers read, in milliseconds.
 	VMLagMs int64 `json:"vm_lag_ms,omitempty"`
 }
 
-// CallKind is a kind of call, for counting.
+// CallKind is a kind of call; calls are counted by kind.
 type CallKind int
 
 // The kinds of calls.
@@ -70,21 +72,21 @@
 	callKindCount
 )
 
-// Calls counts what the platform was asked, over all callers.
+// Calls counts the calls that the platform received from all callers.
 type Calls struct {
 	Get   int64 `json:"get"`
 	List  int64 `json:"list"`
 	Put   int64 `json:"put"`
 	Watch int64 `json:"watch"`
 	VMs   int64 `json:"vms"`
-	// Limited counts the calls answered with 429, which are in the counts
-	// above as well.
+	// Limited counts the calls answered with status 429. They are included in
+	// the counts by kind above.
 	Limited int64 `json:"limited"`
-	// Bytes counts the bytes of answers' bodies.
+	// Bytes is the number of bytes in the bodies of answers.
 	Bytes int64 `json:"bytes"`
 }
 
-// Total is the number of calls of every kind.
+// Total returns the number of calls of all kinds.
 func (c Calls) Total() int64 { return c.Get + c.List + c.Put + c.Watch + c.VMs }
 
 // Calls returns the counts so far.
@@ -102,15 +104,16 @@
 	}
 }
 
-// Faults returns the faults that are left.
+// Faults returns the present faults, with the counts of lost answers and writes
+// that remain.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
 }
 
-// SetFaults replaces the faults. A change of the outage cuts off every call in
-// progress, waiting watches too.
+// SetFaults replaces the faults. A change of the outage closes the connections
+// of all calls in progress, including waiting watches.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,8 +137,8 @@
 	}
 }
 
-// newLimiter allows a second's worth of calls at once, as a service does that
-// counts them by the second.
+// newLimiter returns a limiter with a burst of one second's worth of calls,
+// like a service that counts its calls per second.
 func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 0)
@@ -143,18 +146,19 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// admission is what a call met when it came in.
+// admission is the result of admit for one call: whether the call exceeds the
+// rate limit, and the outage that applies to it.
 type admission struct {
 	limited bool
 	outage  Outage
 	delay   time.Duration
-	// epoch ends when the outage changes.
+	// epoch is cancelled when the outage changes.
 	epoch context.Context
 }
 
-// admit counts a call and decides what it meets, in one step: a call that has
-// been counted is not touched by a later change of the faults, but that its
-// epoch ends.
+// admit counts a call and determines the rate limit and the outage that apply
+// to it, all under one lock. Later changes of the faults don't affect a counted
+// call, except that a change of the outage ends its epoch.
 func (p *Platform) admit(kind CallKind) admission {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,7 +179,8 @@
 	}
 }
 
-// withFaults wraps a call of the object API in limits and outages.
+// withFaults wraps a handler of the object API with the rate limits and
+// outages.
 func (p *Platform) withFaults(kind CallKind, serve http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		counted := &countingWriter{ResponseWriter: w, bytes: &p.answerBytes}
@@ -193,7 +198,8 @@
 	}
 }
 
-// applyOutage applies the outage and reports whether the call is still served.
+// applyOutage applies the outage and reports whether the call is still to be
+// served.
 func (p *Platform) applyOutage(ctx context.Context, admitted admission, w http.ResponseWriter) bool {
 	switch admitted.outage {
 	case OutageRefuse:
@@ -212,7 +218,8 @@
 	return true
 }
 
-// consumeFault takes one off a fault's count and reports whether there was one.
+// consumeFault decrements the count of a fault and reports whether it was above
+// zero.
 func (p *Platform) consumeFault(count func(*Faults) *int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -224,7 +231,8 @@
 	return true
 }
 
-// readStore is the store that reads are answered from.
+// readStore returns the store that answers reads: the stale copy if
+// Faults.StaleReads is set.
 func (p *Platform) readStore() *Store {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -17,18 +17,18 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// Options sets up a Platform. The zero value is usable.
+// Options configures a Platform. The zero value is usable.
 type Options struct {
 	Store  StoreOptions
 	Faults Faults
-	// Now is the clock of the rate limits and of the lag of the list of
-	// machines; time.Now if nil.
+	// Now is the clock of the rate limits and of the lag of the list of VMs;
+	// time.Now if nil.
 	Now func() time.Time
-	// Sleep delays the calls of a slow platform; by real time if nil.
+	// Sleep delays the calls under OutageSlow; it waits in real time if nil.
 	Sleep func(ctx context.Context, d time.Duration) error
 }
 
-// Platform serves a Store over HTTP, with faults to order.
+// Platform serves a Store over HTTP and simulates the faults that a test sets.
 type Platform struct {
 	opts        Options
 	store       *Store
@@ -43,7 +43,7 @@
 	limitedCalls int64
 	// staleStore answers reads while Faults.StaleReads is set.
 	staleStore *Store
-	// epoch ends when the outage changes.
+	// epoch is cancelled when the outage changes.
 	epoch    context.Context
 	endEpoch context.CancelFunc
 }
@@ -83,10 +83,11 @@
 	p.mux.HandleFunc("GET /v1/calls", func(w http.ResponseWriter, _ *http.Request) { reply(w, p.Calls(), nil) })
 }
 
-// Store returns the store behind the API, for tests to set up and look into.
+// Store returns the store behind the API. Tests use it to write and inspect
+// objects and VMs.
 func (p *Platform) Store() *Store { return p.store }
 
-// Handler returns the object API.
+// Handler returns the handler of the object API.
 func (p *Platform) Handler() http.Handler { return p.mux }
 
 // Start serves the API on a TCP address until stop is called.
@@ -163,7 +164,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// expectedVersion reads the condition of a write, which must have one.
+// expectedVersion returns the version that a conditional write expects; zero
+// means that the object must not exist. A write without a condition is invalid.
 func expectedVersion(header http.Header) (objectstore.Version, error) {
 	if header.Get(objectstore.HeaderIfNoneMatch) == objectstore.MustNotExist {
 		return 0, nil
@@ -179,7 +181,8 @@
 	return objectstore.Version(version), nil
 }
 
-// maxBodyBytes holds a value of full size in base64 and its JSON frame.
+// maxBodyBytes limits a request's body, in bytes. It is enough for a value of
+// the maximum size in base64 and the JSON around it.
 const maxBodyBytes = objectstore.MaxValueBytes*4/3 + 1024
 
 func decodeBody(w http.ResponseWriter, r *http.Request, into any) error {
@@ -193,7 +196,7 @@
 	return nil
 }
 
-// reply writes a JSON answer, or the error answer that err stands for.
+// reply writes a JSON answer, or the error answer that corresponds to err.
 func reply(w http.ResponseWriter, answer any, err error) {
 	if err == nil {
 		writeJSON(w, http.StatusOK, answer)
@@ -210,7 +213,8 @@
 	case errors.Is(err, objectstore.ErrInvalid):
 		writeJSON(w, http.StatusBadRequest, objectstore.ErrorAnswer{Code: objectstore.CodeInvalid, Message: err.Error()})
 	default:
-		// The caller left or the server stops: no answer is the truth.
+		// The caller left or the server is stopping. Closing the connection
+		// leaves open whether the call took effect, which is unknown here.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -14,34 +14,37 @@
 
 // Defaults of StoreOptions.
 const (
-	// DefaultHistory is long enough that only a reader away for many seconds
-	// of full write rate has to list again.
+	// DefaultHistory is the number of writes kept for watches. A reader has to
+	// list again only if it was disconnected for many seconds while the
+	// platform took writes at the maximum rate.
 	DefaultHistory = 10_000
-	// DefaultMaxWait bounds a waiting watch, so that a reader which vanished
-	// without closing its connection is forgotten.
+	// DefaultMaxWait limits how long a watch waits, so that the store drops a
+	// reader that disappeared without closing its connection.
 	DefaultMaxWait = 30 * time.Second
 )
 
-// StoreOptions sets up a Store. The zero value is usable.
+// StoreOptions configures a Store. The zero value is usable.
 type StoreOptions struct {
-	// History is how many writes a watch can look back over.
+	// History is the minimum number of latest writes that a watch can catch up
+	// on.
 	History int
-	// MaxWait is the platform's own timeout of a watch.
+	// MaxWait is the maximum time that a watch waits for a change.
 	MaxWait time.Duration
-	// Now is the clock by which the list of machines lags; time.Now if nil.
+	// Now is the clock that the lag of the list of VMs is based on; time.Now if
+	// nil.
 	Now func() time.Time
 }
 
-// Store is an in-memory objectstore.Store.
+// Store is an in-memory implementation of objectstore.Store.
 type Store struct {
 	opts StoreOptions
 
 	mu      sync.Mutex
 	version objectstore.Version
 	objects map[string]objectstore.Object
-	// history holds the latest writes in version order.
+	// history holds the latest writes in ascending order of version.
 	history []change
-	// trimmedVersion is the version of the newest write dropped from history.
+	// trimmedVersion is the version of the newest write removed from history.
 	trimmedVersion objectstore.Version
 	vms            vmHistory
 	waiters        map[*waiter]struct{}
@@ -53,7 +56,7 @@
 	key     string
 }
 
-// waiter is a watch with nothing to return yet.
+// waiter is a watch that waits because nothing has changed yet.
 type waiter struct {
 	prefix string
 	ready  chan struct{}
@@ -133,8 +136,9 @@
 	return s.version, nil
 }
 
-// appendHistory appends to the history and forgets its oldest entries. It trims only
-// at twice the limit, so that a write costs constant time on average.
+// appendHistory appends a write to the history and removes the oldest entries.
+// It trims only when the history reaches twice its limit, so that a write takes
+// constant time on average.
 func (s *Store) appendHistory(c change) {
 	s.history = append(s.history, c)
 	if len(s.history) < 2*s.opts.History {
@@ -145,7 +149,8 @@
 	s.history = slices.Clone(s.history[drop:])
 }
 
-// wakeWaiters releases the watches that the written key concerns, and no others.
+// wakeWaiters wakes the watches whose prefix matches the written key, and no
+// others.
 func (s *Store) wakeWaiters(key string) {
 	for w := range s.waiters {
 		if strings.HasPrefix(key, w.prefix) {
@@ -182,8 +187,9 @@
 	}
 }
 
-// changesOrWaiter returns the changes after a version, or a waiter registered
-// under the same lock, so that no write falls between the two.
+// changesOrWaiter returns the changes after a version or, if there are none,
+// registers a waiter. It does both under one lock, so that no write is missed
+// in between.
 func (s *Store) changesOrWaiter(prefix string, after objectstore.Version) ([]objectstore.Object, objectstore.Version, *waiter, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,8 +204,8 @@
 	return nil, s.version, w, nil
 }
 
-// changesAfter lists the objects written after a version, each once and at its
-// latest version.
+// changesAfter lists the objects written after a version. Each object is listed
+// once, at its latest version.
 func (s *Store) changesAfter(prefix string, after objectstore.Version) []objectstore.Object {
 	first, _ := slices.BinarySearchFunc(s.history, after+1, func(c change, v objectstore.Version) int {
 		return int(c.version) - int(v)
@@ -220,7 +226,7 @@
 	delete(s.waiters, w)
 }
 
-// WaitingWatches counts the watches that wait now.
+// WaitingWatches returns the number of watches that are waiting now.
 func (s *Store) WaitingWatches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,8 +240,8 @@
 	return s.version
 }
 
-// snapshot returns a store that holds the objects as they are now and never
-// changes.
+// snapshot returns a store that holds a copy of the present objects. The copy
+// doesn't follow later writes.
 func (s *Store) snapshot() *Store {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/platform/store_test.go
+++ b/standin/platform/store_test.go
@@ -30,7 +30,8 @@
 	require.Len(t, objects, 1)
 }
 
-// The development fleet steers the platform from another process.
+// The development fleet controls the platform from another process, so faults
+// and VMs must be changeable over HTTP.
 func TestControlOverHTTP(t *testing.T) {
 	p := New(Options{})
 	url, stop, err := p.Start("127.0.0.1:0")
--- a/standin/platform/vms.go
+++ b/standin/platform/vms.go
@@ -10,16 +10,17 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// vmHistory is the list of machines after each change, oldest first.
+// vmHistory holds the list of VMs after each change, oldest first.
 type vmHistory []vmList
 
-// vmList is the list of machines from a moment on.
+// vmList is a list of VMs and the time from which it applies.
 type vmList struct {
 	since time.Time
 	vms   map[string]objectstore.VM
 }
 
-// at returns the list that was true at a time; it may be nil.
+// at returns the list that applied at a time; it is nil before the first
+// change.
 func (h vmHistory) at(t time.Time) map[string]objectstore.VM {
 	for _, list := range slices.Backward(h) {
 		if !list.since.After(t) {
@@ -32,7 +33,7 @@
 // VMs implements objectstore.Store.
 func (s *Store) VMs(ctx context.Context) ([]objectstore.VM, error) { return s.vmsWithLag(ctx, 0) }
 
-// vmsWithLag returns the list of machines as it was some time ago.
+// vmsWithLag returns the list of VMs as it was the given lag ago.
 func (s *Store) vmsWithLag(ctx context.Context, lag time.Duration) ([]objectstore.VM, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, err
@@ -44,18 +45,18 @@
 	return list, nil
 }
 
-// PutVM adds a machine to the list or replaces it.
+// PutVM adds a VM to the list or replaces it.
 func (s *Store) PutVM(vm objectstore.VM) {
 	s.changeVMs(func(vms map[string]objectstore.VM) { vms[vm.Name] = vm })
 }
 
-// DeleteVM takes a machine off the list.
+// DeleteVM removes a VM from the list.
 func (s *Store) DeleteVM(name string) {
 	s.changeVMs(func(vms map[string]objectstore.VM) { delete(vms, name) })
 }
 
-// changeVMs appends a changed copy of the list, so that lagging reads still
-// see the earlier ones.
+// changeVMs appends a changed copy of the list and keeps the earlier lists,
+// which reads with a lag still return.
 func (s *Store) changeVMs(change func(map[string]objectstore.VM)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
