--- a/standin/upstream/call.go
+++ b/standin/upstream/call.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-// Call is a request to a stand-in, as a router or a load generator sends it.
+// Call is a request that a router or a load generator sends to a stand-in.
 type Call struct {
 	Attempt        string
 	IdempotencyKey string
 	Body           string
 }
 
-// Post sends a call once. The answer's body is the caller's to close.
+// Post sends a call once. The caller must close the body of the answer.
 //
-// The body is of a type that the transport does not know. The transport takes a
-// request with an idempotency key for one that it may repeat; when a kept
-// connection is cut it would send it again by itself, and a request that
-// crashes an upstream would run twice. It cannot repeat a body it has read from
-// and cannot make anew.
+// The request's body has a type that http.Transport does not know. The
+// transport regards a request with an idempotency key as repeatable: if a
+// reused connection broke, it would send the request again by itself, and a
+// request that crashes an upstream would run twice. The transport cannot repeat
+// a request whose body it has read from and cannot recreate.
 func (c Call) Post(ctx context.Context, client *http.Client, url string) (*http.Response, error) {
 	body := struct{ io.Reader }{strings.NewReader(c.Body)}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, body)
@@ -38,8 +38,8 @@
 	return client.Do(request)
 }
 
-// Control sends a request to a path that steers a stand-in in another process
-// and returns the answer.
+// Control sends a control request, for example to set faults, to a stand-in in
+// another process and returns the status and body of the answer.
 func Control(ctx context.Context, client *http.Client, method, url, body string) (status int, answer string, err error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
 	if err != nil {
--- a/standin/upstream/control.go
+++ b/standin/upstream/control.go
@@ -10,8 +10,9 @@
 	Draining bool `json:"draining"`
 }
 
-// Mount adds the paths that every stand-in upstream has: GET /load,
-// GET /ledger, PUT /drain, GET and PUT /faults, POST /crash and POST /restart.
+// Mount registers the control paths that every stand-in upstream serves: GET
+// /load, GET /ledger, PUT /drain, GET and PUT /faults, POST /crash and POST
+// /restart.
 func (h *Host) Mount(mux *http.ServeMux) {
 	mux.HandleFunc("GET /load", h.DropWhileDown(func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, h.Load())
@@ -51,7 +52,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// ReadJSON decodes a request's body; a bad one is answered with 400.
+// ReadJSON decodes a request's body. If the body is not valid JSON, it answers
+// with status 400 and returns false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(into)
 	if err != nil {
--- a/standin/upstream/doc.go
+++ b/standin/upstream/doc.go
@@ -1,4 +1,4 @@
-// Package upstream holds what the stand-ins of engines and of application
-// workers have in common: slots filled in order of arrival, a ledger of every
-// request received, the load report and its lag, and faults to order.
+// Package upstream holds the parts that the stand-ins of engines and of
+// application workers share: slots filled in order of arrival, a ledger of
+// every request received, load reports with a lag, and simulated faults.
 package upstream
--- a/standin/upstream/faults.go
+++ b/standin/upstream/faults.go
@@ -2,28 +2,31 @@
 
 import "time"
 
-// Faults is what an upstream does wrong. Counts run down as they are used.
+// Faults holds the failures that an upstream simulates. A count decreases each
+// time that its fault is applied.
 type Faults struct {
-	// CrashMarker takes the upstream down once a request with a body that
-	// contains it starts to run; empty for never.
+	// CrashMarker crashes the upstream when a request whose body contains it
+	// starts to run. Empty disables it.
 	CrashMarker string `json:"crash_marker,omitempty"`
-	// StayDown keeps a crashed upstream down until it is restarted by hand.
-	// Otherwise it comes back at once with a new Boot.
+	// StayDown keeps a crashed upstream down until Restart is called. Otherwise
+	// it restarts at once with a new Boot.
 	StayDown bool `json:"stay_down,omitempty"`
-	// TruncateAnswers cuts off this many of the next answers half way.
+	// TruncateAnswers is the number of next answers that are cut off halfway.
 	TruncateAnswers int `json:"truncate,omitempty"`
-	// CrossAnswers gives this many of the next callers the answer that belongs to
-	// the request received before theirs.
+	// CrossAnswers is the number of next callers that receive the answer of the
+	// request received before their own.
 	CrossAnswers int `json:"cross,omitempty"`
-	// RejectRequests answers this many of the next requests with 503, unstarted.
+	// RejectRequests is the number of next requests that are answered with
+	// status 503 without being started.
 	RejectRequests int `json:"refuse,omitempty"`
 	// DelayFactor multiplies every delay; 0 means 1.
 	DelayFactor float64 `json:"slow,omitempty"`
-	// FreezeLoadReport repeats the last load report for ever.
+	// FreezeLoadReport makes the upstream repeat its last load report until it
+	// is switched off.
 	FreezeLoadReport bool `json:"freeze_load,omitempty"`
 }
 
-// scaleDelay applies Slow to a delay.
+// scaleDelay multiplies a delay by DelayFactor.
 func (f Faults) scaleDelay(d time.Duration) time.Duration {
 	if f.DelayFactor <= 0 {
 		return d
--- a/standin/upstream/host.go
+++ b/standin/upstream/host.go
@@ -13,31 +13,32 @@
 	"github.com/figstile/figstile/state"
 )
 
-// HeaderAttempt carries the id of an attempt; upstreams repeat it on the
-// answer.
+// HeaderAttempt is the header that carries the id of an attempt. Upstreams
+// repeat it in the answer.
 const HeaderAttempt = "Figstile-Attempt"
 
-// HeaderIdempotencyKey carries the caller's idempotency key.
+// HeaderIdempotencyKey is the header that carries the caller's idempotency key.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// Options sets up a Host.
+// Options configures a Host.
 type Options struct {
 	Name state.Upstream
-	// Slots is how many requests run at once; 1 if zero.
+	// Slots is the maximum number of requests that run at once; 1 if zero.
 	Slots int
-	// Models is what the upstream holds after each start.
+	// Models lists the models that are loaded after each start.
 	Models []state.Model
-	// LoadLag is how old the load reports are that it gives.
+	// LoadLag is the minimum age of the load reports that the upstream returns.
 	LoadLag time.Duration
 	Faults  Faults
 	// Now is the clock; time.Now if nil.
 	Now func() time.Time
-	// Sleep waits for a duration or the context's end; by real time if nil.
+	// Sleep waits for a duration or until the context ends; it waits in real
+	// time if nil.
 	Sleep func(ctx context.Context, d time.Duration) error
 }
 
-// Host runs the requests of one upstream. It knows no priorities: requests
-// beyond the slots wait inside in order of arrival.
+// Host runs the requests of one upstream. It has no priorities: requests that
+// find no free slot wait in order of arrival.
 type Host struct {
 	opts   Options
 	ledger Ledger
@@ -55,7 +56,7 @@
 	server       *restartableServer
 }
 
-// processRun is one life of the upstream's process.
+// processRun is one run of the upstream's process, from its start to its crash.
 type processRun struct {
 	number int
 	ctx    context.Context
@@ -82,7 +83,7 @@
 	return h
 }
 
-// Sleep waits for a duration or the context's end, by real time.
+// Sleep waits in real time for a duration or until the context ends.
 func Sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -94,7 +95,8 @@
 	}
 }
 
-// startRun begins a new run. The caller holds the lock or is the only one.
+// startRun begins a new run of the process. The caller holds the lock or has
+// exclusive access to the host.
 func (h *Host) startRun() {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.run = processRun{number: h.run.number + 1, ctx: ctx, cancel: cancel}
@@ -103,7 +105,7 @@
 	h.recordLoad()
 }
 
-// bootName is what load reports call the present run.
+// bootName returns the Boot that load reports contain during the present run.
 func (h *Host) bootName() string { return fmt.Sprintf("%s-%d", h.opts.Name, h.run.number) }
 
 // recordLoad records the present load. The caller holds the lock.
@@ -119,7 +121,7 @@
 	})
 }
 
-// changeState runs a change of state under the lock and records the load after it.
+// changeState calls f under the lock and records the load afterwards.
 func (h *Host) changeState(f func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,7 +129,8 @@
 	h.recordLoad()
 }
 
-// Load returns the report that a reader sees now.
+// Load returns the load report that readers see now: one that is at least
+// LoadLag old or, under FreezeLoadReport, always the same one.
 func (h *Host) Load() state.LoadReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -142,34 +145,34 @@
 	return *h.frozenReport
 }
 
-// Ledger returns the record of received requests.
+// Ledger returns the record of all received requests.
 func (h *Host) Ledger() *Ledger { return &h.ledger }
 
-// SetDraining says whether load reports ask for no new work. New requests
-// still run; the ledger marks them.
+// SetDraining sets whether load reports ask for no new work. New requests still
+// run, but the ledger marks them.
 func (h *Host) SetDraining(draining bool) { h.changeState(func() { h.draining = draining }) }
 
 // SetFaults replaces the faults.
 func (h *Host) SetFaults(f Faults) { h.changeState(func() { h.faults = f }) }
 
-// Faults returns the faults that are left.
+// Faults returns the present faults, with the counts that remain.
 func (h *Host) Faults() Faults {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.faults
 }
 
-// Models returns the models held now.
+// Models returns the models that are loaded now.
 func (h *Host) Models() []state.Model {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.models)
 }
 
-// HasModel tells whether a model is held now.
+// HasModel reports whether a model is loaded now.
 func (h *Host) HasModel(model state.Model) bool { return slices.Contains(h.Models(), model) }
 
-// SetModelLoaded adds a model to those held, or removes it.
+// SetModelLoaded adds a model to the loaded models or removes it.
 func (h *Host) SetModelLoaded(model state.Model, loaded bool) {
 	h.changeState(func() {
 		h.models = slices.DeleteFunc(h.models, func(m state.Model) bool { return m == model })
@@ -179,7 +182,8 @@
 	})
 }
 
-// Sleep waits for a duration, stretched by the faults.
+// Sleep waits for a duration multiplied by the faults' DelayFactor, or until
+// the context ends.
 func (h *Host) Sleep(ctx context.Context, d time.Duration) error {
 	if err := ctx.Err(); err != nil || d <= 0 {
 		return err
@@ -187,12 +191,13 @@
 	return h.opts.Sleep(ctx, h.Faults().scaleDelay(d))
 }
 
-// Crash ends the present run: every connection drops. Unless it stays down,
-// the upstream comes back at once with a new Boot and nothing in memory.
+// Crash ends the present run and closes every connection. Unless
+// Faults.StayDown is set, the upstream restarts at once with a new Boot and
+// with empty memory.
 func (h *Host) Crash() { h.crashRun(h.currentRun()) }
 
-// crashRun takes down one run, so that two requests that crash the same run
-// do not take down the next one as well.
+// crashRun ends one particular run. If two requests crash the same run, the
+// second one therefore does not end the next run as well.
 func (h *Host) crashRun(r processRun) {
 	if !h.markDown(r) {
 		return
@@ -202,7 +207,7 @@
 		h.server.close()
 	}
 	if !h.Faults().StayDown {
-		// A failure to listen again leaves the upstream down, as StayDown does.
+		// If listening again fails, the upstream stays down, as with StayDown.
 		_ = h.Restart()
 	}
 }
@@ -213,7 +218,8 @@
 	return h.run
 }
 
-// markDown reports whether the run was the present one and up.
+// markDown marks a run as down and reports whether it was the present run and
+// still up.
 func (h *Host) markDown(r processRun) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -224,8 +230,8 @@
 	return true
 }
 
-// Restart brings a crashed upstream back with a new Boot. An upstream that is
-// up stays as it is.
+// Restart starts a crashed upstream with a new Boot. It does nothing if the
+// upstream is up.
 func (h *Host) Restart() error {
 	if !h.currentRun().down {
 		return nil
@@ -242,7 +248,7 @@
 }
 
 // Start serves a handler on a TCP address until stop is called. A crash closes
-// the address as well. It must be called before the host receives requests.
+// the listener as well. Start must be called before the host receives requests.
 func (h *Host) Start(addr string, handler http.Handler) (baseURL string, stop func(), err error) {
 	h.server, err = startRestartableServer(addr, handler)
 	if err != nil {
--- a/standin/upstream/job.go
+++ b/standin/upstream/job.go
@@ -10,19 +10,21 @@
 	"time"
 )
 
-// maxBodyBytes bounds what is read of one request.
+// maxBodyBytes is the maximum size of a request's body, in bytes.
 const maxBodyBytes = 64 << 20
 
-// ErrTruncated is returned by Work whose answer was cut off on purpose.
+// ErrTruncated is the error that Work returns if it cut its answer off because
+// of Faults.TruncateAnswers.
 var ErrTruncated = errors.New("upstream: answer truncated on purpose")
 
-// Rejection is the answer to a request that is not started.
+// Rejection is the answer to a request that was not started.
 type Rejection struct {
 	Status  int    `json:"-"`
 	Message string `json:"message"`
 }
 
-// rejectionAnswer is the body of a refusal, as engines write it.
+// rejectionAnswer is the JSON body of a rejection, in the format that engines
+// use.
 type rejectionAnswer struct {
 	Error Rejection `json:"error"`
 }
@@ -31,25 +33,27 @@
 // of the job's Sleep or of a write, or ErrTruncated.
 type Work func(w http.ResponseWriter, job *Job) error
 
-// Plan reads a request and returns the work it asks for or a refusal.
+// Plan reads a request and returns the work to do, or a rejection.
 type Plan func(job *Job) (Work, *Rejection)
 
 // Job is one received request.
 type Job struct {
 	Header http.Header
 	Body   []byte
-	// TruncateAnswer is set if the answer is to break off half way.
+	// TruncateAnswer is set if the answer is to be cut off halfway.
 	TruncateAnswer bool
 
 	host       *Host
 	run        processRun
 	ctx        context.Context
 	entryIndex int
-	// answerIndex is the entry whose answer is given; another one's if crossed.
+	// answerIndex is the index of the ledger entry whose answer the caller
+	// receives. It differs from entryIndex if answers are crossed.
 	answerIndex int
 }
 
-// Run takes a request through the host: ledger, faults, slot, work.
+// Run processes a request: it records it in the ledger, applies the faults,
+// waits for a slot and does the work.
 func (h *Host) Run(w http.ResponseWriter, r *http.Request, plan Plan) {
 	h.DropWhileDown(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -62,13 +66,15 @@
 	})(w, r)
 }
 
-// runContextKey is the context key of the run that received a request.
+// runContextKey is the key under which a request's context holds the run that
+// received it.
 type runContextKey struct{}
 
 func runFromContext(ctx context.Context) processRun { return ctx.Value(runContextKey{}).(processRun) }
 
-// DropWhileDown wraps a handler so that a host that is down drops the connection, and
-// a crash ends the context of what it serves.
+// DropWhileDown wraps a handler. While the host is down, it closes the
+// connection without an answer. A crash cancels the context of the requests
+// that the handler is serving.
 func (h *Host) DropWhileDown(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		current := h.currentRun()
@@ -82,7 +88,8 @@
 	}
 }
 
-// recordReceived enters the job into the ledger and gives it the faults it meets.
+// recordReceived adds the job to the ledger and determines which faults apply
+// to it.
 func (j *Job) recordReceived() {
 	h := j.host
 	h.changeState(func() {
@@ -104,7 +111,8 @@
 	})
 }
 
-// consumeFault uses up one of a fault's count.
+// consumeFault decrements the count of a fault and reports whether it was above
+// zero.
 func consumeFault(count *int) bool {
 	if *count <= 0 {
 		return false
@@ -132,8 +140,8 @@
 	err := work(w, j)
 	j.end(err)
 	if err != nil {
-		// Breaking the connection is what tells the caller that the answer
-		// is not whole; a plain return would end it cleanly.
+		// Closing the connection shows the caller that the answer is
+		// incomplete. Returning would end the answer normally.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -144,7 +152,7 @@
 	return consumeFault(&j.host.faults.RejectRequests)
 }
 
-// leaveQueue ends a job that never started.
+// leaveQueue records the end of a job that never started.
 func (j *Job) leaveQueue(outcome Outcome) {
 	j.host.changeState(func() { j.host.waiting-- })
 	j.host.ledger.update(j.entryIndex, func(e *Entry) {
@@ -153,7 +161,8 @@
 	})
 }
 
-// start marks the job as running; a marked body then takes the host down.
+// start records that the job runs. If the body contains the crash marker, it
+// then crashes the host.
 func (j *Job) start() {
 	j.host.ledger.update(j.entryIndex, func(e *Entry) {
 		e.Started = j.host.opts.Now()
@@ -169,8 +178,8 @@
 	}
 }
 
-// end frees the slot last, so that no load report shows more requests running
-// than there are slots.
+// end records the end of the job and frees the slot last, so that no load
+// report shows more running requests than slots.
 func (j *Job) end(err error) {
 	j.host.changeState(func() { j.host.running-- })
 	j.host.ledger.update(j.entryIndex, func(e *Entry) {
@@ -180,7 +189,8 @@
 	j.host.slots.Release(1)
 }
 
-// outcomeOf tells a crash from a caller that left: a crash cancels both.
+// outcomeOf returns the outcome of the job's work. It checks for a crash before
+// it assumes that the caller left, as both cancel the job's context.
 func (j *Job) outcomeOf(err error) Outcome {
 	switch {
 	case err == nil:
@@ -194,11 +204,11 @@
 	}
 }
 
-// Sleep spends working time; it ends early if the caller leaves or the host
+// Sleep simulates working time. It ends early if the caller leaves or the host
 // crashes.
 func (j *Job) Sleep(d time.Duration) error { return j.host.Sleep(j.ctx, d) }
 
-// AddUnits counts units of work done.
+// AddUnits adds to the units of work that the ledger records for the job.
 func (j *Job) AddUnits(units int) {
 	j.host.ledger.update(j.entryIndex, func(e *Entry) { e.Units += units })
 }
@@ -206,11 +216,11 @@
 // Host returns the host that runs the job.
 func (j *Job) Host() *Host { return j.host }
 
-// Boot names the run of the host that received the job.
+// Boot returns the Boot of the run that received the job.
 func (j *Job) Boot() string { return j.host.ledger.entry(j.entryIndex).Boot }
 
-// AnswerEntry returns the entry whose answer the caller is given: the job's own
-// unless a fault crosses answers.
+// AnswerEntry returns the ledger entry whose answer the caller receives: the
+// job's own, unless a fault crosses answers.
 func (j *Job) AnswerEntry() Entry {
 	if j.answerIndex < 0 {
 		return Entry{Attempt: "nobody.0.0", Digest: Digest(nil)}
@@ -218,7 +228,7 @@
 	return j.host.ledger.entry(j.answerIndex)
 }
 
-// WriteAnswer writes a whole JSON answer, or half of it if the job is cut.
+// WriteAnswer writes a JSON answer, or its first half if TruncateAnswer is set.
 func (j *Job) WriteAnswer(w http.ResponseWriter, answer any) error {
 	text, err := json.Marshal(answer)
 	if err != nil {
@@ -237,7 +247,7 @@
 	return ErrTruncated
 }
 
-// WriteJSON writes a JSON answer with a status.
+// WriteJSON writes a JSON answer with the given status.
 func WriteJSON(w http.ResponseWriter, status int, answer any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/standin/upstream/serve.go
+++ b/standin/upstream/serve.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// readHeaderTimeout closes connections that never send a request.
+// readHeaderTimeout is how long a connection may take to send a request's
+// header before it is closed.
 const readHeaderTimeout = 10 * time.Second
 
-// Serve serves a handler on a TCP address until stop is called. Stop cuts off
-// what is in progress.
+// Serve serves a handler on a TCP address until stop is called. Stopping closes
+// the connections of requests in progress.
 func Serve(addr string, handler http.Handler) (baseURL string, stop func(), err error) {
 	s, err := startRestartableServer(addr, handler)
 	if err != nil {
@@ -20,8 +21,8 @@
 	return s.baseURL(), s.close, nil
 }
 
-// restartableServer is a listening server that can be shut and opened again on the same
-// address, as that of a process that crashes and comes back.
+// restartableServer is an HTTP server that can be closed and can listen again
+// on the same address, like a process that crashes and restarts.
 type restartableServer struct {
 	addr    string
 	handler http.Handler
@@ -37,7 +38,7 @@
 
 func (s *restartableServer) baseURL() string { return "http://" + s.addr }
 
-// listen listens again; an open door stays as it is.
+// listen starts listening; it does nothing if the server is already listening.
 func (s *restartableServer) listen() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
