--- a/standin/engine/completion.go
+++ b/standin/engine/completion.go
@@ -11,17 +11,18 @@
 	"github.com/figstile/figstile/state"
 )
 
-// HeaderTokens sets the output length, as the field figstile_tokens does; it
-// stands for what the model happens to write, which max_tokens bounds.
+// HeaderTokens is the request header that sets the number of tokens that the
+// model would generate if max_tokens didn't limit it. It overrides the body's
+// field figstile_tokens.
 const HeaderTokens = "Figstile-Tokens"
 
-// message is one turn of the chat.
+// message is one message of the chat.
 type message struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// request is the body of a chat completion.
+// request is the body of a request for a chat completion.
 type request struct {
 	Model     state.Model `json:"model"`
 	Messages  []message   `json:"messages"`
@@ -37,7 +38,8 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// choice is the one answer of a completion; streams fill Delta.
+// choice is the only answer of a completion. Complete answers set Message,
+// chunks of a stream set Delta.
 type choice struct {
 	Index        int      `json:"index"`
 	Message      *message `json:"message,omitempty"`
@@ -45,7 +47,7 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// completion is a whole answer or one chunk of a stream.
+// completion is a complete answer or one chunk of a stream.
 type completion struct {
 	ID      string      `json:"id"`
 	Object  string      `json:"object"`
@@ -54,14 +56,16 @@
 	Usage   *Usage      `json:"usage,omitempty"`
 }
 
-// bytesPerToken is the usual rough size of a token.
+// bytesPerToken is the approximate size of a token in bytes.
 const bytesPerToken = 4
 
-// Token returns token i of the answer to a body with this digest, so that a
-// reader can tell whose answer it holds.
+// Token returns the token with index i of the answer to a request whose body
+// has the given digest. The digest in the token shows a reader which request
+// the answer belongs to.
 func Token(digest string, i int) string { return fmt.Sprintf("%.8s-%d ", digest, i) }
 
-// AnswerText returns the whole answer to a body with this digest.
+// AnswerText returns the complete text of the answer to a request whose body
+// has the given digest.
 func AnswerText(digest string, tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
@@ -70,7 +74,8 @@
 	return text.String()
 }
 
-// plan reads a chat completion.
+// plan reads a request for a chat completion and rejects it if it is invalid or
+// its model is not loaded.
 func (e *Engine) plan(job *upstream.Job) (upstream.Work, *upstream.Rejection) {
 	var req request
 	if err := json.Unmarshal(job.Body, &req); err != nil {
@@ -87,7 +92,8 @@
 	return g.writeWhole, nil
 }
 
-// outputLength chooses the output length and the reason for stopping there.
+// outputLength returns the number of tokens to generate and the reason for
+// stopping there.
 func (e *Engine) outputLength(req request, header http.Header) (tokens int, finishReason string) {
 	naturalLength := req.Tokens
 	if n, err := strconv.Atoi(header.Get(HeaderTokens)); err == nil {
@@ -103,7 +109,7 @@
 	}
 }
 
-// generation is one completion being written.
+// generation is a completion that is being generated.
 type generation struct {
 	engine       *Engine
 	req          request
@@ -129,7 +135,7 @@
 	}
 }
 
-// writeWhole generates every token and then answers at once.
+// writeWhole generates all tokens and then writes the answer at once.
 func (g generation) writeWhole(w http.ResponseWriter, job *upstream.Job) error {
 	if err := job.Sleep(g.engine.opts.PrefillDelay); err != nil {
 		return err
@@ -149,7 +155,7 @@
 	return job.WriteAnswer(w, answer)
 }
 
-// writeStream sends each token as it is generated.
+// writeStream sends each token as soon as it is generated.
 func (g generation) writeStream(w http.ResponseWriter, job *upstream.Job) error {
 	if err := job.Sleep(g.engine.opts.PrefillDelay); err != nil {
 		return err
@@ -168,7 +174,7 @@
 	return sendDone(w)
 }
 
-// The fixed parts of a stream.
+// The fixed texts of a stream.
 const (
 	streamType  = "text/event-stream"
 	chunkObject = "chat.completion.chunk"
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,5 +1,6 @@
-// Package engine is a stand-in for a model engine: chat completions with
-// continuous batching, a load report that lags, and orders to load models.
+// Package engine is a stand-in for a model engine. It serves chat completions
+// with continuous batching, load reports with a lag, and orders to load and
+// unload models.
 package engine
 
 import (
@@ -9,19 +10,19 @@
 	"github.com/figstile/figstile/standin/upstream"
 )
 
-// Options sets up an Engine.
+// Options configures an Engine.
 type Options struct {
 	upstream.Options
-	// PrefillDelay passes before the first token.
+	// PrefillDelay is the delay before the first token.
 	PrefillDelay time.Duration
-	// TokenDelay passes before each token.
+	// TokenDelay is the delay before each token.
 	TokenDelay time.Duration
-	// DefaultTokens is the output length of a request that names none.
+	// DefaultTokens is the output length of a request that doesn't set one.
 	DefaultTokens int
-	// ChecksFencing makes the engine refuse orders whose fencing number is
-	// lower than one it has seen.
+	// ChecksFencing makes the engine reject orders whose fencing number is
+	// lower than the highest one received.
 	ChecksFencing bool
-	// LoadDelay passes while an order loads a model.
+	// LoadDelay is the time that an order takes to load a model.
 	LoadDelay time.Duration
 }
 
@@ -33,7 +34,7 @@
 	mux    *http.ServeMux
 }
 
-// defaultTokens is the length of a short blurb.
+// defaultTokens is the length of a short text, in tokens.
 const defaultTokens = 16
 
 // New returns an engine.
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -14,7 +14,8 @@
 	"github.com/figstile/figstile/state"
 )
 
-// waitTimeout bounds waits on conditions; no outcome depends on it.
+// waitTimeout limits how long tests wait for a condition; no result depends on
+// its value.
 const waitTimeout = 20 * time.Second
 
 func startEngine(t *testing.T, opts engine.Options) (*engine.Engine, string) {
@@ -71,8 +72,9 @@
 	require.True(t, entry.Started.IsZero())
 }
 
-// A stream breaks off in the middle of an answer. The reader must see a broken
-// connection, for a clean end would pass half an answer off as a whole one.
+// If an engine cuts a stream off, the reader must see a broken connection. With
+// a normal end of the stream it would take the incomplete answer for a complete
+// one.
 func TestTruncatedStreamBreaks(t *testing.T) {
 	_, url := startEngine(t, engine.Options{Options: upstream.Options{Faults: upstream.Faults{TruncateAnswers: 1}}})
 	response := post(t, url+"/v1/chat/completions", `{"stream":true,"max_tokens":4}`)
@@ -83,8 +85,9 @@
 	require.NotContains(t, answer.Text, "-2 ")
 }
 
-// A holder of an old fencing number sends an order after a newer holder has.
-// An engine that checks numbers refuses it; one that ignores them obeys.
+// A former holder of the lease sends an order with a lower fencing number than
+// its successor's. An engine that checks fencing numbers must reject it; others
+// apply it.
 func TestStaleOrder(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		e, url := startEngine(t, engine.Options{ChecksFencing: checks})
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -9,10 +9,10 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Action is what an order asks for.
+// Action is the action that an order requests.
 type Action string
 
-// The actions an engine knows.
+// The actions that an engine supports.
 const (
 	LoadModel   Action = "load_model"
 	UnloadModel Action = "unload_model"
@@ -27,24 +27,24 @@
 	Fencing uint64      `json:"fencing"`
 }
 
-// OrderRecord is a received order and what became of it.
+// OrderRecord is a received order and whether it was applied.
 type OrderRecord struct {
 	Order
 	Applied bool `json:"applied"`
 }
 
-// OrdersAnswer is the body of GET /orders and of an answer to an order.
+// OrdersAnswer is the body of GET /orders and of the answer to an order.
 type OrdersAnswer struct {
 	Models []state.Model `json:"models"`
 	Role   string        `json:"role"`
-	// HighestFencing is the highest number seen; zero if the engine ignores
-	// them.
+	// HighestFencing is the highest fencing number received; zero if the engine
+	// ignores fencing numbers.
 	HighestFencing uint64        `json:"highest_fencing"`
 	Stale          bool          `json:"stale,omitempty"`
 	Orders         []OrderRecord `json:"orders,omitempty"`
 }
 
-// orderLog holds the orders received. It outlives a crash.
+// orderLog holds the orders received. It survives a crash of the engine.
 type orderLog struct {
 	mu             sync.Mutex
 	role           string
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Orders returns what the engine holds and the orders it received.
+// Orders returns the engine's models and role and the orders that it received.
 func (e *Engine) Orders() OrdersAnswer {
 	e.orders.mu.Lock()
 	defer e.orders.mu.Unlock()
--- a/standin/engine/read.go
+++ b/standin/engine/read.go
@@ -12,25 +12,27 @@
 	"github.com/figstile/figstile/standin/upstream"
 )
 
-// ErrIncomplete is returned for an answer that ended before its end.
+// ErrIncomplete is returned for an answer that breaks off before its end.
 var ErrIncomplete = errors.New("engine: answer is not whole")
 
-// ReceivedCompletion is a whole completion as its caller reads it.
+// ReceivedCompletion is a completion as its caller reads it.
 type ReceivedCompletion struct {
-	// Attempt is the id that the engine repeated on the answer.
+	// Attempt is the id of the attempt that the engine repeated in the answer.
 	Attempt      string
 	Text         string
 	FinishReason string
 	Usage        Usage
 }
 
-// BelongsTo reports whether the answer is the whole answer to a body.
+// BelongsTo reports whether the text is the complete answer to a request with
+// the given body.
 func (a ReceivedCompletion) BelongsTo(body []byte) bool {
 	return a.Text == AnswerText(upstream.Digest(body), a.Usage.CompletionTokens)
 }
 
 // Read reads the answer to a chat completion, streamed or not, and closes it. A
-// stream is whole if it has its usage and its end mark.
+// stream is complete if it ends with the end marker; otherwise Read returns
+// ErrIncomplete.
 func Read(response *http.Response) (ReceivedCompletion, error) {
 	defer func() { _ = response.Body.Close() }()
 	answer := ReceivedCompletion{Attempt: response.Header.Get(upstream.HeaderAttempt)}
@@ -68,7 +70,7 @@
 	return errors.Join(ErrIncomplete, events.Err())
 }
 
-// add adds a chunk or a whole completion.
+// add adds the contents of a chunk or of a complete answer.
 func (a *ReceivedCompletion) add(c completion) {
 	if c.Usage != nil {
 		a.Usage = *c.Usage
