--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,5 +1,5 @@
-// Package worker is a stand-in for an application worker: a plain
-// request/response service with a bounded number of threads.
+// Package worker is a stand-in for an application worker: a request/response
+// service with a limited number of threads.
 package worker
 
 import (
@@ -13,35 +13,36 @@
 	"github.com/figstile/figstile/state"
 )
 
-// HeaderBusy sets the busy time in milliseconds, as the field busy_ms does.
+// HeaderBusy is the request header that sets the busy time in milliseconds. It
+// overrides the body's field busy_ms.
 const HeaderBusy = "Figstile-Busy-Ms"
 
-// Options sets up a Worker. Slots is its number of threads.
+// Options configures a Worker. Slots is its number of threads.
 type Options struct {
 	upstream.Options
-	// MinBusy and MaxBusy bound the busy time of a request; MaxBusy is
+	// MinBusy and MaxBusy limit the busy time of a request. MaxBusy is
 	// DefaultMaxBusy if zero.
 	MinBusy time.Duration
 	MaxBusy time.Duration
 }
 
-// DefaultMaxBusy keeps a mistaken request from holding a thread for ever.
+// DefaultMaxBusy keeps a wrong request from occupying a thread forever.
 const DefaultMaxBusy = time.Minute
 
-// Worker answers any path that is not one of the upstream's own.
+// Worker answers requests on any path except the control paths of the upstream.
 type Worker struct {
 	*upstream.Host
 	opts Options
 	mux  *http.ServeMux
 }
 
-// request is the part of a body that the worker reads.
+// request holds the part of a body that the worker reads.
 type request struct {
 	BusyMs int64 `json:"busy_ms"`
 }
 
-// Answer is the worker's answer. Attempt and Digest name the request it
-// belongs to.
+// Answer is the body of the worker's answer. Attempt and Digest identify the
+// request that it belongs to.
 type Answer struct {
 	Upstream state.Upstream `json:"upstream"`
 	Boot     string         `json:"boot"`
@@ -87,7 +88,8 @@
 	}, nil
 }
 
-// busyTime reads the busy time of a request. Bodies need not be JSON.
+// busyTime returns the busy time that a request asks for, within the limits. A
+// body need not be JSON.
 func (w *Worker) busyTime(job *upstream.Job) time.Duration {
 	var req request
 	if json.Unmarshal(job.Body, &req) != nil {
@@ -100,7 +102,8 @@
 	return min(max(busy, w.opts.MinBusy), w.opts.MaxBusy)
 }
 
-// Read reads a worker's whole answer and closes it. A refusal is a StatusError.
+// Read reads a worker's complete answer and closes it. For a rejection it
+// returns a StatusError.
 func Read(response *http.Response) (Answer, error) {
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
@@ -115,8 +118,8 @@
 	return answer, err
 }
 
-// StatusError is the HTTP status of a refusal.
+// StatusError is the HTTP status of a rejection.
 type StatusError int
 
-// Error names the status.
+// Error returns the text of the status.
 func (e StatusError) Error() string { return "worker: " + http.StatusText(int(e)) }
--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -14,11 +14,12 @@
 	"github.com/figstile/figstile/standin/worker"
 )
 
-// waitTimeout bounds waits on conditions; no outcome depends on it.
+// waitTimeout limits how long tests wait for a condition; no result depends on
+// its value.
 const waitTimeout = 20 * time.Second
 
-// testWorker is a worker whose requests stay busy until the gate opens, and whose
-// clock moves one second at each look.
+// testWorker is a worker whose requests stay busy until release is closed, and
+// whose clock advances one second at each reading.
 type testWorker struct {
 	*worker.Worker
 	t       *testing.T
@@ -48,7 +49,7 @@
 	return w
 }
 
-// reply is what a caller got.
+// reply is the result that a caller received.
 type reply struct {
 	answer worker.Answer
 	err    error
@@ -71,7 +72,7 @@
 	return reply{answer: answer, err: err}
 }
 
-// awaitLoad returns once the worker's load is as given.
+// awaitLoad waits until the worker's load report shows the given numbers.
 func (w *testWorker) awaitLoad(running, waiting int) {
 	w.t.Helper()
 	require.Eventually(w.t, func() bool {
@@ -113,8 +114,9 @@
 	}
 }
 
-// A caller hangs up while its request waits, and another while its request
-// runs. Both must be counted as cancelled and the waiting one must not run.
+// One caller leaves while its request waits, another while its request runs.
+// Both requests must be recorded as cancelled, and the waiting one must not
+// run.
 func TestLeavingCallersAreCancelled(t *testing.T) {
 	w := startWorker(t, worker.Options{})
 	ctxRunning, cancelRunning := context.WithCancel(t.Context())
@@ -135,8 +137,8 @@
 	require.Zero(t, w.Ledger().StartedCount("key-b"))
 }
 
-// One request makes the process crash while another runs beside it. Both
-// callers lose their connections; the worker is back with a new Boot.
+// A request crashes the process while another one runs. Both callers must lose
+// their connections, and the worker must restart with a new Boot.
 func TestMarkedRequestCrashesTheWorker(t *testing.T) {
 	w := startWorker(t, worker.Options{Options: upstream.Options{Slots: 2, Faults: upstream.Faults{CrashMarker: "poison"}}})
 	boot := w.Load().Boot
@@ -153,8 +155,9 @@
 	require.Equal(t, w.Load().Boot, r.answer.Boot)
 }
 
-// A request with an idempotency key goes out on a kept connection and crashes
-// the worker. The transport would send such a request again on its own.
+// A request with an idempotency key goes out on a reused connection and crashes
+// the worker. By default http.Transport would send such a request again by
+// itself.
 func TestCallIsSentOnce(t *testing.T) {
 	w := startWorker(t, worker.Options{Options: upstream.Options{Faults: upstream.Faults{CrashMarker: "poison"}}})
 	close(w.release)
@@ -173,8 +176,9 @@
 	require.NoError(t, (<-w.send(t.Context(), "b", `{}`)).err)
 }
 
-// Two requests follow each other and the second caller is handed the first
-// one's answer, whole and well formed. Only its attempt id gives it away.
+// The second of two callers receives the answer to the first one's request,
+// complete and well formed. The answer's attempt id must show that it belongs
+// to the other.
 func TestCrossedAnswerNamesTheOtherAttempt(t *testing.T) {
 	w := startWorker(t, worker.Options{})
 	close(w.release)
@@ -196,7 +200,8 @@
 	require.Equal(t, upstream.Rejected, w.outcome(1))
 }
 
-// The development fleet steers a worker from another process.
+// The development fleet controls a worker from another process, so the control
+// paths must work over HTTP.
 func TestControlOverHTTP(t *testing.T) {
 	w := startWorker(t, worker.Options{Options: upstream.Options{Faults: upstream.Faults{StayDown: true}}})
 	control := func(method, path, body string) (int, string) {
@@ -217,8 +222,8 @@
 	}
 }
 
-// Load reports come with a lag, so a worker that asks for no new work is
-// believed to be in service a little longer.
+// Load reports are read with a lag, so a worker that is draining still appears
+// to be in service for that time.
 func TestLoadReportLags(t *testing.T) {
 	w := startWorker(t, worker.Options{Options: upstream.Options{LoadLag: 30 * time.Second}})
 	w.SetDraining(true)
