--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -1,6 +1,6 @@
-// Package server is a stand-in of an engine or application worker of the users'
-// platform. It runs some requests at a time, queues as many more, rejects the
-// rest, and keeps a ledger of what it ran.
+// Package server is a stand-in for an engine or application worker of the
+// users' platform. It runs a limited number of requests at a time, queues as
+// many more, rejects the rest and keeps a ledger of the requests that it ran.
 package server
 
 import (
@@ -14,36 +14,40 @@
 	"github.com/figstile/figstile/state"
 )
 
-// Options set up a Server.
+// Options configures a Server.
 type Options struct {
 	ID state.Upstream
-	// Slots is how many requests run at a time.
+	// Slots is the maximum number of requests that run at a time.
 	Slots int
-	// AnswerDelay passes before an answer, or before the first event of a stream.
+	// AnswerDelay is the delay before an answer, or before the first event of a
+	// stream.
 	AnswerDelay time.Duration
-	// EventCount is the length of a stream; zero answers with a page.
+	// EventCount is the number of events of a stream. If it is zero, the server
+	// sends a plain answer instead of a stream.
 	EventCount int
-	// EventInterval passes between two events.
+	// EventInterval is the delay between two events.
 	EventInterval time.Duration
 }
 
-// HeldPathPrefix begins the paths of streams that go on until their caller leaves.
+// HeldPathPrefix is the prefix of the paths whose streams continue until their
+// caller leaves.
 const HeldPathPrefix = "/held/"
 
-// maxHeldDuration ends a held stream that nobody cuts off, so that a test of a router
-// that forgets one ends.
+// maxHeldDuration ends a held stream whose connection stays open, so that a
+// test ends even if a router fails to close the connection to the upstream.
 const maxHeldDuration = 20 * time.Second
 
-// Run is one request that a server ran.
+// Run records one request that a server ran.
 type Run struct {
 	Attempt   string
 	Workspace state.Workspace
 	StartedAt time.Time
-	// Complete is set if the answer was sent to its end, Ended once it is over.
+	// Complete is set if the answer was sent to its end. Ended is set when the
+	// request is over.
 	Complete, Ended bool
 }
 
-// Server is an http.Handler.
+// Server runs requests as an http.Handler and records them.
 type Server struct {
 	Options
 	slots    chan struct{}
@@ -51,7 +55,7 @@
 
 	mu   sync.Mutex
 	runs []*Run
-	// receivedCallerKey is set if a caller's key arrived.
+	// receivedCallerKey is set if a request contained a caller's key.
 	receivedCallerKey bool
 }
 
@@ -75,17 +79,19 @@
 	return runs
 }
 
-// ReceivedCallerKey says whether a caller's key arrived.
+// ReceivedCallerKey reports whether any request contained a caller's key, which
+// routers must not pass on.
 func (s *Server) ReceivedCallerKey() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.receivedCallerKey
 }
 
-// AnswerBody is the answer to an attempt, and Event an event of its stream.
+// AnswerBody returns the body of the plain answer to an attempt.
 func AnswerBody(attempt string) string { return "page of " + attempt }
 
-// EventText is the text of an event of an attempt's stream, counted from 1.
+// EventText returns the text of an event of an attempt's stream. Events are
+// counted from 1.
 func EventText(attempt string, n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s %d\n\n", n, attempt, n)
 }
@@ -128,7 +134,7 @@
 	return run
 }
 
-// writeAnswer says whether the whole answer was sent.
+// writeAnswer reports whether the complete answer was sent.
 func (s *Server) writeAnswer(w http.ResponseWriter, r *http.Request, attempt string) bool {
 	if !s.wait(r, s.AnswerDelay) {
 		return false
@@ -153,7 +159,7 @@
 	return true
 }
 
-// wait waits unless the connection is cut off.
+// wait waits for a duration and reports whether the connection stayed open.
 func (s *Server) wait(r *http.Request, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
