--- a/devfleet/edge.go
+++ b/devfleet/edge.go
@@ -23,21 +23,23 @@
 	"github.com/figstile/figstile/transport/pause"
 )
 
-// The fleet on the users' platform: as many routers and upstreams as show how
-// they work together, on one machine.
+// The size of the fleet on the users' platform. It has enough routers and
+// upstreams to show how they work together on one machine.
 const (
 	edgeRouters     = 4
 	edgeEngines     = 3
 	edgeWorkers     = 2
 	edgeEngineSlots = 4
 	edgeWorkerSlots = 4
-	// edgeThroughput is what two stand-in engines do, as the third leaves: four
-	// streams each at a time, of a third of a second and 300 cost units.
+	// edgeThroughput is the throughput limit of the configuration, in cost
+	// units per second: the throughput of two stand-in engines, as the third
+	// one leaves during the trial. Each engine runs four streams at a time, and
+	// a stream takes a third of a second and costs 300 cost units.
 	edgeThroughput  = 7000
 	edgeGracePeriod = 5 * time.Second
 )
 
-// Services and routes of the sample.
+// Services and routes of the sample configuration.
 const (
 	edgeHost    = "fleet.example"
 	edgeDrafts  = state.Service("drafts")
@@ -58,7 +60,7 @@
 	closers []io.Closer
 }
 
-// edgeServer is an upstream with its entry.
+// edgeServer is a stand-in upstream and its entry in the store.
 type edgeServer struct {
 	*server.Server
 	entry directory.Upstream
@@ -176,7 +178,7 @@
 	return nil
 }
 
-// freeAddresses returns different loopback addresses that are free now.
+// freeAddresses returns n different loopback addresses that are free now.
 func freeAddresses(n int) ([]string, error) {
 	var addresses []string
 	for range n {
@@ -184,7 +186,8 @@
 		if err != nil {
 			return nil, err
 		}
-		// Held until the last is known: one that is let go may come again.
+		// All listeners stay open until the last address is known, because the
+		// system may assign the address of a closed one again.
 		defer func() { _ = listener.Close() }()
 		addresses = append(addresses, listener.Addr().String())
 	}
@@ -215,7 +218,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Stop ends the stand-ins, and the routers as a planned stop does.
+// Stop stops the stand-ins, and the routers as in a planned stop.
 func (f *EdgeFleet) Stop() error {
 	f.cancel()
 	f.store.SetUnavailable(true)
@@ -225,7 +228,7 @@
 	return f.group.Wait()
 }
 
-// edgeConfig is the sample's configuration.
+// edgeConfig returns the sample configuration.
 func edgeConfig() routing.Config {
 	route := func(name, prefix string, kind routing.Kind, service state.Service) routing.Route {
 		return routing.Route{
@@ -254,8 +257,8 @@
 	return config
 }
 
-// Workspaces with a part of their own in the trial: one floods, the key of the
-// other is taken away.
+// Workspaces with a special role in the trial: floodWorkspace floods the fleet,
+// and the key of revokedWorkspace is revoked.
 const (
 	floodWorkspace   = state.Workspace("flood")
 	revokedWorkspace = state.Workspace("former")
@@ -263,7 +266,8 @@
 
 func edgeKey(ws state.Workspace) string { return "key-of-" + string(ws) }
 
-// WriteAddresses prints where everything is, with a request that works.
+// WriteAddresses prints the addresses of the routers and a curl command for a
+// request that succeeds.
 func (f *EdgeFleet) WriteAddresses(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tw, "ROUTER\tDATA CENTRE\tCALLERS\tREADY\n")
--- a/devfleet/edge_promises.go
+++ b/devfleet/edge_promises.go
@@ -7,11 +7,12 @@
 	"github.com/figstile/figstile/standin/server"
 )
 
-// revokeTimeout is how long a key that was taken away may still be used.
+// revokeTimeout is how long a revoked key may still be accepted after the
+// change.
 const revokeTimeout = 4 * time.Second
 
-// verdicts checks every promise. One that the run gave no occasion to break counts
-// as broken.
+// verdicts checks every promise. A promise that the run could not have broken
+// counts as broken.
 func (e edgeEvidence) verdicts() []Verdict {
 	return []Verdict{
 		e.checkOwnAnswers(),
@@ -56,7 +57,7 @@
 	return heldVerdict(promise, "%d calls", len(e.records))
 }
 
-// runCounts counts the runs of each attempt.
+// runCounts counts the runs of each attempt over all upstreams.
 func (e edgeEvidence) runCounts() map[string]int {
 	counts := make(map[string]int)
 	for _, runs := range e.runs {
@@ -157,8 +158,9 @@
 	return heldVerdict(promise, "%d callers left", len(abandoned))
 }
 
-// checkStarvation looks at calls for the flood's sake: a workspace that asks for
-// little is served no less often than the one that floods.
+// checkStarvation checks that every workspace outside the flood had at least
+// minServedFraction of its calls served. The flood itself must not have had all
+// of its calls served, because the fleet was then not overloaded.
 func (e edgeEvidence) checkStarvation() Verdict {
 	const promise = "nobody starves beside a flood"
 	asked, served := countByWorkspace(e.records)
--- a/devfleet/edge_promises_test.go
+++ b/devfleet/edge_promises_test.go
@@ -47,11 +47,11 @@
 
 func TestValidEdgeEvidencePasses(t *testing.T) {
 	require.Empty(t, failedEdgePromises(validEdgeEvidence()))
-	require.Len(t, failedEdgePromises(edgeEvidence{}), 7, "silence shows nothing; that no call broke off is all there is")
+	require.Len(t, failedEdgePromises(edgeEvidence{}), 7, "empty evidence satisfies only the promise that every caller got an answer")
 }
 
-// A broken promise must not pass unseen: each case breaks one thing in sound
-// evidence, and exactly the promise concerned must fail.
+// Each case breaks one promise in evidence that is otherwise valid. The check
+// of exactly that promise must fail, or the trial would not detect it.
 func TestEachEdgeCheckFails(t *testing.T) {
 	cases := map[string]struct {
 		change  func(e *edgeEvidence)
--- a/devfleet/edge_trial.go
+++ b/devfleet/edge_trial.go
@@ -21,24 +21,28 @@
 )
 
 const (
-	// callersPerWorkspace and floodCallers send at the same time for a workspace; a
-	// usual caller pauses after each answer.
+	// callersPerWorkspace and floodCallers are the numbers of concurrent
+	// callers per workspace. A caller outside the flood pauses after each
+	// answer.
 	callersPerWorkspace = 3
 	floodCallers        = 24
 	callerPause         = 60 * time.Millisecond
 	callDeadline        = 8 * time.Second
-	// uniquePromptTokens is a prompt's own part; the shared one is one of a few.
+	// uniquePromptTokens is the size of the part of a prompt that no other
+	// prompt has. The other part is one of sharedPromptCount shared ones of
+	// sharedPromptTokens each.
 	uniquePromptTokens = 280
 	sharedPromptTokens = 200
 	sharedPromptCount  = 5
 	draftOutputTokens  = 10
-	// storeOutage is how long the store is away in the middle of the trial.
+	// storeOutage is how long the store is unavailable in the middle of the
+	// trial.
 	storeOutage = time.Second
-	// settleTimeout bounds the wait for runs whose callers left.
+	// settleTimeout limits the wait for the end of runs whose callers left.
 	settleTimeout = 10 * time.Second
 )
 
-// edgeRecord is what came of one call.
+// edgeRecord is the result of one call.
 type edgeRecord struct {
 	workspace state.Workspace
 	path      string
@@ -47,36 +51,40 @@
 	startedAt time.Time
 	duration  time.Duration
 	status    int
-	// ownAnswer is set if the answer is whole and the attempt's own.
+	// ownAnswer is set if the answer is complete and belongs to the attempt.
+	// For a call to a held stream, whose caller leaves, only the first event is
+	// compared.
 	ownAnswer bool
-	// callerLeft is set if the caller left before the end.
+	// callerLeft is set if the caller left before the end of the answer.
 	callerLeft bool
 	failure    string
 }
 
-// EdgeTrial is a load on an EdgeFleet and what came of it.
+// EdgeTrial is the result of a load on an EdgeFleet.
 type EdgeTrial struct {
 	Records  []edgeRecord `json:"-"`
 	Verdicts []Verdict
 }
 
-// Held tells whether every promise held.
+// Held reports whether every promise held.
 func (t EdgeTrial) Held() bool { return allHeld(t.Verdicts) }
 
-// edgeEvidence is what the promises are checked on.
+// edgeEvidence is the data that the promises are checked on.
 type edgeEvidence struct {
 	records   []edgeRecord
 	runs      map[state.Upstream][]server.Run
 	keyLeaked bool
-	// leavingUpstream left at leftAt, the key of a workspace went at revokedAt.
+	// leavingUpstream started to leave at leavingSince; the key of
+	// revokedWorkspace was revoked at revokedAt.
 	leavingUpstream state.Upstream
 	leavingSince    time.Time
 	revokedAt       time.Time
 }
 
-// RunTrial sends a load for a while: one workspace floods the others. Meanwhile an
-// engine leaves, a workspace's key is taken away, and the store is away for a
-// second. Then every promise is checked.
+// RunTrial sends a load for the given length of time, in which one workspace
+// floods the fleet. Meanwhile an engine leaves, the key of a workspace is
+// revoked, and the store is unavailable for a second. Then every promise is
+// checked.
 func (f *EdgeFleet) RunTrial(ctx context.Context, length time.Duration) (EdgeTrial, error) {
 	ctx, cancel := context.WithTimeout(ctx, length+callDeadline+settleTimeout)
 	defer cancel()
@@ -106,7 +114,8 @@
 	return EdgeTrial{Records: load.records, Verdicts: evidence.verdicts()}, nil
 }
 
-// injectFaults changes what the routers know while the load runs.
+// injectFaults makes an engine leave, revokes a key and makes the store
+// unavailable while the load runs.
 func (f *EdgeFleet) injectFaults(ctx context.Context, length time.Duration, evidence *edgeEvidence) error {
 	if err := pause.For(ctx, length/8); err != nil {
 		return err
@@ -131,7 +140,8 @@
 	return pause.For(ctx, storeOutage)
 }
 
-// awaitRunsEnded waits until no run is under way.
+// awaitRunsEnded waits until no run is in progress, or until settleTimeout has
+// passed.
 func (f *EdgeFleet) awaitRunsEnded(ctx context.Context) {
 	until := time.Now().Add(settleTimeout)
 	for time.Now().Before(until) && f.runningCount() > 0 && pause.For(ctx, readyInterval) == nil {
@@ -150,7 +160,7 @@
 	return n
 }
 
-// edgeLoad sends calls and keeps what came of them.
+// edgeLoad sends calls and records their results.
 type edgeLoad struct {
 	fleet       *EdgeFleet
 	lastAttempt atomic.Int64
@@ -173,7 +183,7 @@
 	}
 }
 
-// call makes one call of a drawn class through a drawn router.
+// call makes one call to a random path through a random router.
 func (l *edgeLoad) call(ctx context.Context, ws state.Workspace) edgeRecord {
 	router := l.fleet.routers[rand.IntN(len(l.fleet.routers))]
 	paths := []string{draftsPath, draftsPath, publishPath, mapsPath, server.HeldPathPrefix}
@@ -211,7 +221,8 @@
 	return call
 }
 
-// readAnswer reads an answer; a held stream is left after its first event.
+// readAnswer reads an answer. The caller of a held stream leaves after the
+// first event.
 func (r *edgeRecord) readAnswer(response *http.Response) {
 	signed := platform.Signature(response.Header) != ""
 	if r.path == server.HeldPathPrefix && response.StatusCode == http.StatusOK {
@@ -242,12 +253,12 @@
 
 func (r *edgeRecord) served() bool { return r.status == http.StatusOK && r.failure == "" }
 
-// notRun says whether the answer promised that the attempt has not run.
+// notRun reports whether the answer states that the attempt has not run.
 func (r *edgeRecord) notRun() bool {
 	return r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable
 }
 
-// WriteText prints the figures and one line for each promise.
+// WriteText prints the calls per workspace and one line for each promise.
 func (t EdgeTrial) WriteText(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(tw, "WORKSPACE\tASKED\tSERVED\tREFUSED\n")
--- a/devfleet/fleet.go
+++ b/devfleet/fleet.go
@@ -22,14 +22,15 @@
 	"github.com/figstile/figstile/transport/objectstore"
 )
 
-// Options set up a Fleet.
+// Options configures a Fleet.
 type Options struct {
 	Sample Sample
-	// EngineSlots and WorkerSlots are each upstream's; zero takes the
-	// defaults.
+	// EngineSlots and WorkerSlots are the slots of each engine and of each
+	// worker. Zero selects the defaults.
 	EngineSlots int
 	WorkerSlots int
-	// TokenDelay passes before each token; DefaultTokenDelay if zero.
+	// TokenDelay is the delay of an engine before each token; DefaultTokenDelay
+	// if zero.
 	TokenDelay time.Duration
 	// WithoutRouters starts the stand-ins only.
 	WithoutRouters bool
@@ -40,19 +41,20 @@
 const (
 	DefaultEngineSlots = 8
 	DefaultWorkerSlots = 8
-	// DefaultTokenDelay is the pace of a usual engine in a full batch.
+	// DefaultTokenDelay is the time per token of a typical engine whose batch
+	// is full.
 	DefaultTokenDelay = 25 * time.Millisecond
 )
 
 const (
-	// prefillDelay is the time to read a short prompt.
+	// prefillDelay is the time that an engine takes to prefill a short prompt.
 	prefillDelay = 10 * time.Millisecond
-	// loadLag is how old the stand-ins' load reports are.
+	// loadLag is the minimum age of the stand-ins' load reports.
 	loadLag = 100 * time.Millisecond
-	// drainTimeout ends a stop that waits for long answers.
+	// drainTimeout limits how long a stopping router waits for long answers.
 	drainTimeout = 10 * time.Second
-	// maxConnections and maxHeaderBytes and the queues are the daemon's own
-	// defaults, which its command line would fill in.
+	// maxConnections, maxHeaderBytes, maxQueued and maxQueuedBytes are the
+	// defaults of the daemon's flags, which apply only on its command line.
 	maxConnections = 20000
 	maxHeaderBytes = 32 << 10
 	maxQueued      = 50000
@@ -81,8 +83,8 @@
 	cancel    context.CancelFunc
 }
 
-// Start runs the stand-ins and routers and waits until every router has its
-// settings and sees the others.
+// Start starts the stand-ins and the routers. It waits until every router has
+// its settings and is connected to the others.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	f := &Fleet{
 		options:   options.withDefaults(),
@@ -146,7 +148,7 @@
 	return nil
 }
 
-// standIn is what engines and workers have in common.
+// standIn holds the methods that the stand-ins of engines and of workers share.
 type standIn interface {
 	Start(addr string) (baseURL string, stop func(), err error)
 	Ledger() *upstream.Ledger
@@ -189,8 +191,8 @@
 	return all[i%len(all)]
 }
 
-// configure writes the settings straight to the platform, as the first ones
-// must be.
+// configure writes the settings directly to the platform, as the first settings
+// can't be written through a router.
 func (f *Fleet) configure(ctx context.Context) error {
 	sample := f.options.Sample
 	for _, team := range sample.Teams {
@@ -249,11 +251,13 @@
 	return options
 }
 
-// readyInterval is the period of looks at a fleet that starts.
+// readyInterval is the interval between checks of whether a starting fleet is
+// ready.
 const readyInterval = 50 * time.Millisecond
 
-// awaitReady waits until each router has settings, sees all others and is
-// granted slots by somebody: before that it would refuse.
+// awaitReady waits until each router has settings and sees all others, and
+// until every upstream has an owner with a fresh load report. Before that,
+// routers would refuse requests.
 func (f *Fleet) awaitReady(ctx context.Context) error {
 	ticker := time.NewTicker(readyInterval)
 	defer ticker.Stop()
@@ -283,7 +287,7 @@
 	return usable == engineCount+workerCount
 }
 
-// Stop drains the routers and ends the stand-ins.
+// Stop drains the routers and stops the stand-ins.
 func (f *Fleet) Stop() {
 	if f.cancel != nil {
 		f.cancel()
@@ -294,7 +298,7 @@
 	}
 }
 
-// Describe tells a load generator where the fleet is.
+// Describe returns the fleet's addresses for a load generator.
 func (f *Fleet) Describe() loadgen.Fleet {
 	description := loadgen.Fleet{StatusToken: OperatorToken}
 	for i, router := range f.Routers {
@@ -313,7 +317,7 @@
 	return description
 }
 
-// Entries returns what every upstream received.
+// Entries returns the requests that each upstream received.
 func (f *Fleet) Entries() map[state.Upstream][]upstream.Entry {
 	entries := make(map[state.Upstream][]upstream.Entry, len(f.ledgers))
 	for name, ledger := range f.ledgers {
@@ -322,7 +326,7 @@
 	return entries
 }
 
-// adminURL is a path of one router's administration listener.
+// adminURL returns the URL of a path on the admin listener of one router.
 func (f *Fleet) adminURL(i int, path string) string {
 	return "http://" + f.Routers[i].Addresses().Admin + path
 }
--- a/devfleet/fleet_test.go
+++ b/devfleet/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/figstile/figstile/state"
 )
 
-// waitTimeout ends a start that never succeeds; no outcome depends on it.
+// waitTimeout ends a start that never succeeds; no result depends on its value.
 const waitTimeout = time.Minute
 
 func TestUnknownSample(t *testing.T) {
@@ -29,8 +29,8 @@
 	}
 }
 
-// A second of load goes through a whole fleet. What is checked depends on no
-// speed: answers are their callers' own and keys run once.
+// Sends one second of load through a whole fleet. The checks don't depend on
+// speed: callers receive their own answers, and requests with a key run once.
 func TestFleetServes(t *testing.T) {
 	sample, err := SampleByName("aravena")
 	require.NoError(t, err)
--- a/devfleet/once.go
+++ b/devfleet/once.go
@@ -17,17 +17,17 @@
 	"github.com/figstile/figstile/transport/pause"
 )
 
-// Trial is a load on a fleet and what came of it.
+// Trial is the result of a load on a fleet.
 type Trial struct {
 	Result   *loadgen.Result
 	Verdicts []Verdict
 }
 
-// Held tells whether every promise held.
+// Held reports whether every promise held.
 func (t Trial) Held() bool { return allHeld(t.Verdicts) }
 
 // RunTrial sends a load. Meanwhile an engine leaves for a while and an operator
-// changes the settings; then every promise is checked.
+// changes the settings. Then every promise is checked.
 func (f *Fleet) RunTrial(ctx context.Context, w loadgen.Workload) (Trial, error) {
 	evidence := Evidence{ServiceOf: f.services, Repeatable: map[state.Service]bool{f.options.Sample.Engines: true}}
 	duration := time.Duration(w.Seconds * float64(time.Second))
@@ -47,13 +47,15 @@
 	return Trial{Result: res, Verdicts: evidence.Check()}, nil
 }
 
-// The parts of the run after which an engine leaves and settings change.
+// leaveDivisor and changeDivisor divide the length of the run. An engine leaves
+// after a quarter of the run and the settings change after a third.
 const (
 	leaveDivisor  = 4
 	changeDivisor = 3
 )
 
-// drainFirstEngine has the first engine ask for no new work until the end.
+// drainFirstEngine makes the first engine ask for no new work between two
+// times, both counted from the start of the run.
 func (f *Fleet) drainFirstEngine(ctx context.Context, from, to time.Duration) Leaving {
 	if pause.For(ctx, from) != nil {
 		return Leaving{}
@@ -66,8 +68,8 @@
 	return leaving
 }
 
-// newTeam is created during the run. A team without workspaces takes nothing
-// from the others, so that the shares of the run stay as they are.
+// newTeam is the team created during the run. It has no workspaces and so takes
+// nothing from the other teams; the shares of the run stay the same.
 const newTeam = "visitas"
 
 func (f *Fleet) changeSettings(ctx context.Context, after time.Duration) Change {
--- a/devfleet/print.go
+++ b/devfleet/print.go
@@ -6,7 +6,8 @@
 	"text/tabwriter"
 )
 
-// WriteAddresses prints where everything is, with a request that works.
+// WriteAddresses prints the addresses of the fleet and a curl command for a
+// request that succeeds.
 func (f *Fleet) WriteAddresses(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	sample := f.options.Sample
@@ -38,7 +39,7 @@
 		"  http://%s/%s/v1/chat/completions", Token(workspace), f.Routers[seedRouter].Addresses().Callers, sample.Engines)
 }
 
-// WriteText prints the figures and one line for each promise.
+// WriteText prints the metrics of the load and one line for each promise.
 func (t Trial) WriteText(w io.Writer) error {
 	if err := t.Result.WriteText(w); err != nil {
 		return err
--- a/devfleet/promises.go
+++ b/devfleet/promises.go
@@ -10,65 +10,73 @@
 	"github.com/figstile/figstile/state/result"
 )
 
-// Evidence is all that the promises are checked on.
+// Evidence is the data that the promises are checked on.
 type Evidence struct {
 	Records []loadgen.Record
 	Ledgers map[state.Upstream][]upstream.Entry
-	// ServiceOf tells whose upstream each is.
+	// ServiceOf maps each upstream to its service.
 	ServiceOf map[state.Upstream]state.Service
-	// Repeatable services may run a request without a key twice.
+	// Repeatable holds the services that may run a request without an
+	// idempotency key more than once.
 	Repeatable     map[state.Service]bool
 	ServiceMetrics []loadgen.Service
 	Leaving        Leaving
 	Change         Change
 }
 
-// Leaving is an upstream that was told to leave during the run.
+// Leaving is an upstream that was drained from one time of the run to another.
 type Leaving struct {
 	Upstream state.Upstream
 	From, To time.Time
 }
 
-// Change is a change of settings made during the run.
+// Change is a change of the settings during the run.
 type Change struct {
 	Key string
-	// WrittenVersion is the version that the operator was told; zero if the change
-	// was not made.
+	// WrittenVersion is the version that the operator received in answer to the
+	// change; zero if the change was not made.
 	WrittenVersion uint64
 	Failure        string
-	// Duration is how long it was until all routers had it.
+	// Duration is the time until all routers had applied the change.
 	Duration time.Duration
-	// FinalVersions are the versions in force at the end of the run.
+	// FinalVersions holds the versions in force on each router at the end of
+	// the run.
 	FinalVersions map[state.Router]map[string]uint64
-	// RevertedRouter names a router that was seen with an older version after a
-	// newer one.
+	// RevertedRouter describes the rollback of a router that reported an older
+	// version after a newer one; empty if no router did.
 	RevertedRouter string
 }
 
-// Verdict is what a check found.
+// Verdict is the result of checking one promise.
 type Verdict struct {
 	Promise string `json:"promise"`
 	Held    bool   `json:"held"`
-	// Checked says what was looked at, or what broke the promise.
+	// Checked describes the data that was checked, or how the promise was
+	// broken.
 	Checked string `json:"checked"`
 }
 
-// Limits of the promises that the deployments state as "a few seconds".
+// Limits of the promises for which the deployments require "a few seconds".
 const (
-	// leaveTimeout is how long a leaving upstream may still get new work.
+	// leaveTimeout is how long a leaving upstream may still receive new work.
 	leaveTimeout = 4 * time.Second
-	// changeTimeout is how long a change may take to be in force everywhere.
+	// changeTimeout is how long a change may take to be in force on all
+	// routers.
 	changeTimeout = 11 * time.Second
-	// minServedFraction is the part of its share below which a workspace that always
-	// waits starves. Sampling and unfinished requests explain less than half.
+	// minServedFraction is the fraction of its share below which a workspace
+	// that always has waiting requests counts as starved. Sampling and
+	// unfinished requests account for a difference of less than half of the
+	// share. EdgeTrial compares it with the fraction of calls that were served.
 	minServedFraction = 0.25
-	// gapReachFraction keeps the fairness check meaningful in a short run, in which
-	// even a fleet that serves only one workspace stays within the bound.
+	// gapReachFraction limits the fairness gap to this fraction of
+	// loadgen.Service.SingleWorkspaceGap, the gap of a fleet that serves only
+	// one workspace. In a short run even such a fleet stays within GapLimit,
+	// which alone would then detect nothing.
 	gapReachFraction = 0.5
 )
 
-// Check checks every promise. One that the run gave no occasion to break
-// counts as broken: silence is no evidence.
+// Check checks every promise. A promise that the run could not have broken
+// counts as broken, as the absence of violations then proves nothing.
 func (e Evidence) Check() []Verdict {
 	verdicts := []Verdict{
 		e.checkOwnAnswers(),
@@ -85,7 +93,8 @@
 	return verdicts
 }
 
-// allHeld tells whether every promise held; no verdict at all shows nothing.
+// allHeld reports whether every promise held. Without any verdict it returns
+// false.
 func allHeld(verdicts []Verdict) bool {
 	for _, v := range verdicts {
 		if !v.Held {
@@ -137,8 +146,8 @@
 	return heldVerdict(promise, "%d requests", len(e.Records))
 }
 
-// checkNotRun looks at bodies all of whose senders were told "not run": a
-// request sent twice may have run for the other sender.
+// checkNotRun considers only bodies for which every caller received "not run".
+// If the same body was sent twice, it may have run for the other caller.
 func (e Evidence) checkNotRun() Verdict {
 	const promise = "what is told not to have run did not run"
 	reportedNotRun := make(map[string]bool)
--- a/devfleet/promises_test.go
+++ b/devfleet/promises_test.go
@@ -51,11 +51,11 @@
 
 func TestValidEvidencePasses(t *testing.T) {
 	require.Empty(t, failedPromises(validEvidence()))
-	require.False(t, Trial{}.Held(), "a trial without checks shows nothing")
+	require.False(t, Trial{}.Held(), "a trial without verdicts must not pass")
 }
 
-// A broken promise must not pass unseen: each case breaks one thing in sound
-// evidence, and exactly the promise concerned must fail.
+// Each case breaks one promise in evidence that is otherwise valid. The check
+// of exactly that promise must fail, or the trial would not detect it.
 func TestEachCheckFails(t *testing.T) {
 	cases := map[string]struct {
 		promise string
--- a/devfleet/sample.go
+++ b/devfleet/sample.go
@@ -1,6 +1,7 @@
-// Package devfleet runs a small fleet on loopback in one process: stand-ins
-// for the platform, engines and workers, and real routers before them. It also
-// sends it a mixed load and checks the fleet's promises on what came of it.
+// Package devfleet runs a small fleet on loopback addresses in one process:
+// real routers with stand-ins for the platform, the engines and the workers. It
+// also sends a mixed load to the fleet and checks on the results that the fleet
+// kept its promises, the guarantees that it gives to callers and operators.
 package devfleet
 
 import (
@@ -11,49 +12,49 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// Sample is a deployment by name.
+// Sample describes a sample deployment.
 type Sample struct {
 	Name        string
 	Engines     state.Service
 	Workers     state.Service
 	DataCentres []state.DataCentre
 	Teams       []Team
-	// Draft, Blurb and Urgent are classes of the engines' work, Page and
-	// Booking of the workers'; a booking may not run twice.
+	// Draft, Blurb and Urgent name the request classes of the engines, Page and
+	// Booking those of the workers. A booking must not run twice.
 	Draft, Blurb, Urgent, Page, Booking string
 }
 
-// Team is a team's share and its workspaces.
+// Team holds the share and the workspaces of a team.
 type Team struct {
 	Name       state.Team
 	Share      float64
 	Workspaces []Workspace
 }
 
-// Workspace is one workspace.
+// Workspace describes one workspace of a sample.
 type Workspace struct {
 	Name   state.Workspace
 	Weight float64
-	// Large workspaces ask for more than their share all the time.
+	// Large marks a workspace that always requests more than its share.
 	Large bool
 }
 
-// The sizes of both deployments.
+// The sizes of the sample deployments.
 const (
 	routersPerDataCentre = 2
 	engineCount          = 20
 	workerCount          = 4
 )
 
-// UnknownSampleError names a sample that does not exist.
+// UnknownSampleError is the name of a sample that does not exist.
 type UnknownSampleError string
 
-// Error lists the samples there are.
+// Error returns a message that lists the existing samples.
 func (e UnknownSampleError) Error() string {
 	return fmt.Sprintf("devfleet: no sample %q; there are %v", string(e), SampleNames())
 }
 
-// SampleNames lists the samples.
+// SampleNames returns the names of all samples.
 func SampleNames() []string {
 	var names []string
 	for _, s := range samples() {
@@ -62,7 +63,8 @@
 	return names
 }
 
-// SampleByName returns a sample.
+// SampleByName returns the sample with the given name, or an
+// UnknownSampleError.
 func SampleByName(name string) (Sample, error) {
 	all := samples()
 	i := slices.IndexFunc(all, func(s Sample) bool { return s.Name == name })
@@ -114,7 +116,7 @@
 	}
 }
 
-// newWorkspaces are a team's workspaces; the first is large.
+// newWorkspaces returns the workspaces of a team. The first one is large.
 func newWorkspaces(names ...state.Workspace) []Workspace {
 	var workspaces []Workspace
 	for i, name := range names {
@@ -123,15 +125,15 @@
 	return workspaces
 }
 
-// Token returns the token that callers of a workspace use in a sample.
+// Token returns the token that callers of a workspace use in all samples.
 func Token(ws state.Workspace) string { return string(ws) + "-token" }
 
-// OperatorToken is the operators' token of every sample.
+// OperatorToken is the operators' token in all samples.
 const OperatorToken = "operator-token"
 
 func tokenDigest(token string) string { return config.DigestOf(token).String() }
 
-// subtree returns a team's object.
+// subtree returns the configuration object of a team.
 func (t Team) subtree() config.Subtree {
 	s := config.Subtree{Team: t.Name}
 	for _, w := range t.Workspaces {
@@ -144,7 +146,8 @@
 	return s
 }
 
-// root returns the operators' object for the upstreams at these addresses.
+// root returns the operators' configuration object for upstreams with these
+// addresses.
 func (s Sample) root(engines, workers []config.Upstream) config.Root {
 	root := config.Root{
 		OperatorTokens: []string{tokenDigest(OperatorToken)},
@@ -163,7 +166,8 @@
 	return root
 }
 
-// workspaceShare returns a workspace's part of the whole.
+// workspaceShare returns the fraction of the fleet that a workspace is entitled
+// to.
 func (s Sample) workspaceShare(team Team, workspace Workspace) float64 {
 	teams, weights := 0.0, 0.0
 	for _, t := range s.Teams {
--- a/devfleet/workload.go
+++ b/devfleet/workload.go
@@ -8,34 +8,37 @@
 	"github.com/figstile/figstile/state/config"
 )
 
-// Load is how much a sample's workspaces ask for.
+// Load selects how much work the workspaces of a sample request.
 type Load string
 
 // The loads.
 const (
-	// LoadIdle asks for next to nothing and shows what routers exchange anyway.
+	// LoadIdle sends almost no requests. It shows the traffic that routers
+	// exchange without load.
 	LoadIdle Load = "idle"
 	// LoadUsual keeps about two thirds of all slots busy.
 	LoadUsual Load = "usual"
-	// LoadRush has four large workspaces that together ask for more than there
-	// is, and small ones that ask for less than their share.
+	// LoadRush has four large workspaces that together request more than the
+	// fleet can serve, and small ones that request less than their share.
 	LoadRush Load = "rush"
-	// LoadSaturated has every workspace ask for about twice its share.
+	// LoadSaturated makes every workspace request about twice its share.
 	LoadSaturated Load = "saturated"
-	// LoadFlood is Saturated with one workspace that asks for 16 times as much.
+	// LoadFlood is LoadSaturated with one workspace that requests 16 times as
+	// much as the others.
 	LoadFlood Load = "flood"
 )
 
-// Loads lists the loads.
+// Loads returns all loads.
 func Loads() []Load { return []Load{LoadIdle, LoadUsual, LoadRush, LoadSaturated, LoadFlood} }
 
-// rates are a workspace's requests a second.
+// rates holds the requests per second of a workspace by class.
 type rates struct {
 	drafts, blurbs, urgent, pages, bookings float64
 }
 
-// The engines of a sample write about 85 drafts a second and its workers
-// answer about 280 pages; a workspace's share is a sixteenth, more or less.
+// The rates of the loads. The engines of a sample serve about 85 drafts per
+// second and its workers about 280 pages per second; the share of a workspace
+// is about a sixteenth of that.
 var (
 	idleRates       = rates{pages: 0.02}
 	usualLargeRates = rates{drafts: 8, blurbs: 10, pages: 30, bookings: 1}
@@ -46,10 +49,10 @@
 	floodRates      = rates{drafts: 160, pages: 480, bookings: 2}
 )
 
-// burstSize is how many blurbs of a small workspace arrive at once.
+// burstSize is the number of blurbs of a small workspace that arrive at once.
 const burstSize = 8
 
-func (l Load) rates(t Workspace, first bool) rates {
+func (l Load) rates(workspace Workspace, first bool) rates {
 	switch {
 	case l == LoadIdle:
 		return idleRates
@@ -57,18 +60,18 @@
 		return floodRates
 	case l == LoadFlood || l == LoadSaturated:
 		return saturatedRates
-	case l == LoadUsual && t.Large:
+	case l == LoadUsual && workspace.Large:
 		return usualLargeRates
 	case l == LoadUsual:
 		return usualSmallRates
-	case t.Large:
+	case workspace.Large:
 		return rushLargeRates
 	default:
 		return rushSmallRates
 	}
 }
 
-// Workload returns a load of the sample.
+// Workload returns the workload of the sample under a load.
 func (s Sample) Workload(d time.Duration, load Load) loadgen.Workload {
 	w := loadgen.Workload{
 		Name:    s.Name + "-" + string(load),
@@ -101,8 +104,8 @@
 			PromptTokens: loadgen.SizeDistribution{Median: 40, Sigma: 0.5, Max: 200}, OutputTokens: loadgen.SizeDistribution{Median: 12, Sigma: 0.6, Max: 60},
 		},
 		{
-			// A deadline this short cannot be met in a rush, so that some are
-			// refused and others end while they run.
+			// The deadline is too short for a rush, so some of these requests
+			// are refused and others end while they run.
 			Name: s.Urgent, Service: s.Engines, Kind: config.KindEngine, Path: "/v1/chat/completions", Stream: true,
 			PromptTokens: loadgen.SizeDistribution{Median: 40, Sigma: 0.5, Max: 200}, OutputTokens: loadgen.SizeDistribution{Median: 8, Sigma: 0.6, Max: 40},
 			DeadlineMS: 400,
@@ -119,7 +122,9 @@
 	}
 }
 
-// arrivals come evenly, or with blurbs in bursts and pages on and off.
+// arrivals returns the arrivals of a workspace's requests. If uneven is set,
+// blurbs arrive in bursts, and pages for two seconds at a time with a second's
+// break.
 func (s Sample) arrivals(r rates, uneven bool) []loadgen.ArrivalStream {
 	blurbs := loadgen.ArrivalStream{Class: s.Blurb, Process: loadgen.Poisson, Rate: r.blurbs}
 	pages := loadgen.ArrivalStream{Class: s.Page, Process: loadgen.Poisson, Rate: r.pages}
