--- a/e2e/cut_test.go
+++ b/e2e/cut_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// forwarder passes TCP connections on until it is cut. A cut closes what is
-// open and refuses what comes, as a network partition with resets does.
+// forwarder is a TCP proxy whose connections can be cut. While it is cut, it
+// closes the open connections and all new ones, like a network partition with
+// resets.
 type forwarder struct {
 	net.Listener
 	target string
@@ -21,7 +22,7 @@
 	conns map[net.Conn]struct{}
 }
 
-// newForwarder forwards to the address of an http URL.
+// newForwarder returns a forwarder to the address of an http URL.
 func newForwarder(t *testing.T, baseURL string) *forwarder {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/e2e/edge_fakes_test.go
+++ b/e2e/edge_fakes_test.go
@@ -18,7 +18,8 @@
 	"github.com/figstile/figstile/transport/edge"
 )
 
-// objectStore is the stand-in of the platform's store with its address.
+// objectStore is a stand-in for the platform's store and the server that it
+// listens on.
 type objectStore struct {
 	*objects.Store
 	server *httptest.Server
@@ -37,15 +38,15 @@
 
 func (s *objectStore) address() string { return s.server.Listener.Addr().String() }
 
-// put writes what an operator or upstream would; only this package's own maps
-// are encoded, which cannot fail.
+// put writes an object as an operator or upstream would. It ignores the
+// encoding error, as callers pass only maps that can be encoded.
 func (s *objectStore) put(kind edge.Kind, name string, spec any) {
 	text, _ := json.Marshal(spec)
 	s.Put(kind, name, text)
 }
 
-// edgeConfig is a configuration with one stream route, one that must not be
-// repeated, and the given keys of a workspace.
+// edgeConfig returns a configuration with a stream route, a route whose
+// requests must not be repeated, and a workspace with the given keys.
 func edgeConfig(version int, keys ...string) map[string]any {
 	return map[string]any{
 		"Version": version,
@@ -59,16 +60,18 @@
 	}
 }
 
-// heldPage is a page that the stand-in holds like its streams.
+// heldPage is the path of a plain answer that the stand-in holds back in the
+// same way as its streams.
 const heldPage = "/pages/held"
 
-// edgeEngine is a stand-in of an engine that holds its streams until told to
-// end them.
+// edgeEngine is a stand-in for an engine that holds its streams open until a
+// test releases them.
 type edgeEngine struct {
 	server *httptest.Server
-	// release ends the streams under way, one for each value.
+	// release ends one held request for each value sent to it.
 	release chan struct{}
-	// started gets a value for each stream that sent its first event.
+	// started receives a value for each stream that has sent its first event
+	// and for each request of heldPage.
 	started chan struct{}
 }
 
@@ -111,7 +114,8 @@
 	return e
 }
 
-// edgeRouter is one daemon on the platform's settings.
+// edgeRouter is a router process that runs "figstiled edge" with a settings
+// file of the users' platform.
 type edgeRouter struct {
 	*process
 	name                                     string
@@ -120,9 +124,9 @@
 	settings string
 }
 
-// freeAddresses returns different addresses of a loopback IP that only this
-// index uses. All are held until the last is known: an address that was let go
-// may be given out again at once.
+// freeAddresses returns n different addresses on a loopback IP that only this
+// index uses. All listeners stay open until the last address is known, because
+// the system may assign the address of a closed one again at once.
 func freeAddresses(t *testing.T, index, n int) []string {
 	t.Helper()
 	var addresses []string
@@ -140,7 +144,8 @@
 	return startEdgeRouterAt(t, s.address(), index, seeds...)
 }
 
-// startEdgeRouterAt reaches the store at an address, such as a proxy's.
+// startEdgeRouterAt starts a router that reaches the store at the given
+// address, for example the address of a proxy.
 func startEdgeRouterAt(t *testing.T, store string, index int, seeds ...string) *edgeRouter {
 	t.Helper()
 	addresses := freeAddresses(t, index, 3)
@@ -166,8 +171,8 @@
 	return r
 }
 
-// launch starts the router's process, again with the same settings after it
-// has ended.
+// launch starts the router's process. It can be called again after the process
+// has ended and uses the same settings.
 func (r *edgeRouter) launch(t *testing.T) {
 	t.Helper()
 	cmd := exec.Command(daemonBinary, "edge")
@@ -175,7 +180,8 @@
 	r.process = start(t, r.name, cmd)
 }
 
-// await polls a condition; the test's own time limit bounds it.
+// await polls a condition until it holds. Only the time limit of the test run
+// bounds the wait.
 func await(t *testing.T, condition func() bool) {
 	t.Helper()
 	for !condition() {
@@ -183,7 +189,8 @@
 	}
 }
 
-// awaitReady waits until the router takes callers; one that ended never will.
+// awaitReady waits until the router is ready for callers. It fails the test if
+// the process has ended.
 func (r *edgeRouter) awaitReady(t *testing.T) {
 	t.Helper()
 	await(t, func() bool {
@@ -205,7 +212,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// post sends a request with a key; it never reuses a connection.
+// post sends a request with a key on a new connection.
 func (r *edgeRouter) post(t *testing.T, path, key string) (*http.Response, error) {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, "http://"+r.callerAddress+path, nil)
--- a/e2e/edge_test.go
+++ b/e2e/edge_test.go
@@ -13,7 +13,7 @@
 	"github.com/figstile/figstile/transport/edge"
 )
 
-// startEdgeFleet runs two routers before one engine.
+// startEdgeFleet starts two routers and one engine.
 func startEdgeFleet(t *testing.T) (*objectStore, *edgeEngine, []*edgeRouter) {
 	t.Helper()
 	s := startObjectStore(t)
@@ -45,8 +45,8 @@
 	}
 }
 
-// An operator revokes a key. From then on no router takes it, whichever of
-// them reads the store.
+// An operator revokes a key. All routers must refuse the key afterwards,
+// whichever of them reads the store.
 func TestEdgeAppliesChangesOnEveryRouter(t *testing.T) {
 	s, _, routers := startEdgeFleet(t)
 	s.put(edge.KindConfig, "main", edgeConfig(2, "k2"))
@@ -56,8 +56,8 @@
 	}
 }
 
-// The store goes away, and a router is started meanwhile. It takes the
-// configuration and the list of upstreams from a peer and serves.
+// A router starts while the store is unavailable. It must obtain the
+// configuration and the list of upstreams from a peer and serve requests.
 func TestEdgeStartsWithoutTheStore(t *testing.T) {
 	s, _, routers := startEdgeFleet(t)
 	s.SetUnavailable(true)
@@ -69,8 +69,9 @@
 	}
 }
 
-// A router is stopped while a caller reads a stream. The stream ends whole,
-// the router says that it is not ready meanwhile, and exits with code 0.
+// A router is stopped while a caller reads a stream. The stream must end
+// complete, the router must report that it is not ready meanwhile, and the
+// process must exit with code 0.
 func TestEdgeStopCompletesStreams(t *testing.T) {
 	_, e, routers := startEdgeFleet(t)
 	r := routers[0]
@@ -88,7 +89,8 @@
 	require.NoError(t, r.err)
 }
 
-// SIGHUP ends a process that does not expect it. Here it reloads the settings.
+// By default SIGHUP ends a process. The router must reload its settings
+// instead.
 func TestEdgeReloadsAtHangup(t *testing.T) {
 	_, _, routers := startEdgeFleet(t)
 	require.NoError(t, routers[0].cmd.Process.Signal(syscall.SIGHUP))
@@ -96,8 +98,9 @@
 	require.Equal(t, http.StatusOK, routers[0].postStatus(t, "/pages/now", "k1"))
 }
 
-// A router dies without a word while its peer reads the store through it or
-// not: the peer goes on.
+// A router is killed, so it announces nothing to its peer. The peer must
+// continue and receive changes of the configuration, whether or not it read the
+// store through the killed router.
 func TestEdgeSurvivesAKilledPeer(t *testing.T) {
 	s, _, routers := startEdgeFleet(t)
 	routers[0].kill()
@@ -105,9 +108,10 @@
 	await(t, func() bool { return routers[1].postStatus(t, "/pages/now", "k3") == http.StatusOK })
 }
 
-// A newcomer tries the routers on the users' platform with nothing but this
-// repository: one command starts them on stand-ins, floods them, takes an
-// engine, a key and the store away, and checks what callers and upstreams saw.
+// Runs "figstile dev --platform --once", which starts routers on stand-ins,
+// floods them, removes an engine and a key, makes the store unavailable and
+// checks the results of callers and upstreams. It needs nothing outside this
+// repository.
 func TestDevPlatformTrialHoldsEveryPromise(t *testing.T) {
 	out, err := exec.Command(cliBinary, "dev", "--platform", "--once").CombinedOutput()
 	require.NoError(t, err, string(out))
--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requestGroup is a set of requests under way.
+// requestGroup sends requests concurrently and collects their answers.
 type requestGroup struct {
 	wg      sync.WaitGroup
 	mu      sync.Mutex
@@ -21,26 +21,27 @@
 	errs    []error
 }
 
-// send starts a request without waiting for its answer.
-func (f *requestGroup) send(ctx context.Context, r *router, workspace, path, body string, header ...string) {
-	f.wg.Add(1)
+// send starts a request and does not wait for its answer.
+func (g *requestGroup) send(ctx context.Context, r *router, workspace, path, body string, header ...string) {
+	g.wg.Add(1)
 	go func() {
-		defer f.wg.Done()
+		defer g.wg.Done()
 		got, err := tryCall(ctx, r, workspace, path, body, header...)
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		f.answers = append(f.answers, got)
-		f.errs = append(f.errs, err)
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		g.answers = append(g.answers, got)
+		g.errs = append(g.errs, err)
 	}()
 }
 
-// wait waits for all answers.
-func (f *requestGroup) wait() []answer {
-	f.wg.Wait()
-	return f.answers
+// wait waits for all answers and returns them.
+func (g *requestGroup) wait() []answer {
+	g.wg.Wait()
+	return g.answers
 }
 
-// runningCount counts the requests that an upstream has started and not ended.
+// runningCount returns the number of requests that an upstream has started and
+// not ended.
 func runningCount(t *testing.T, baseURL string) int {
 	t.Helper()
 	count := 0
@@ -52,8 +53,8 @@
 	return count
 }
 
-// runningWithTokens counts the running requests of which an upstream has generated that
-// many tokens.
+// runningWithTokens returns the number of running requests for which an
+// upstream has generated at least that many tokens.
 func runningWithTokens(t *testing.T, baseURL string, tokens int) int {
 	t.Helper()
 	count := 0
@@ -65,17 +66,17 @@
 	return count
 }
 
-// A councillor's long guide is half written when the router's VM is replaced.
-// The platform asks the router to stop; a careless one would close its
-// sockets and the guide would be lost. Two routers of different data centres
-// are stopped at once, and then the last one of a data centre.
+// Routers are stopped while they pass on long answers, as when their VMs are
+// replaced: two of different data centres at once, then the last one of a data
+// centre. Closing their sockets at once would lose the answers; all of them
+// must be complete.
 func TestPlannedStopCompletesRequests(t *testing.T) {
 	f := startStandardFleet(t)
 	var drafts requestGroup
 	for i := range 12 {
 		drafts.send(t.Context(), f.routerList[i%4], "laredo", draftPath, draftBody(i, 300))
 	}
-	eventually(t, "guides are being written", func() bool {
+	eventually(t, "drafts are being written", func() bool {
 		return runningCount(t, f.engineURLs[0])+runningCount(t, f.engineURLs[1]) == 8
 	})
 
@@ -94,14 +95,14 @@
 	require.Equal(t, http.StatusOK, got.status, got.body)
 }
 
-// A router draining still answers, but refuses new work at once and says that
-// it did not run and when to come back: the balancer sends some requests its
-// way until its health check has seen the change.
+// A draining router is still reachable: a load balancer sends requests to it
+// until its health check fails. The router must refuse new work at once, with a
+// retry time and the statement that nothing ran.
 func TestDrainingRouterRefusesAtOnce(t *testing.T) {
 	f := startStandardFleet(t)
 	var drafts requestGroup
 	drafts.send(t.Context(), f.routerList[0], "laredo", draftPath, draftBody(1, 400))
-	eventually(t, "the guide is being written", func() bool {
+	eventually(t, "the draft is being written", func() bool {
 		return runningCount(t, f.engineURLs[0])+runningCount(t, f.engineURLs[1]) == 1
 	})
 	out, code := f.runCLI(f.routerList[0], operatorToken, "drain")
@@ -117,16 +118,16 @@
 	<-f.routerList[0].done
 }
 
-// An engine is killed while it writes. The caller has part of the answer and
-// must not take it for the whole: the connection breaks, the answer has no
-// end, and nobody is told that it did not run.
+// An engine crashes while it sends answers. Each caller that has part of an
+// answer must see a broken connection, so that it doesn't take the part for the
+// whole, and must not be told that the request did not run.
 func TestUpstreamKilledMidAnswer(t *testing.T) {
 	f := startStandardFleet(t)
 	var drafts requestGroup
 	for i := range 8 {
 		drafts.send(t.Context(), f.routerList[i%4], "laredo", draftPath, draftBody(i, 4000))
 	}
-	eventually(t, "all callers have part of their answer", func() bool {
+	eventually(t, "every caller has received part of its answer", func() bool {
 		return runningWithTokens(t, f.engineURLs[0], 100) == 4 && runningWithTokens(t, f.engineURLs[1], 100) == 4
 	})
 	crash(f.engineURLs[0])
@@ -139,10 +140,10 @@
 		}
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
-	require.Equal(t, 4, broken, "what the engine had begun is broken off, the rest is whole")
+	require.Equal(t, 4, broken, "answers of the crashed engine break off, all others are complete")
 }
 
-// crash takes an upstream down; it comes back at once with nothing in memory.
+// crash crashes an upstream. It restarts at once with empty memory.
 func crash(baseURL string) {
 	resp, err := http.Post(baseURL+"/crash", "", nil)
 	if err == nil {
@@ -150,9 +151,9 @@
 	}
 }
 
-// A booking is sent through two routers at the same moment, because an
-// impatient client sends it again elsewhere. Both routers know nothing of each
-// other's request; only one may run it, and the other caller hears the truth.
+// A client that does not wait sends the same booking through several routers at
+// once. The routers don't know of each other's requests, but only one may run
+// the booking, and the other callers must receive a truthful answer.
 func TestSameKeyThroughAllRouters(t *testing.T) {
 	f := startStandardFleet(t)
 	for round := range 5 {
@@ -185,10 +186,10 @@
 	return count
 }
 
-// The platform is away. A booking with a key cannot be recorded and must not
-// run; the caller hears so at once and is told when to come back. Work without
-// a key goes on, and so does a booking whose key this router issued itself. A
-// router that starts cold takes its settings from its peers.
+// The platform is unavailable. A booking with the caller's key can't be
+// claimed, so it is refused with a retry time and doesn't run. Requests without
+// a key, and bookings whose key this router issued, still run. A new router
+// gets its settings from peers.
 func TestPlatformUnavailable(t *testing.T) {
 	f := startStandardFleet(t)
 	f.platform.kill()
@@ -208,7 +209,7 @@
 	got = call(t, f.routerList[2], "castro", "/kiosco-web/book", `{"busy_ms":1,"seat":2}`, "Idempotency-Key", issued)
 	require.Equal(t, int(result.KeyCompleted), got.code, got.body)
 	got = call(t, f.routerList[3], "castro", "/kiosco-web/book", `{"busy_ms":1,"seat":2}`, "Idempotency-Key", issued)
-	require.NotEqual(t, int(result.OK), got.code, "a key of another router must not run here")
+	require.NotEqual(t, int(result.OK), got.code, "a key that another router issued must not run on this router")
 	require.Equal(t, 1, startedWithKey(t, f.workerURL, issued))
 
 	newRouter := f.startRouter("router-5", "sala-castro")
@@ -225,9 +226,9 @@
 	return issued.Key
 }
 
-// A malformed booking crashes each worker that runs it, and the client sends
-// it again and again. Without a guard it would take down the whole fleet, one
-// engine after the other.
+// A request crashes every engine that runs it, and the client keeps sending it.
+// Unless routers quarantine it, it takes down one engine after the other. The
+// router that saw the crashes must also warn the others.
 func TestCrashingRequestIsQuarantined(t *testing.T) {
 	f := startStandardFleet(t)
 	for _, url := range f.engineURLs {
@@ -235,7 +236,7 @@
 	}
 	poison := strings.Replace(draftBody(1, 5), "guide", "poison", 1)
 	var got answer
-	eventually(t, "the request is refused for good", func() bool {
+	eventually(t, "the request is quarantined", func() bool {
 		got = call(t, f.routerList[0], "laredo", draftPath, poison)
 		return got.code == int(result.Quarantined)
 	})
@@ -258,9 +259,9 @@
 	require.Equal(t, http.StatusOK, other.status, other.body)
 }
 
-// A router that owns upstreams is frozen, as by a VM migration, with grants
-// out. The others must not leave its upstreams idle while work waits, and when
-// it wakes it must not act on what it believed before.
+// A router that owns upstreams is frozen, as by a VM migration, while its
+// grants are in use. The other routers must still use its upstreams, and the
+// frozen router must not act on outdated state when it resumes.
 func TestFrozenRouter(t *testing.T) {
 	f := startStandardFleet(t)
 	f.routerList[0].freeze()
@@ -273,14 +274,14 @@
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
 	f.routerList[0].thaw()
-	eventually(t, "the woken router serves", func() bool {
+	eventually(t, "the resumed router serves", func() bool {
 		return call(t, f.routerList[0], "castro", draftPath, draftBody(1000, 5)).status == http.StatusOK
 	})
 }
 
-// A router is killed while requests of others run on upstreams it owned. Its
-// own callers lose their connections; everybody else's answers are whole, and
-// the next owner uses the slots.
+// A router is killed while requests of other routers run on upstreams that it
+// owned. Only callers of the killed router lose their connections. All other
+// answers must be complete, and the next owner must use the slots.
 func TestKilledRouter(t *testing.T) {
 	f := startStandardFleet(t)
 	var drafts requestGroup
@@ -297,13 +298,13 @@
 	}
 }
 
-// An engine says that it leaves, and nobody else knows yet. New work that
-// reaches it would be cut off; the routers must see its load report and send
-// none, while what it runs is finished.
+// An engine asks for no new work, which only its load report shows. New
+// requests to it would be cut off, so routers must send none. Its running
+// requests are completed.
 func TestLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	f := startStandardFleet(t)
 	send(t, http.MethodPut, f.engineURLs[0]+"/drain", map[string]bool{"draining": true})
-	eventually(t, "the owner has seen it", func() bool {
+	eventually(t, "the owner has seen the load report", func() bool {
 		for _, r := range f.routerList {
 			for _, u := range status(t, r).Owned {
 				if u.Name == "engine-1" && u.Leaving {
@@ -324,8 +325,8 @@
 	require.Len(t, ledger(t, f.engineURLs[0]), before)
 }
 
-// Two operators change the same object at the same moment. One wins; the other
-// is told that it lost and to whom, and no change is half made.
+// Two operators change the same object at the same time. One change must be
+// applied completely; the other operator must be told about the conflict.
 func TestConcurrentOperatorChangesConflict(t *testing.T) {
 	f := startStandardFleet(t)
 	before := status(t, f.routerList[0]).Versions["config/teams/valle"]
@@ -344,15 +345,15 @@
 	require.ElementsMatch(t, []int{0, 4}, []int{first.code, second.code}, "%s\n%s", first.out, second.out)
 }
 
-// A caller leaves while its guide is being written. The engine must be told
-// to stop, or it goes on writing for nobody, and the workspace is charged for
-// what was written.
+// A caller leaves while its answer is being generated. The engine must be told
+// to stop, as it would otherwise generate tokens that no caller reads. The
+// workspace is charged for the tokens generated so far.
 func TestWorkStopsWhenCallerLeaves(t *testing.T) {
 	f := startStandardFleet(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	var drafts requestGroup
 	drafts.send(ctx, f.routerList[0], "laredo", draftPath, draftBody(1, 100000))
-	eventually(t, "the guide is being written", func() bool {
+	eventually(t, "the draft is being written", func() bool {
 		return runningCount(t, f.engineURLs[0])+runningCount(t, f.engineURLs[1]) == 1
 	})
 	cancel()
--- a/e2e/fleet_test.go
+++ b/e2e/fleet_test.go
@@ -47,7 +47,7 @@
 	}}
 }
 
-// fleet is one platform with upstreams and routers around it.
+// fleet is a platform with its upstreams and routers.
 type fleet struct {
 	t           *testing.T
 	platform    *process
@@ -56,13 +56,15 @@
 	seedAddress string
 	root        config.Root
 	recording   *recording
-	// extraEnv are added to the environment of the next routers.
+	// extraEnv is added to the environment of the routers that are started
+	// next.
 	extraEnv []string
-	// links are the data centres' ways to the platform.
+	// links holds the proxy through which each data centre reaches the
+	// platform.
 	links map[string]*forwarder
 }
 
-// router is a figstiled process with its addresses.
+// router is a figstiled process and its addresses.
 type router struct {
 	*process
 	fleet         *fleet
@@ -89,10 +91,10 @@
 	return p, p.awaitValue(f.t, "listening")
 }
 
-// addService adds a service to the settings; configure writes them.
+// addService adds a service to the settings; writeRoot writes them.
 func (f *fleet) addService(s config.Service) { f.root.Services = append(f.root.Services, s) }
 
-// addTeam adds a team with one workspace per name; a caller's token is the
+// addTeam adds a team with one workspace per name. A caller's token is the
 // workspace's name followed by "-token".
 func (f *fleet) addTeam(name string, share float64, workspaces ...string) {
 	f.root.Teams = append(f.root.Teams, config.TeamShare{
@@ -111,8 +113,9 @@
 	f.putObject(config.TeamKey(state.Team(name)), subtree)
 }
 
-// writeRoot writes the root straight to the platform, as the first one must
-// be: no router serves operators before there is an operator's token.
+// writeRoot writes the root object directly to the platform. Routers can't
+// write the first one, as they accept no operator before the settings contain
+// an operator token.
 func (f *fleet) writeRoot() { f.putObject("config/root", f.root) }
 
 func (f *fleet) putObject(key string, value any) {
@@ -122,7 +125,7 @@
 	require.NoError(f.t, err)
 }
 
-// startRouter starts a router that joins through the first one.
+// startRouter starts a router that joins the fleet through the first router.
 func (f *fleet) startRouter(name, dc string, extra ...string) *router {
 	if f.links[dc] == nil {
 		f.links[dc] = newForwarder(f.t, f.platformURL)
@@ -153,7 +156,8 @@
 	return r
 }
 
-// runCLI runs figstile against a router and returns its output and exit code.
+// runCLI runs the figstile command against a router and returns its output and
+// exit code.
 func (f *fleet) runCLI(r *router, token string, args ...string) (string, int) {
 	cmd := exec.Command(cliBinary, append(args, "--server", "http://"+r.adminAddress)...)
 	cmd.Env = append(os.Environ(), "FIGSTILE_TOKEN="+token)
@@ -164,15 +168,15 @@
 	return string(out), cmd.ProcessState.ExitCode()
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// err is set if the answer did not end cleanly.
+	// err is set if the connection broke before the end of the answer.
 	err error
 	ran string
-	// code is the numbered result, from the header or the trailer.
+	// code is the result code from the header or the trailer.
 	code int
 }
 
@@ -185,7 +189,8 @@
 	return got
 }
 
-// tryCall is call for goroutines and for routers that may be gone.
+// tryCall is like call, but returns errors instead of failing the test. It is
+// used in goroutines and for routers that may have been stopped.
 func tryCall(ctx context.Context, r *router, workspace, path, body string, header ...string) (answer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.callerAddress+path, struct{ io.Reader }{strings.NewReader(body)})
 	if err != nil {
@@ -229,7 +234,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// ledger reads what an upstream received.
+// ledger returns the requests that an upstream received.
 func ledger(t *testing.T, baseURL string) []upstream.Entry {
 	t.Helper()
 	var entries []upstream.Entry
@@ -249,18 +254,18 @@
 	require.NoError(t, json.Unmarshal([]byte(body), into), body)
 }
 
-// waitTimeout ends a test that waits for something that never comes. It is no
-// expectation on speed: every wait ends as soon as its condition holds.
+// waitTimeout ends a test whose condition never becomes true. It is not an
+// expectation of speed, as every wait ends as soon as its condition holds.
 const waitTimeout = 30 * time.Second
 
-// eventually waits for a condition.
+// eventually waits until a condition holds, for at most waitTimeout.
 func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	timeout := time.After(waitTimeout)
 	for !holds() {
 		select {
 		case <-timeout:
-			t.Fatalf("gave up waiting until %s", condition)
+			t.Fatalf("timed out waiting until %s", condition)
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
--- a/e2e/orders_test.go
+++ b/e2e/orders_test.go
@@ -23,7 +23,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// setWantedModels has an operator change what the first engine shall hold.
+// setWantedModels changes, as an operator, the models that the first engine is
+// to load.
 func (f *fleet) setWantedModels(r *router, models ...state.Model) {
 	f.t.Helper()
 	f.root.Services[0].Upstreams[0].WantedModels = models
@@ -32,10 +33,11 @@
 	require.Zero(f.t, code, out)
 }
 
-// awaitModels waits until an engine holds exactly these models, in this order.
+// awaitModels waits until an engine has loaded exactly these models, in this
+// order.
 func awaitModels(t *testing.T, baseURL string, models ...state.Model) {
 	t.Helper()
-	eventually(t, fmt.Sprintf("the engine holds %v", models), func() bool {
+	eventually(t, fmt.Sprintf("the engine has loaded %v", models), func() bool {
 		return fmt.Sprint(receivedOrders(t, baseURL).Models) == fmt.Sprint(models)
 	})
 }
@@ -47,8 +49,8 @@
 	return answer
 }
 
-// loadOrders lists the models of the applied loads, and refused those of others;
-// an order of another kind fails the test.
+// loadOrders returns the models of the orders to load that were applied and
+// that were rejected. It fails the test if there is an order of another kind.
 func loadOrders(t *testing.T, baseURL string) (applied, rejected []state.Model) {
 	t.Helper()
 	for _, o := range receivedOrders(t, baseURL).Orders {
@@ -62,8 +64,8 @@
 	return applied, rejected
 }
 
-// readLease reads an upstream's lease object past the routers; the zero value if
-// there is none.
+// readLease reads the lease object of an upstream directly from the platform.
+// It returns the zero value if there is no lease object.
 func (f *fleet) readLease(upstream state.Upstream) (fencing.Lease, objectstore.Version) {
 	f.t.Helper()
 	client := objectstore.NewClient(objectstore.ClientOptions{BaseURL: f.platformURL})
@@ -77,7 +79,7 @@
 	return lease, object.Version
 }
 
-// awaitLeaseReleased waits until a lease was taken and given back.
+// awaitLeaseReleased waits until a lease has been acquired and released.
 func (f *fleet) awaitLeaseReleased(upstream state.Upstream) {
 	f.t.Helper()
 	eventually(f.t, "the lease is released", func() bool {
@@ -86,10 +88,10 @@
 	})
 }
 
-// An operator wants a model on an engine; it is loaded and the lease given
-// back. The platform goes away and the engine restarts with nothing in memory.
-// Without a lease nobody may order it to load again, while drafts are written
-// on. With the platform back the model is loaded again.
+// An engine whose wanted model is loaded restarts with empty memory while the
+// platform is unavailable. Without a lease no router may send it an order, but
+// requests must still be served. Once the platform is back, the model must be
+// loaded again.
 func TestOperatorChangesWantedModels(t *testing.T) {
 	f := startStandardFleet(t)
 	f.setWantedModels(f.routerList[2], "guide:v1")
@@ -98,20 +100,20 @@
 
 	send(t, http.MethodPost, f.platformURL+"/v1/faults", platform.Faults{Outage: platform.OutageRefuse})
 	crash(f.engineURLs[0])
-	eventually(t, "the owner has missed the platform", func() bool { return f.anyLogged("lease-store-away") })
+	eventually(t, "the owner reports that the lease store is unavailable", func() bool { return f.anyLogged("lease-store-away") })
 	for _, got := range f.sendDrafts(24) {
 		require.Equal(t, http.StatusOK, got.status, got.body)
 	}
-	require.Len(t, receivedOrders(t, f.engineURLs[0]).Orders, 1, "no order without a lease")
+	require.Len(t, receivedOrders(t, f.engineURLs[0]).Orders, 1, "no router may send an order without a lease")
 	send(t, http.MethodPost, f.platformURL+"/v1/faults", platform.Faults{})
 	awaitModels(t, f.engineURLs[0], "guide:v1")
-	eventually(t, "the owner has found the platform", func() bool { return f.anyLogged("lease-store-back") })
-	require.Empty(t, receivedOrders(t, f.engineURLs[1]).Orders, "an engine without a wish is left as it is")
+	eventually(t, "the owner reports that the lease store is available again", func() bool { return f.anyLogged("lease-store-back") })
+	require.Empty(t, receivedOrders(t, f.engineURLs[1]).Orders, "an engine without wanted models must receive no orders")
 }
 
-// The engine's owner is stopped as a VM is replaced. Its successor must bring
-// the engine to what is wanted next, and the owner must not leave a lease
-// behind that would hold the successor up.
+// The owner of an engine is stopped, as when its VM is replaced. Its successor
+// must apply the next change of wanted models, and the stopped router must have
+// released its lease, which would delay the successor.
 func TestOwnerOfOrdersStops(t *testing.T) {
 	f := startStandardFleet(t)
 	f.setWantedModels(f.routerList[2], "guide:v1")
@@ -134,7 +136,8 @@
 	return false
 }
 
-// awaitOwner waits until a router that answers owns an upstream.
+// awaitOwner waits until a router that answers owns an upstream, and returns
+// the router.
 func (f *fleet) awaitOwner(upstream state.Upstream) *router {
 	f.t.Helper()
 	var owner *router
@@ -151,8 +154,9 @@
 	return owner
 }
 
-// holdingListener can hold up new connections before their TLS handshake. What
-// a client sends only over a connection that stands has then not been sent.
+// holdingListener can delay new connections before their TLS handshake. A
+// client that sends data only on an established connection has then sent
+// nothing.
 type holdingListener struct {
 	net.Listener
 
@@ -161,20 +165,20 @@
 	heldConns []*heldConn
 }
 
-// heldConn reads nothing until it is let go.
+// heldConn blocks reads until it is released.
 type heldConn struct {
 	net.Conn
 	once     sync.Once
 	released chan struct{}
 }
 
-// Read waits until the connection is let go.
+// Read waits until the connection is released and then reads.
 func (c *heldConn) Read(p []byte) (int, error) {
 	<-c.released
 	return c.Conn.Read(p)
 }
 
-// Accept holds the connection if it shall.
+// Accept accepts a connection and holds it if holding is set.
 func (l *holdingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -208,8 +212,9 @@
 	}
 }
 
-// orderFleet is two routers of one data centre before one engine, which is
-// reached over TLS through a listener that can hold connections up.
+// orderFleet is a fleet of two routers in one data centre and one engine. The
+// routers reach the engine over TLS through a listener that can hold
+// connections.
 type orderFleet struct {
 	*fleet
 	engineURL string
@@ -236,7 +241,8 @@
 	return f
 }
 
-// serveEngineOverTLS serves the engine over TLS and has the routers trust it.
+// serveEngineOverTLS serves the engine over TLS and adds its certificate
+// authority to the ones that routers trust.
 func (f *orderFleet) serveEngineOverTLS() string {
 	a := newAuthority(f.t)
 	certPEM, keyPEM := a.issue(f.t, "engine-1")
@@ -264,8 +270,8 @@
 	return "https://" + plain.Addr().String()
 }
 
-// forwardTLS goes to the engine only once a connection stands, as the
-// engine cuts one that says nothing for long.
+// forwardTLS connects to the engine only after the TLS handshake, as the engine
+// closes connections that send nothing for a long time.
 func forwardTLS(proxy *forwarder) {
 	for {
 		conn, err := proxy.Accept()
@@ -291,14 +297,15 @@
 	return nil
 }
 
-// awaitHeldOrder waits until the holder has an order under way whose
-// connection does not stand yet. It shows in a renewal of the lease, which
-// happens only while an order is under way. Connections from before the lease
-// are polls of the load and are let go, as no order is given without a report.
+// awaitHeldOrder waits until the holder of the lease has an order in progress
+// whose connection is not established yet. A renewal of the lease shows this,
+// as it happens only while an order is in progress. Connections from before the
+// lease are polls of the load report. They are released, because a router sends
+// no order without a load report.
 func (f *orderFleet) awaitHeldOrder(holder *router) {
 	f.t.Helper()
 	var leaseVersion objectstore.Version
-	eventually(f.t, "an order is held up", func() bool {
+	eventually(f.t, "an order waits for its connection", func() bool {
 		polls := f.listener.connections()
 		lease, version := f.readLease("engine-1")
 		if lease.Holder != state.Router(holder.name) {
@@ -312,18 +319,18 @@
 	})
 }
 
-// awaitTakeover waits until another router owns the engine and has taken the
-// lease with a greater number.
+// awaitTakeover waits until another router owns the engine and has acquired the
+// lease with a greater fencing number.
 func (f *orderFleet) awaitTakeover(successor *router, number uint64) {
 	f.t.Helper()
 	eventually(f.t, successor.name+" owns the engine", func() bool { return len(status(f.t, successor).Owned) == 1 })
-	eventually(f.t, "another router has had the lease", func() bool {
+	eventually(f.t, "another router has acquired the lease", func() bool {
 		lease, _ := f.readLease("engine-1")
 		return lease.Number > number
 	})
 }
 
-// orderOutcomes lists what became of a router's orders, by its own log.
+// orderOutcomes returns the outcomes of a router's orders according to its log.
 func (r *router) orderOutcomes() []string {
 	var found []string
 	for _, match := range orderOutcomePattern.FindAllStringSubmatch(r.lines.text(), -1) {
@@ -334,17 +341,15 @@
 
 var orderOutcomePattern = regexp.MustCompile(`event=order .*outcome=(\w+)`)
 
-// An operator wants "guide:v2" on an engine. The owner takes the lease and is
-// frozen while the order's connection is still being made. The operator thinks
-// better of it and wants "guide:v3" instead; another router waits for the end
-// of the lease and has it loaded. The frozen owner resumes with its order in
-// hand, its lease and its settings out of date. If the order were applied the
-// engine would load what nobody wants any more.
+// The owner is frozen while it connects to the engine for an order to load "guide:v2".
+// The operator then wants "guide:v3" instead, and a successor loads it after the lease
+// ends. When the owner resumes, its lease, settings and order are out of date. The
+// order must not be applied, or the engine would load an unwanted model.
 func TestFrozenOwnerAppliesNoStaleOrder(t *testing.T) {
 	for name, c := range map[string]struct {
-		ignores bool
-		outcome string
-		refused []state.Model
+		ignores  bool
+		outcome  string
+		rejected []state.Model
 	}{
 		"engine checks numbers":  {false, "stale", []state.Model{"guide:v2"}},
 		"engine ignores numbers": {true, "late", nil},
@@ -371,13 +376,13 @@
 
 			releaseConns(f.listener.connections())
 			owner.thaw()
-			eventually(t, "the held-up order has ended", func() bool { return len(owner.orderOutcomes()) == 2 })
+			eventually(t, "the delayed order has ended", func() bool { return len(owner.orderOutcomes()) == 2 })
 			f.setWantedModels(other, "guide:v1", "guide:v3", "guide:v4")
 			awaitModels(t, f.engineURL, "guide:v1", "guide:v3", "guide:v4")
 
-			applied, refused := loadOrders(t, f.engineURL)
+			applied, rejected := loadOrders(t, f.engineURL)
 			require.Equal(t, []state.Model{"guide:v1", "guide:v3", "guide:v4"}, applied)
-			require.Equal(t, c.refused, refused)
+			require.Equal(t, c.rejected, rejected)
 			require.Equal(t, c.outcome, owner.orderOutcomes()[1])
 		})
 	}
--- a/e2e/partition_test.go
+++ b/e2e/partition_test.go
@@ -13,10 +13,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A data centre loses the platform but not its neighbours. An operator changes
-// a share elsewhere; the cut-off routers must have it in force all the same,
-// and work with issued keys goes on there. When the link is back, nothing
-// reverts: every test ends with that check over all routers.
+// A data centre loses its connection to the platform, but not to the other data
+// centre. Its routers must still receive a changed share through peers and
+// accept issued keys. After reconnecting, no router may revert, which is
+// checked at the end of every test.
 func TestDataCentreCutFromPlatform(t *testing.T) {
 	f := startStandardFleet(t)
 	f.links["sala-laredo"].cut()
@@ -30,7 +30,7 @@
 		})
 	}
 	out, code = f.runCLI(f.routerList[0], operatorToken, "team", "set-share", "valle", "6")
-	require.Equal(t, 5, code, "the platform is away for this router: %s", out)
+	require.Equal(t, 5, code, "the platform is unavailable to this router: %s", out)
 
 	key := issueKey(t, f.routerList[0], "laredo")
 	got := call(t, f.routerList[0], "laredo", "/kiosco-web/book", `{"busy_ms":1,"seat":1}`, "Idempotency-Key", key)
@@ -43,10 +43,10 @@
 	})
 }
 
-// The platform takes a booking's claim and its answer gets lost. The router
-// cannot tell whether the claim stands. Running without knowing could run the
-// booking twice; giving up on it would refuse work that may go ahead. It must
-// read its own claim back and run the booking exactly once.
+// The platform loses a claim or the answer to it, so the router doesn't know
+// whether it holds the claim. If it guessed, it could run a booking twice or
+// refuse one that may run. It must read its claim back and run the booking
+// exactly once.
 func TestLostAnswerToClaim(t *testing.T) {
 	f := startStandardFleet(t)
 	for i, faults := range []platform.Faults{{LoseAnswers: 1}, {LoseWrites: 1}} {
@@ -62,8 +62,8 @@
 	}
 }
 
-// A replica of the platform that lags answers reads with old settings. A
-// router that took them would bring back a share that an operator has changed.
+// A lagging replica of the platform answers reads with old settings. A router
+// that applied them would revert a share that an operator has changed.
 func TestStalePlatformReads(t *testing.T) {
 	f := startStandardFleet(t)
 	send(t, http.MethodPost, f.platformURL+"/v1/faults", platform.Faults{StaleReads: true})
@@ -82,9 +82,9 @@
 	}
 }
 
-// One workspace sends as much as it can, more than its queue holds. The little
-// that another asks for must not wait behind it, and what is too much for the
-// queue is refused at once with a time to come back.
+// One workspace sends more requests than its queue holds. Requests of another
+// workspace must not wait behind them, and requests beyond the queue's limit
+// must be refused at once with a retry time.
 func TestFloodStarvesNoWorkspace(t *testing.T) {
 	f := startStandardFleet(t)
 	var flood requestGroup
@@ -111,9 +111,9 @@
 	require.Subset(t, []int{int(result.OK), int(result.QueueFull), int(result.DeadlineTooShort)}, slices.Compact(codes))
 }
 
-// An engine gives one caller the answer that belongs to another. Nobody may
-// take it for the own answer: it names another attempt, so the router drops it
-// and, as guides are repeatable, tries once more elsewhere.
+// An engine sends a caller the answer to another request. The answer names
+// another attempt, so the router must drop it. As drafts are repeatable, the
+// router then tries again elsewhere.
 func TestCrossedAnswers(t *testing.T) {
 	f := startStandardFleet(t)
 	setFaults(t, f.engineURLs[0], upstream.Faults{CrossAnswers: 4})
@@ -123,8 +123,8 @@
 	}
 }
 
-// An engine cuts answers short after they have begun. The caller must see a
-// broken connection, not an answer that seems to end.
+// An engine cuts answers off after they have begun. The caller must see a
+// broken connection instead of a normal end of the answer.
 func TestTruncatedAnswers(t *testing.T) {
 	f := startStandardFleet(t)
 	for _, url := range f.engineURLs {
@@ -140,7 +140,7 @@
 	require.Equal(t, 4, broken)
 }
 
-// sendDrafts sends short drafts through all routers and waits for the answers.
+// sendDrafts sends short drafts through all routers and returns their answers.
 func (f *standardFleet) sendDrafts(count int) []answer {
 	var sent requestGroup
 	for i := range count {
@@ -149,8 +149,9 @@
 	return sent.wait()
 }
 
-// Every slot is busy and one router has all the work. The upstreams that other
-// routers own must not idle: grants travel to where the work waits.
+// All requests wait at one router and fill every slot. Upstreams that other
+// routers own must not stay idle: their owners must send grants to the router
+// where the requests wait.
 func TestOneRouterUsesAllUpstreams(t *testing.T) {
 	f := startStandardFleet(t)
 	var drafts requestGroup
@@ -165,10 +166,10 @@
 	}
 }
 
-// Callers send more to one router than its memory is meant for, over all
-// workspaces. Without a bound on the whole it would be killed for want of
-// memory and everybody would lose their answers; it must refuse what is too
-// much, at once and truthfully, and serve what it took.
+// Callers of several workspaces send more to one router than its memory can
+// hold. Without a limit on the total the process would be killed and all
+// answers lost. It must refuse the excess at once, state that it did not run,
+// and serve the requests that it accepted.
 func TestRouterRefusesBeyondItsQueueLimit(t *testing.T) {
 	const limit = 20
 	f := startStandardFleet(t)
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -17,8 +17,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// standardFleet is two data centres with two routers each, an engine per data
-// centre, one worker and one platform.
+// standardFleet has two data centres with two routers and an engine each, one
+// worker and one platform.
 type standardFleet struct {
 	*fleet
 	engineURLs [2]string
@@ -55,16 +55,16 @@
 	return f
 }
 
-// draftPath is the path of the drafting engines.
+// draftPath is the path of the service that writes drafts.
 const draftPath = "/redaccion-figstile/v1/chat/completions"
 
-// draftBody is the body of a draft of some tokens; the number makes it unlike any
-// other.
+// draftBody returns the body of a request for a draft with the given number of
+// tokens. The number makes the body different from all others.
 func draftBody(number, tokens int) string {
 	return fmt.Sprintf(`{"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"guide %d"}]}`, tokens, number)
 }
 
-// awaitReady waits until a router has settings and sees the whole fleet.
+// awaitReady waits until a router has its settings and sees all other routers.
 func (f *fleet) awaitReady(r *router) {
 	eventually(f.t, r.name+" is ready", func() bool {
 		resp, err := http.Get("http://" + r.adminAddress + "/readyz")
@@ -83,7 +83,8 @@
 	return s
 }
 
-// chargedCost sums a workspace's cost over what a router knows of the fleet.
+// chargedCost returns the cost charged to a workspace for a service, summed
+// over the fleet, as far as the router knows it.
 func chargedCost(s daemon.Status, service state.Service, ws state.Workspace) state.Cost {
 	for _, svc := range s.Services {
 		if svc.Name != service {
@@ -98,8 +99,9 @@
 	return 0
 }
 
-// TestWholePath sends a request through every router to the upstreams, and
-// checks the answer, the charge on every router, and a change of a share.
+// TestWholePath sends a request through every router to the upstreams. It
+// checks the answers, the charges that every router knows, the metrics, and
+// that an unknown token is refused.
 func TestWholePath(t *testing.T) {
 	f := startStandardFleet(t)
 
@@ -120,7 +122,7 @@
 	require.Len(t, ledger(t, f.workerURL), 1)
 
 	for _, r := range f.routerList {
-		eventually(t, r.name+" knows the charges", func() bool {
+		eventually(t, r.name+" has received the charges", func() bool {
 			s := status(t, r)
 			return chargedCost(s, "redaccion-figstile", "laredo") >= 4*6*state.CostUnit &&
 				chargedCost(s, "kiosco-web", "ramales") > 0
@@ -137,8 +139,8 @@
 	require.Equal(t, int(result.Unauthorized), got.code)
 }
 
-// scrape reads a router's metrics once they hold finished requests; they are
-// reported once a second.
+// scrape returns a router's metrics once they include finished requests.
+// Routers report metrics once a second.
 func scrape(t *testing.T, r *router) string {
 	t.Helper()
 	var page string
@@ -151,8 +153,8 @@
 	return page
 }
 
-// TestOperatorChangesShare changes a team's share on one router and sees the
-// new version in force on all.
+// TestOperatorChangesShare changes a team's share through one router and
+// expects the new version on all routers.
 func TestOperatorChangesShare(t *testing.T) {
 	f := startStandardFleet(t)
 	before := status(t, f.routerList[3]).Versions["config/root"]
@@ -169,12 +171,13 @@
 	require.Contains(t, out, strconv.Itoa(2))
 
 	out, code = f.runCLI(f.routerList[0], "valle-"+teamToken, "team", "set-share", "valle", "9")
-	require.NotZero(t, code, "a team must not widen its own share: %s", out)
+	require.NotZero(t, code, "a team must not change its own share: %s", out)
 }
 
-// TestFirstSettings begins a fleet from nothing: an operator with the
-// bootstrap token writes the first root and team, and callers are served. The
-// token counts no longer once there is an operator's of its own.
+// TestFirstSettings starts a fleet without settings. An operator with the
+// bootstrap token writes the first root and team, after which callers are
+// served. The bootstrap token must be refused as soon as the settings contain
+// an operator token.
 func TestFirstSettings(t *testing.T) {
 	f := newFleet(t)
 	_, url := f.startStandIn("worker-1", "worker", workerOptions{Name: "worker-1", Slots: 2})
@@ -193,7 +196,7 @@
 	}}
 	for key, value := range map[string]any{"root": f.root, "teams/costa": subtree} {
 		out, code := f.runCLI(r, "wrong-token", "config", "apply", key, writeJSON(t, value), "--create")
-		require.Equal(t, 5, code, "a router without settings cannot tell whose token it is: %s", out)
+		require.Equal(t, 5, code, "a router without settings cannot check the token: %s", out)
 	}
 	out, code := f.runCLI(r, "first-token", "config", "apply", "root", writeJSON(t, f.root), "--create")
 	require.Zero(t, code, out)
--- a/e2e/process_test.go
+++ b/e2e/process_test.go
@@ -21,11 +21,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// roleVariable makes the test binary run as one stand-in instead of the tests,
-// so that the stand-ins are processes of their own without a third binary.
+// roleVariable is the environment variable that makes the test binary run as a
+// stand-in instead of running the tests. The stand-ins are separate processes
+// without needing a third binary.
 const roleVariable = "FIGSTILE_TEST_ROLE"
 
-// optionsVariable holds the stand-in's options as JSON.
+// optionsVariable is the environment variable that holds the stand-in's options
+// as JSON.
 const optionsVariable = "FIGSTILE_TEST_OPTIONS"
 
 var (
@@ -61,7 +63,7 @@
 	Start(addr string) (baseURL string, stop func(), err error)
 }
 
-// runStandIn serves until the parent's end of standard input closes.
+// runStandIn serves until the parent process closes its end of standard input.
 func runStandIn(role string) int {
 	server, err := newStandIn(role, os.Getenv(optionsVariable))
 	if err != nil {
@@ -92,11 +94,11 @@
 		err := json.Unmarshal([]byte(options), &opts)
 		return worker.New(opts.build()), err
 	default:
-		return nil, fmt.Errorf("no stand-in %q", role)
+		return nil, fmt.Errorf("unknown role of a stand-in: %q", role)
 	}
 }
 
-// process is one child under test.
+// process is a child process of a test.
 type process struct {
 	name  string
 	cmd   *exec.Cmd
@@ -106,7 +108,7 @@
 	err   error
 }
 
-// start runs a program and ends it with the test.
+// start starts a program. The program is killed when the test ends.
 func start(t *testing.T, name string, cmd *exec.Cmd) *process {
 	t.Helper()
 	p := &process{name: name, cmd: cmd, lines: newLineBuffer(), done: make(chan struct{})}
@@ -135,14 +137,16 @@
 	<-p.done
 }
 
-// freeze stops the process without telling it; thaw lets it go on.
+// freeze stops the process with SIGSTOP, which it can't notice; thaw resumes
+// it.
 func (p *process) freeze() { _ = p.cmd.Process.Signal(syscall.SIGSTOP) }
 func (p *process) thaw()   { _ = p.cmd.Process.Signal(syscall.SIGCONT) }
 
-// terminate asks for a graceful stop.
+// terminate requests a graceful stop with SIGTERM.
 func (p *process) terminate() { _ = p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// awaitValue waits for a line with the key and returns its value.
+// awaitValue waits for a line of output that contains the key and returns its
+// value.
 func (p *process) awaitValue(t *testing.T, key string) string {
 	t.Helper()
 	value, ok := p.lines.awaitValue(key + "=")
@@ -152,7 +156,8 @@
 	return value
 }
 
-// lineBuffer collects output and lets readers wait for a part of it.
+// lineBuffer collects the output of a process and lets readers wait for a key
+// in it.
 type lineBuffer struct {
 	mu     sync.Mutex
 	cond   *sync.Cond
@@ -212,15 +217,16 @@
 	return "", false
 }
 
-// engineOptions and workerOptions are the stand-ins' options that survive
-// JSON.
+// engineOptions and workerOptions are the options of the stand-ins that can be
+// passed as JSON.
 type engineOptions struct {
 	Upstream upstream.Faults
 	Name     string
 	Slots    int
-	// TokenMillis passes before each token.
+	// TokenMillis is the delay before each token, in milliseconds.
 	TokenMillis int
-	Ignore      bool
+	// Ignore makes the engine ignore fencing numbers.
+	Ignore bool
 }
 
 type workerOptions struct {
--- a/e2e/record_test.go
+++ b/e2e/record_test.go
@@ -23,8 +23,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recording keeps what callers sent and were told, beside the routers' own
-// traces. At the end of every test all of it is replayed and checked.
+// recording stores the requests and answers of callers next to the routers' own
+// traces. At the end of every test, all of them are replayed and checked.
 type recording struct {
 	dir     string
 	file    *os.File
@@ -70,8 +70,8 @@
 	}
 }
 
-// answerDigest is that of what the answer says, without the parts that differ
-// from run to run.
+// answerDigest returns the digest of the parts of an answer that are the same
+// in every run.
 func answerDigest(service string, got answer) string {
 	if got.err != nil || got.status != http.StatusOK {
 		return ""
@@ -93,8 +93,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// replayAndCheck ends the routers, adds the upstreams' ledgers and runs the operators'
-// replay over the whole directory.
+// replayAndCheck stops the routers, adds the upstreams' ledgers and runs
+// "figstile replay" on the whole directory.
 func (rec *recording) replayAndCheck(t *testing.T, f *standardFleet) {
 	for _, r := range f.routers {
 		r.thaw()
@@ -163,7 +163,7 @@
 	}
 }
 
-// setFaults changes what a stand-in does wrong.
+// setFaults changes the faults that a stand-in simulates.
 func setFaults(t *testing.T, baseURL string, faults any) {
 	t.Helper()
 	send(t, http.MethodPut, baseURL+"/faults", faults)
--- a/e2e/soak_keeper_test.go
+++ b/e2e/soak_keeper_test.go
@@ -13,84 +13,87 @@
 	"time"
 )
 
-// soakInstance is one process of a router.
+// soakInstance is one run of a router's process.
 type soakInstance struct {
 	process *process
-	// disrupted is set once it was killed or frozen.
+	// disrupted is set once the process has been killed or frozen.
 	disrupted bool
 }
 
-// logged says whether the process logged a request.
-func (l *soakInstance) logged(id string) bool {
-	text := l.process.lines.text()
+// logged reports whether the process logged a request.
+func (i *soakInstance) logged(id string) bool {
+	text := i.process.lines.text()
 	return strings.Contains(text, " id="+id+" ") || strings.Contains(text, " id="+id+"\n")
 }
 
-// unansweredRequest is a request that was sent whole on an open connection, which then ended
-// without its answer.
+// unansweredRequest is a request that was sent completely on an open
+// connection, which then ended without an answer.
 type unansweredRequest struct {
 	id       string
 	instance *soakInstance
 }
 
-// launch starts a router's process after the last one has ended.
+// launch starts a router's process after the previous one has ended.
 func (s *soak) launch(r *edgeRouter) {
 	s.setInstance(r, nil)
 	r.launch(s.t)
 	s.setInstance(r, &soakInstance{process: r.process})
 }
 
-func (s *soak) setInstance(r *edgeRouter, life *soakInstance) {
+func (s *soak) setInstance(r *edgeRouter, instance *soakInstance) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.instances[r] = life
+	s.instances[r] = instance
 }
 
-// instance returns the router's process, nil while it is between two.
+// instance returns the present run of the router's process; nil while no
+// process runs.
 func (s *soak) instance(r *edgeRouter) *soakInstance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.instances[r]
 }
 
-// markDisrupted notes that a router's process may now end connections as it likes.
+// markDisrupted records that the router's process may end connections without
+// answers from now on.
 func (s *soak) markDisrupted(r *edgeRouter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.instances[r].disrupted = true
 }
 
-// sendOnKeptConnections sends requests to one router on connections that it uses until they end.
+// sendOnKeptConnections sends requests to one router and uses each connection
+// until it ends.
 func (s *soak) sendOnKeptConnections(ctx context.Context, r *edgeRouter, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	for ctx.Err() == nil {
-		life := s.instance(r)
+		instance := s.instance(r)
 		conn, err := net.Dial("tcp", r.callerAddress)
 		if err != nil {
 			time.Sleep(soakPause)
 			continue
 		}
-		if life != nil && life == s.instance(r) {
-			s.useConnection(ctx, conn, r, life, rng)
+		if instance != nil && instance == s.instance(r) {
+			s.useConnection(ctx, conn, r, instance, rng)
 		}
 		_ = conn.Close()
 	}
 }
 
-func (s *soak) useConnection(ctx context.Context, conn net.Conn, r *edgeRouter, life *soakInstance, rng *rand.Rand) {
+func (s *soak) useConnection(ctx context.Context, conn net.Conn, r *edgeRouter, instance *soakInstance, rng *rand.Rand) {
 	reader := bufio.NewReader(conn)
 	for ctx.Err() == nil {
 		kind, id := soakKinds[rng.IntN(2)], s.ledger.id()
 		request, err := soakRequest(context.Background(), r, kind, id, soakTimeout)
-		if err != nil || !s.exchange(conn, reader, request, kind, unansweredRequest{id, life}) {
+		if err != nil || !s.exchange(conn, reader, request, kind, unansweredRequest{id, instance}) {
 			return
 		}
 		time.Sleep(time.Duration(rng.Int64N(int64(soakPause))))
 	}
 }
 
-// exchange sends one request and returns whether the connection stays open. Its own
-// timeout ends it without a verdict.
+// exchange sends one request and reports whether the connection stays open. A
+// request that ends by its own timeout is not recorded as unanswered.
 func (s *soak) exchange(conn net.Conn, reader *bufio.Reader, request *http.Request, kind string, sent unansweredRequest) bool {
 	changesBefore, good := s.engineLinkState()
 	_ = conn.SetDeadline(time.Now().Add(soakTimeout))
@@ -113,8 +116,8 @@
 	return err == nil && !response.Close
 }
 
-// engineLinkState returns how often the links to engines changed, and whether all
-// are good: a failing one may break an answer off.
+// engineLinkState returns the number of changes of the links to engines and
+// whether all of them are good, because a failing link may break an answer off.
 func (s *soak) engineLinkState() (changes int, good bool) {
 	good = true
 	for _, link := range s.engineLinks {
@@ -125,17 +128,18 @@
 	return changes, good
 }
 
-// recordUnanswered notes a request without an answer.
+// recordUnanswered records a request without an answer.
 func (l *soakLedger) recordUnanswered(request unansweredRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unanswered = append(l.unanswered, request)
 }
 
-// isRouterFault says whether a request that got no answer is to be answered for by
-// its router: it read the request, as its log or an upstream knows, and nothing
-// but a planned stop happened to it. One that it has not read may be lost when
-// its close crosses the request.
+// isRouterFault reports whether the router is responsible for a request without
+// an answer. It is if it read the request, according to its log or to an
+// upstream's, and its process was only stopped as planned. A request that the
+// router did not read may be lost when it crosses the closing of the
+// connection.
 func (l *soakLedger) isRouterFault(request unansweredRequest) bool {
 	return !request.instance.disrupted && (request.instance.logged(request.id) || l.runs[request.id] > 0)
 }
--- a/e2e/soak_proxy_test.go
+++ b/e2e/soak_proxy_test.go
@@ -10,23 +10,24 @@
 	"github.com/stretchr/testify/require"
 )
 
-// linkFault is what a proxy does to the connections through it.
+// linkFault is the effect of a proxy on the connections through it.
 type linkFault int
 
 const (
 	linkGood linkFault = iota
-	// linkSilent passes nothing on and resets nothing.
+	// linkSilent forwards nothing and does not reset connections.
 	linkSilent
-	// linkNoReplies passes what the caller sends and keeps what comes back.
+	// linkNoReplies forwards the data that the caller sends and holds back the
+	// replies.
 	linkNoReplies
-	// linkSlow holds each read back for a while.
+	// linkSlow delays the data of each read.
 	linkSlow
 )
 
-// slowLinkDelay is the delay of a slow link.
+// slowLinkDelay is the delay of each read on a slow link.
 const slowLinkDelay = 40 * time.Millisecond
 
-// faultyLink is a loopback proxy whose connections can be made to fail.
+// faultyLink is a loopback proxy that can make its connections fail.
 type faultyLink struct {
 	listener net.Listener
 	target   string
@@ -34,7 +35,8 @@
 	mu    sync.Mutex
 	cond  *sync.Cond
 	fault linkFault
-	// changes counts the faults that began or ended.
+	// changes counts how often a fault was set or removed and how often
+	// connections were reset.
 	changes int
 	conns   map[net.Conn]bool
 	closed  bool
@@ -76,7 +78,8 @@
 	l.pump(conn, targetConn, linkSilent, linkNoReplies)
 }
 
-// pump copies until either end fails; it stands still under the given faults.
+// pump copies data until either connection fails. It stops while one of the
+// given faults is set.
 func (l *faultyLink) pump(to, from net.Conn, blocking ...linkFault) {
 	defer l.drop(to)
 	defer l.drop(from)
@@ -96,7 +99,8 @@
 	}
 }
 
-// awaitUnblocked holds a read back while the link fails; false means that it is closed.
+// awaitUnblocked holds the data of a read back while the link fails. It returns
+// false if the link is closed.
 func (l *faultyLink) awaitUnblocked(blocking []linkFault) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,14 +132,15 @@
 	l.cond.Broadcast()
 }
 
-// history returns the number of changes so far, and whether the link is good.
+// history returns the number of changes so far, and whether the link is good
+// now.
 func (l *faultyLink) history() (changes int, good bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changes, l.fault == linkGood
 }
 
-// reset ends all connections with a reset.
+// reset closes all connections with a TCP reset.
 func (l *faultyLink) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -24,37 +24,38 @@
 const (
 	soakRouters = 4
 	soakEngines = 3
-	// soakCallers send requests one after the other, to any router.
+	// soakCallers is the number of callers that send requests, one after the
+	// other, to random routers.
 	soakCallers = 12
-	// soakKeptConnections send requests to each router on connections that they keep.
+	// soakKeptConnections is the number of callers per router that keep their
+	// connection open between requests.
 	soakKeptConnections = 2
-	// soakPause is the longest time between two requests of one caller.
+	// soakPause is the maximum time between two requests of one caller.
 	soakPause = 10 * time.Millisecond
-	// soakPageTime is how long an engine takes for a page, so that some are under
-	// way at any time.
+	// soakPageTime is how long an engine takes for a plain answer. It is long
+	// enough for some to be in progress at any time.
 	soakPageTime = 50 * time.Millisecond
-	// soakEvents is the length of a stream.
+	// soakEvents is the number of events of a stream.
 	soakEvents = 6
 	// soakSteps is the number of faults in a short run; FIGSTILE_SOAK_STEPS
-	// gives another.
+	// overrides it.
 	soakSteps = 12
-	// soakTimeout bounds one request, like its caller's deadline.
+	// soakTimeout limits the time of one request; the caller sends it as the
+	// deadline.
 	soakTimeout = 8 * time.Second
 )
 
-// soakKinds are the routes of the requests.
+// soakKinds are the routes that requests are sent to.
 var soakKinds = []string{"pages", "guides"}
 
-// regressionSeeds have failed once; each line names the cause.
+// regressionSeeds are seeds that have failed in the past. Each one stands on a
+// line with the cause of its failure.
 var regressionSeeds = []uint64{}
 
-// TestSoak runs real routers under a random series of faults from outside, and
-// checks from what callers and engines see: what must not be repeated runs at
-// most once, "not run" is true, whole answers belong to their requests and have
-// each event once, a planned stop ends with code 0, no request that a router read
-// on an open connection stays without an answer because of a planned stop, and
-// once the faults are over every router serves. FIGSTILE_SOAK_SEED names a seed, FIGSTILE_SOAK_RUNS
-// how many more are drawn.
+// TestSoak runs real routers under a random series of faults and then checks
+// soakLedger. It also expects that a planned stop exits with code 0 and that
+// every router serves once the faults end. FIGSTILE_SOAK_SEED sets the seed,
+// FIGSTILE_SOAK_RUNS the number of additional random seeds.
 func TestSoak(t *testing.T) {
 	seeds := append([]uint64{1}, regressionSeeds...)
 	if text := os.Getenv("FIGSTILE_SOAK_SEED"); text != "" {
@@ -71,6 +72,7 @@
 	}
 }
 
+// soak is the state of one run of TestSoak with one seed.
 type soak struct {
 	t           *testing.T
 	rng         *rand.Rand
@@ -106,7 +108,7 @@
 	return s
 }
 
-// addEngine starts an engine behind a link of its own.
+// addEngine starts an engine and a link to it.
 func (s *soak) addEngine(id string) {
 	server := httptest.NewServer(s.ledger.engine(id))
 	s.t.Cleanup(server.Close)
@@ -139,8 +141,8 @@
 	s.ledger.check(s.t)
 }
 
-// runFault lets one fault begin, hold for a while and, mostly, end. Every third one
-// is left to overlap with the next.
+// runFault starts a fault and keeps it for a while. It then ends two of three
+// faults on average and leaves the others to overlap with the next one.
 func (s *soak) runFault() {
 	undo := s.startFault()
 	time.Sleep(time.Duration(100+s.rng.IntN(500)) * time.Millisecond)
@@ -149,6 +151,8 @@
 	}
 }
 
+// startFault starts a random fault and returns a function that ends it. The
+// function does nothing for faults that end by themselves, such as a reset.
 func (s *soak) startFault() (undo func()) {
 	link := s.engineLinks[s.rng.IntN(len(s.engineLinks))]
 	store := s.storeLinks[s.rng.IntN(len(s.storeLinks))]
@@ -203,10 +207,11 @@
 	return func() {}
 }
 
-// randomPause lets a part of a stop pass.
+// randomPause waits for up to two seconds, so that the next action meets a
+// planned stop at a random point.
 func (s *soak) randomPause() { time.Sleep(time.Duration(s.rng.IntN(2000)) * time.Millisecond) }
 
-// replace stops routers at once as planned and starts them again.
+// replace stops routers at the same time as planned and starts them again.
 func (s *soak) replace(routers ...*edgeRouter) {
 	for _, r := range routers {
 		s.beginStop(r)
@@ -223,10 +228,11 @@
 
 func (s *soak) endStop(router *edgeRouter) {
 	<-router.done
-	require.NoError(s.t, router.err, "a planned stop ends with code 0")
+	require.NoError(s.t, router.err, "a planned stop must exit with code 0")
 	s.launch(router)
 }
 
+// hangup makes a router reload its settings.
 func (s *soak) hangup(router *edgeRouter) { _ = router.cmd.Process.Signal(syscall.SIGHUP) }
 
 // heal ends all faults and waits until every router serves.
@@ -252,8 +258,8 @@
 	}
 }
 
-// send sends a request, records what its caller saw and returns the status, 0
-// without an answer.
+// send sends a request, records the answer and returns its status, or 0 if
+// there was no answer.
 func (s *soak) send(r *edgeRouter, kind, id string, timeout time.Duration) int {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -284,12 +290,12 @@
 	return request, nil
 }
 
-// soakLedger knows what ran and what callers were told.
+// soakLedger records which requests ran and which answers callers received.
 type soakLedger struct {
 	mu     sync.Mutex
 	lastID int
 	runs   map[string]int
-	// atMostOnce are the requests that must run once at most.
+	// atMostOnce holds the requests that must not run more than once.
 	atMostOnce   map[string]bool
 	notRun       map[string]bool
 	violations   []string
@@ -308,8 +314,9 @@
 	return fmt.Sprintf("q%d", l.lastID)
 }
 
-// engine runs requests: a page names its request, a stream goes on after the
-// event that the request names.
+// engine returns the handler of an engine that runs requests. A plain answer
+// contains the request's body, and a stream continues after the event that the
+// request names.
 func (l *soakLedger) engine(id string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		attempt := r.Header.Get("Attempt-Id")
@@ -341,14 +348,14 @@
 	})
 }
 
-// recordAnswer judges one answer.
-func (l *soakLedger) recordAnswer(id, kind string, status int, body string, whole bool) {
+// recordAnswer checks one answer and records the result.
+func (l *soakLedger) recordAnswer(id, kind string, status int, body string, complete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
 		l.notRun[id] = true
-	case status != http.StatusOK || !whole:
+	case status != http.StatusOK || !complete:
 	case kind == "pages" && body != "page of "+id:
 		l.violations = append(l.violations, fmt.Sprintf("%s got %q", id, body))
 	case kind == "guides" && !isWholeStream(body, id):
@@ -358,7 +365,8 @@
 	}
 }
 
-// isWholeStream says whether a stream has each event of its request once.
+// isWholeStream reports whether a stream contains each event of its request
+// exactly once.
 func isWholeStream(body, id string) bool {
 	n := 0
 	scanner := bufio.NewScanner(strings.NewReader(body))
@@ -376,24 +384,27 @@
 	return n == soakEvents
 }
 
-// check holds the promises to what ran.
+// check checks the records: every request that must not be repeated ran at most
+// once, no request ran that was reported as not run, complete answers belong to
+// their requests and contain each event once, and no request that a router read
+// on an open connection stayed without an answer because of a planned stop.
 func (l *soakLedger) check(t *testing.T) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	require.Empty(t, l.violations)
 	require.Positive(t, l.wholeAnswers)
 	for id := range l.notRun {
-		require.Zero(t, l.runs[id], "%s was told that it did not run", id)
+		require.Zero(t, l.runs[id], "%s ran although its caller was told that it did not", id)
 	}
 	for id, n := range l.runs {
-		require.False(t, l.atMostOnce[id] && n > 1, "%s must run once at most and ran %d times", id, n)
+		require.False(t, l.atMostOnce[id] && n > 1, "%s must run at most once, but ran %d times", id, n)
 	}
 	unread := 0
 	for _, request := range l.unanswered {
 		if !request.instance.disrupted {
 			unread++
 		}
-		require.False(t, l.isRouterFault(request), "%s was read at a planned stop and got no answer", request.id)
+		require.False(t, l.isRouterFault(request), "%s was read by a router that was only stopped as planned, but got no answer", request.id)
 	}
-	t.Logf("%d requests, %d whole answers, %d told not run, %d without an answer, of which %d no router had read", l.lastID, l.wholeAnswers, len(l.notRun), len(l.unanswered), unread)
+	t.Logf("%d requests, %d complete answers, %d reported as not run, %d without an answer, %d of them not read by a router that was only stopped as planned", l.lastID, l.wholeAnswers, len(l.notRun), len(l.unanswered), unread)
 }
--- a/e2e/stop_test.go
+++ b/e2e/stop_test.go
@@ -10,13 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A router is told to stop while a caller's request comes in slowly: half of
-// its head is there, the rest follows when the router takes no connections any
-// more and only waits for a page to end. The caller's connection was closed
-// without an answer, and no log line named the request: http.Server.Shutdown
-// closes a connection whose next request it has read, and calls no handler. On
-// a day with two stops of each router 25 tries ended so from 3.0 s after a
-// SIGTERM on, beside 5 that were refused with 2005.
+// A router is stopped while a caller's request arrives slowly. It must refuse the request
+// even if it accepts no connections any more. http.Server.Shutdown closed such
+// connections without calling a handler: in two stops of each router, 25 requests from
+// 3.0 s after SIGTERM got no answer and no log line, next to 5 refused with result 2005.
 func TestStoppingEdgeAnswersPartlyReadRequest(t *testing.T) {
 	_, e, routers := startEdgeFleet(t)
 	r := routers[0]
@@ -46,6 +43,8 @@
 	require.NoError(t, r.err)
 }
 
+// acceptsConnections reports whether a TCP connection to the address can be
+// opened.
 func acceptsConnections(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -55,11 +54,10 @@
 	return true
 }
 
-// Operators stop a router and lose patience: they ask again and again until it
-// is gone. It ended by the signal and not by itself when one came within its
-// last milliseconds, so that its exit code told of a failure and its last log
-// lines were missing: it had stopped to listen for signals before it had written
-// them.
+// An operator repeats the stop signal until the process ends, which must still
+// exit with code 0. It used to stop catching signals before it had written its
+// last log lines, so a signal in its last milliseconds killed it and the lines
+// were missing.
 func TestStopIgnoresFurtherSignals(t *testing.T) {
 	_, e, routers := startEdgeFleet(t)
 	r := routers[0]
@@ -77,7 +75,7 @@
 	terminateUntilExit(t, f.startRouter("router-1", "sala-laredo").process)
 }
 
-// terminateUntilExit asks a router to stop without a pause.
+// terminateUntilExit sends stop signals without a pause until the process ends.
 func terminateUntilExit(t *testing.T, p *process) {
 	t.Helper()
 	for {
--- a/e2e/tls_test.go
+++ b/e2e/tls_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// authority signs the certificates of one test.
+// authority is the certificate authority of one test.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -70,8 +70,8 @@
 	return string(pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}))
 }
 
-// certificateEnv is the environment of a router with certificates of an
-// authority.
+// certificateEnv returns the environment variables that give a router
+// certificates of an authority.
 func certificateEnv(t *testing.T, a *authority) []string {
 	cert, key := a.issue(t, "figstile")
 	return []string{
@@ -80,10 +80,10 @@
 	}
 }
 
-// A machine that is not of the fleet reaches the peer port and says hello. If
-// it were believed it could give away slots and rewrite settings; it must not
-// become a peer, while routers with certificates do. Callers are served over
-// TLS, and no secret stands in a log.
+// Routers without a certificate of the fleet's authority connect to the peer
+// port. They could grant slots and rewrite settings, so they must not become
+// peers, while routers with certificates do. Callers are served over TLS, and
+// logs contain no private key.
 func TestUntrustedRoutersDoNotBecomePeers(t *testing.T) {
 	f := newFleet(t)
 	f.addTeam("costa", 1, "laredo")
@@ -100,7 +100,7 @@
 	eventually(t, "the two routers see each other", func() bool {
 		return strings.Contains(first.lines.text(), "peer session opened") && strings.Contains(second.lines.text(), "peer session opened")
 	})
-	eventually(t, "the strangers were turned away", func() bool {
+	eventually(t, "the untrusted routers were rejected", func() bool {
 		return strings.Count(first.lines.text()+second.lines.text(), "handshake") >= 2
 	})
 	for _, r := range []*router{untrusted, withoutTLS} {
