--- a/capacity/failure.go
+++ b/capacity/failure.go
@@ -28,11 +28,11 @@
 	// CutRequests is the number of requests in progress whose callers see a
 	// broken connection.
 	CutRequests float64 `json:"requests_cut"`
-	// Messages and KB are the traffic that one remaining router sends until the
+	// SentMessages and KB are the traffic that one remaining router sends until the
 	// fleet has settled. SchedulerSeconds is the time for which its scheduler
 	// is occupied.
-	Messages         float64 `json:"messages"`
-	KB               float64 `json:"kb"`
+	SentMessages     float64 `json:"messages"`
+	SentKB           float64 `json:"kb"`
 	SchedulerSeconds float64 `json:"scheduler_s"`
 	// RejoinMB is the size, in MB, of the counters that one remaining router
 	// sends to the routers that return. RejoinSeconds is the time for which its
@@ -45,8 +45,8 @@
 // considered lost.
 var silenceSeconds = (membership.SessionTimeout + membership.TickInterval).Seconds()
 
-// events returns the failures that a report describes.
-func (c *calculator) events() []FailureEvent {
+// failureEvents returns the failures that a report describes.
+func (c *calculator) failureEvents() []FailureEvent {
 	centre := c.routersPerDataCentre()
 	region := c.Routers / c.Regions
 	return []FailureEvent{
@@ -96,8 +96,8 @@
 // sends its whole demand to every new owner and recalculates the owners once.
 func (c *calculator) addSettlingCost(e *FailureEvent) {
 	newOwners := math.Min(e.MovedUpstreams, c.routersPerDataCentre())
-	e.Messages = newOwners
-	e.KB = newOwners * c.withFraming(c.costAt(WireDemand, c.demandLines())) / kilobyte
+	e.SentMessages = newOwners
+	e.SentKB = newOwners * c.withFraming(c.costAt(WireDemand, c.demandLines())) / kilobyte
 	e.SchedulerSeconds = c.peerChangeSeconds() / 2
 }
 
--- a/capacity/measure_deciders.go
+++ b/capacity/measure_deciders.go
@@ -79,9 +79,9 @@
 		timeMeasurement(TreeWorkspaces, "workspaces", workspaces, changeTree),
 		timeMeasurement(PeersRouters, "routers", routers, func(n int) func() { return rejoinPeer(fleetSize{n, 1000, 64, 1}) }),
 		timeMeasurement(PeersUpstreams, "upstreams", upstreams, func(n int) func() { return rejoinPeer(fleetSize{32, n, 64, 1}) }),
-		timeMeasurement(UsageEntries, "entries", []int{10, 100, 1000}, func(n int) func() { return receiveUsage(n, 0) }),
-		timeMeasurement(UsageMoved, "workspaces granted to", backlogged, func(n int) func() { return receiveUsage(1, n) }),
-		timeMeasurement(DemandLines, "lines", []int{1, 10, 100, 630}, receiveDemand),
+		timeMeasurement(UsageEntries, "entries", []int{10, 100, 1000}, func(n int) func() { return receiveUsageOperation(n, 0) }),
+		timeMeasurement(UsageMoved, "workspaces granted to", backlogged, func(n int) func() { return receiveUsageOperation(1, n) }),
+		timeMeasurement(DemandLines, "lines", []int{1, 10, 100, 630}, receiveDemandOperation),
 		timeMeasurement(MembershipTick, "routers", routers, membershipTick),
 		timeMeasurement(MembershipHeartbeat, "routers", routers, membershipHeartbeat),
 		timeMeasurement(ClaimsRound, "entries in the open segment", openSegmentSizes, claimsRound),
@@ -210,11 +210,11 @@
 	}
 }
 
-// receiveUsage returns an operation that processes the counters of one peer.
+// receiveUsageOperation returns an operation that processes the counters of one peer.
 // Each call uses the next peer. The argument grantedWorkspaces is the number of
 // workspaces that have been granted requests since the counters of each peer
 // were last received.
-func receiveUsage(entries, grantedWorkspaces int) func() {
+func receiveUsageOperation(entries, grantedWorkspaces int) func() {
 	const routers = 32
 	h := newSchedulerHarness(fleetSize{routers, 100, 6300, 1})
 	charged := state.Cost(0)
@@ -250,7 +250,7 @@
 	return entries
 }
 
-func receiveDemand(lines int) func() {
+func receiveDemandOperation(lines int) func() {
 	h := newSchedulerHarness(fleetSize{32, 100, 6300, 1})
 	demand := sampleDemand(lines)
 	for range len(h.owned) * slotsPerUpstream {
--- a/capacity/measure_test.go
+++ b/capacity/measure_test.go
@@ -36,7 +36,7 @@
 
 // The fleet has a limited number of rounds per second, which all routers share.
 // The claims of one router therefore wait longer in a fleet with more routers.
-func TestClaimsWaitLongerInALargerFleet(t *testing.T) {
+func TestClaimsWaitLongerInLargerFleets(t *testing.T) {
 	small, err := meanClaimWait(73)
 	require.NoError(t, err)
 	large, err := meanClaimWait(730)
@@ -44,7 +44,7 @@
 	require.Greater(t, large, 5*small)
 }
 
-func TestSessionsAreCountedWithoutHeartbeats(t *testing.T) {
+func TestMessageCostExcludesHeartbeats(t *testing.T) {
 	cost, err := messageCost(context.Background(), 10)
 	require.NoError(t, err)
 	const header = 12.0
--- a/capacity/report.go
+++ b/capacity/report.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Report{Fleet: f, ExchangeIntervalSeconds: c.exchangeInterval(), CallerKeysPerSecond: c.callerKeysPerSecond(), Events: c.events()}
+	r := &Report{Fleet: f, ExchangeIntervalSeconds: c.exchangeInterval(), CallerKeysPerSecond: c.callerKeysPerSecond(), Events: c.failureEvents()}
 	r.CounterStalenessSeconds = exchangeHops * r.ExchangeIntervalSeconds
 	for _, metric := range reportMetrics() {
 		r.Rows = append(r.Rows, metric.toRow(c))
--- a/capacity/slope_test.go
+++ b/capacity/slope_test.go
@@ -42,7 +42,7 @@
 	require.GreaterOrEqual(t, steep.CostAt(0), 0.0)
 }
 
-func TestMissingSlopeIsNamed(t *testing.T) {
+func TestMissingSlopeIsReportedByName(t *testing.T) {
 	_, err := NewReport(CurrentFleet(), &Slopes{})
 	var missing *MissingError
 	require.ErrorAs(t, err, &missing)
--- a/capacity/table.go
+++ b/capacity/table.go
@@ -110,7 +110,7 @@
 	for _, e := range r.Events {
 		t.Rows = append(t.Rows, []string{
 			e.Name, formatNumber(e.Routers), formatOptional(e.PerDay), formatNumber(e.MovedUpstreams), formatNumber(e.LostUpstreams), formatNumber(e.NoticedSeconds), formatNumber(e.ServedSeconds),
-			formatNumber(e.CutRequests), formatNumber(e.Messages), formatNumber(e.KB), formatNumber(e.SchedulerSeconds), formatNumber(e.RejoinMB), formatNumber(e.RejoinSeconds),
+			formatNumber(e.CutRequests), formatNumber(e.SentMessages), formatNumber(e.SentKB), formatNumber(e.SchedulerSeconds), formatNumber(e.RejoinMB), formatNumber(e.RejoinSeconds),
 		})
 	}
 	return t
--- a/cmd/figstile/internal/cli/dev.go
+++ b/cmd/figstile/internal/cli/dev.go
@@ -145,8 +145,8 @@
 type trial interface {
 	// WriteText prints the measurements and the result of each check.
 	WriteText(w io.Writer) error
-	// Held reports whether the fleet kept all promises.
-	Held() bool
+	// PromisesKept reports whether the fleet kept all promises.
+	PromisesKept() bool
 }
 
 // showTrial prints a trial and returns an error if the fleet broke a promise
@@ -156,7 +156,7 @@
 	if err := a.out.show(t, func() { writeErr = t.WriteText(a.out.w) }); err != nil {
 		return err
 	}
-	if writeErr == nil && !t.Held() {
+	if writeErr == nil && !t.PromisesKept() {
 		return promiseError{}
 	}
 	return writeErr
--- a/devfleet/edge_trial.go
+++ b/devfleet/edge_trial.go
@@ -66,8 +66,8 @@
 	Verdicts []Verdict
 }
 
-// Held reports whether every promise held.
-func (t EdgeTrial) Held() bool { return allHeld(t.Verdicts) }
+// PromisesKept reports whether every promise held.
+func (t EdgeTrial) PromisesKept() bool { return allHeld(t.Verdicts) }
 
 // edgeEvidence is the data that the promises are checked on.
 type edgeEvidence struct {
--- a/devfleet/once.go
+++ b/devfleet/once.go
@@ -23,8 +23,8 @@
 	Verdicts []Verdict
 }
 
-// Held reports whether every promise held.
-func (t Trial) Held() bool { return allHeld(t.Verdicts) }
+// PromisesKept reports whether every promise held.
+func (t Trial) PromisesKept() bool { return allHeld(t.Verdicts) }
 
 // RunTrial sends a load. Meanwhile an engine leaves for a while and an operator
 // changes the settings. Then every promise is checked.
@@ -43,7 +43,7 @@
 	evidence.Ledgers = f.Entries()
 	evidence.ServiceMetrics = res.Services
 	evidence.Change.FinalVersions = f.versions()
-	evidence.Change.RevertedRouter = res.FindVersionRollback()
+	evidence.Change.VersionRollback = res.FindVersionRollback()
 	return Trial{Result: res, Verdicts: evidence.Check()}, nil
 }
 
--- a/devfleet/promises.go
+++ b/devfleet/promises.go
@@ -42,9 +42,9 @@
 	// FinalVersions holds the versions in force on each router at the end of
 	// the run.
 	FinalVersions map[state.Router]map[string]uint64
-	// RevertedRouter describes the rollback of a router that reported an older
+	// VersionRollback describes the rollback of a router that reported an older
 	// version after a newer one; empty if no router did.
-	RevertedRouter string
+	VersionRollback string
 }
 
 // Verdict is the result of checking one promise.
@@ -68,11 +68,11 @@
 	// unfinished requests account for a difference of less than half of the
 	// share. EdgeTrial compares it with the fraction of calls that were served.
 	minServedFraction = 0.25
-	// gapReachFraction limits the fairness gap to this fraction of
+	// singleWorkspaceGapFraction limits the fairness gap to this fraction of
 	// loadgen.Service.SingleWorkspaceGap, the gap of a fleet that serves only
 	// one workspace. In a short run even such a fleet stays within GapLimit,
 	// which alone would then detect nothing.
-	gapReachFraction = 0.5
+	singleWorkspaceGapFraction = 0.5
 )
 
 // Check checks every promise. A promise that the run could not have broken
@@ -238,8 +238,8 @@
 	if len(change.FinalVersions) == 0 {
 		return brokenVerdict(promise, "no router was asked")
 	}
-	if change.RevertedRouter != "" {
-		return brokenVerdict(promise, "%s", change.RevertedRouter)
+	if change.VersionRollback != "" {
+		return brokenVerdict(promise, "%s", change.VersionRollback)
 	}
 	if change.Duration > changeTimeout {
 		return brokenVerdict(promise, "it took %s", change.Duration.Round(time.Millisecond))
@@ -276,7 +276,7 @@
 
 func checkFairnessGap(s loadgen.Service) Verdict {
 	promise := fmt.Sprintf("the fairness gap of %s stays within its bound", s.Name)
-	limit := min(s.GapLimit, gapReachFraction*s.SingleWorkspaceGap)
+	limit := min(s.GapLimit, singleWorkspaceGapFraction*s.SingleWorkspaceGap)
 	if s.BusySlotSamples == 0 {
 		return brokenVerdict(promise, "no work waited")
 	}
--- a/devfleet/promises_test.go
+++ b/devfleet/promises_test.go
@@ -51,7 +51,7 @@
 
 func TestValidEvidencePasses(t *testing.T) {
 	require.Empty(t, failedPromises(validEvidence()))
-	require.False(t, Trial{}.Held(), "a trial without verdicts must not pass")
+	require.False(t, Trial{}.PromisesKept(), "a trial without verdicts must not pass")
 }
 
 // Each case breaks one promise in evidence that is otherwise valid. The check
@@ -72,7 +72,7 @@
 		"change refused":   {"in force everywhere", func(e *Evidence) { e.Change.WrittenVersion = 0 }},
 		"router behind":    {"in force everywhere", func(e *Evidence) { e.Change.FinalVersions["router-1"]["config/root"] = 6 }},
 		"slow change":      {"in force everywhere", func(e *Evidence) { e.Change.Duration = changeTimeout + 1 }},
-		"reverted":         {"in force everywhere", func(e *Evidence) { e.Change.RevertedRouter = "router-1 went back" }},
+		"reverted":         {"in force everywhere", func(e *Evidence) { e.Change.VersionRollback = "router-1 went back" }},
 		"work for leaver":  {"leaving upstream", func(e *Evidence) { e.addReceived("engine-1", runStart.Add(30*time.Second)) }},
 		"nothing left":     {"leaving upstream", func(e *Evidence) { e.Leaving = Leaving{} }},
 		"gap above bound":  {"stays within its bound", func(e *Evidence) { e.ServiceMetrics[0].MaxGap = 10.1 }},
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -19,7 +19,7 @@
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, nil)
 	require.NoError(t, err)
 	platform.SetCallerHeaders(request.Header, platform.CallerHeaders{Attempt: attempt, Deadline: time.Second})
-	platform.Dialect{}.Outbound(request.Header, to)
+	platform.Dialect{}.SetUpstreamHeaders(request.Header, to)
 	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = response.Body.Close() })
@@ -35,11 +35,11 @@
 	body, err := io.ReadAll(response.Body)
 	require.NoError(t, err)
 	require.Equal(t, AnswerBody("a"), string(body))
-	require.Equal(t, ingress.AnswerHead{Signed: true}, platform.Dialect{}.Answer(response.StatusCode, response.Header))
+	require.Equal(t, ingress.AnswerHead{Signed: true}, platform.Dialect{}.ParseAnswerHeaders(response.StatusCode, response.Header))
 
 	to.Upstream = "another"
 	response = send(t, context.Background(), httpServer.URL, "b", to)
-	require.True(t, platform.Dialect{}.Answer(response.StatusCode, response.Header).NotRun)
+	require.True(t, platform.Dialect{}.ParseAnswerHeaders(response.StatusCode, response.Header).NotRun)
 
 	runs := s.Runs()
 	require.Len(t, runs, 1)
--- a/transport/caller/sse.go
+++ b/transport/caller/sse.go
@@ -65,16 +65,16 @@
 		return
 	}
 	if len(s.partialLine) == 0 {
-		s.scanLine(rest)
+		s.eventLine(rest)
 		return
 	}
 	s.partialLine = append(s.partialLine, rest...)
-	s.scanLine(s.partialLine)
+	s.eventLine(s.partialLine)
 	s.partialLine = s.partialLine[:0]
 }
 
-func (s *eventScanner) scanLine(scanLine []byte) {
-	data, ok := bytes.CutPrefix(scanLine, dataField)
+func (s *eventScanner) eventLine(eventLine []byte) {
+	data, ok := bytes.CutPrefix(eventLine, dataField)
 	if !ok {
 		return
 	}
--- a/transport/edge/catalogue_test.go
+++ b/transport/edge/catalogue_test.go
@@ -45,7 +45,7 @@
 	require.Zero(t, f.usableUpstreams(), "the overwritten entry does not name an upstream any more")
 }
 
-func TestListRemovesWhatItLacks(t *testing.T) {
+func TestListRemovesMissingUpstreams(t *testing.T) {
 	f := newFixture()
 	f.catalogue.replaceUpstreams([]Object{upstreamObject("a", 1, false), upstreamObject("b", 2, false)}, 5, sourceStore)
 	require.Equal(t, 2, f.usableUpstreams())
--- a/transport/edge/fakes_test.go
+++ b/transport/edge/fakes_test.go
@@ -64,11 +64,15 @@
 	return u, nil
 }
 
-func (*fakePlatform) Inbound(http.Header) (ingress.Inbound, error) { return ingress.Inbound{}, nil }
-func (*fakePlatform) Outbound(http.Header, ingress.Outbound)       {}
-func (*fakePlatform) Answer(int, http.Header) ingress.AnswerHead   { return ingress.AnswerHead{} }
-func (*fakePlatform) SetRetryAfter(http.Header, time.Duration)     {}
-func (*fakePlatform) AttemptHeader() string                        { return "Attempt" }
+func (*fakePlatform) ParseRequestHeaders(http.Header) (ingress.Inbound, error) {
+	return ingress.Inbound{}, nil
+}
+func (*fakePlatform) SetUpstreamHeaders(http.Header, ingress.Outbound) {}
+func (*fakePlatform) ParseAnswerHeaders(int, http.Header) ingress.AnswerHead {
+	return ingress.AnswerHead{}
+}
+func (*fakePlatform) SetRetryAfter(http.Header, time.Duration) {}
+func (*fakePlatform) AttemptHeader() string                    { return "Attempt" }
 
 func configObject(revision, version uint64) Object {
 	spec, _ := json.Marshal(routing.Config{Version: version, Services: []routing.Service{{Name: "s"}}})
--- a/transport/edge/fleet_test.go
+++ b/transport/edge/fleet_test.go
@@ -102,7 +102,7 @@
 	first.onPeers(peersNamed(10))
 	last.onPeers(peersNamed(10))
 	require.Equal(t, minRetryDelay, first.retryDelay(minRetryDelay))
-	require.GreaterOrEqual(t, last.retryDelay(minRetryDelay), nonReaderRetryDelay/2)
+	require.GreaterOrEqual(t, last.retryDelay(minRetryDelay), nonEagerRetryDelay/2)
 	require.True(t, first.shouldReadStore())
 	require.False(t, last.shouldReadStore())
 	lastFixture.clock.advance(noReaderTimeout)
--- a/transport/edge/listener_test.go
+++ b/transport/edge/listener_test.go
@@ -41,7 +41,7 @@
 }
 
 // Guards against reading requests only to refuse them.
-func TestFullRouterShedsAtOnce(t *testing.T) {
+func TestRouterAtCapacityShedsAtOnce(t *testing.T) {
 	p := newPressure(0, smallVMCores, frozen)
 	applyLoad(p, 1)
 	require.True(t, p.atCapacity())
--- a/transport/edge/readers.go
+++ b/transport/edge/readers.go
@@ -30,9 +30,9 @@
 	// whole fleet callers are waiting, and a session with a seed that starts a
 	// moment later takes a second to open.
 	startReadDelay = 100 * time.Millisecond
-	// nonReaderRetryDelay is the mean pause of routers that are not eager
+	// nonEagerRetryDelay is the mean pause of routers that are not eager
 	// readers between two calls to a store that does not answer.
-	nonReaderRetryDelay = 2500 * time.Millisecond
+	nonEagerRetryDelay = 2500 * time.Millisecond
 	// claimExpiry is the age at which a peer's claim to read the store expires.
 	// A peer repeats it every heartbeatInterval.
 	claimExpiry = 1200 * time.Millisecond
@@ -122,5 +122,5 @@
 	if f.isEagerReader() {
 		return delay
 	}
-	return nonReaderRetryDelay/2 + rand.N(nonReaderRetryDelay)
+	return nonEagerRetryDelay/2 + rand.N(nonEagerRetryDelay)
 }
--- a/transport/ingress/admit.go
+++ b/transport/ingress/admit.go
@@ -126,7 +126,7 @@
 }
 
 func (x *exchange) readHeader() (result.Result, bool) {
-	in, err := x.h.Dialect.Inbound(x.r.Header)
+	in, err := x.h.Dialect.ParseRequestHeaders(x.r.Header)
 	if err != nil {
 		return result.New(result.BadRequest, err.Error()), false
 	}
--- a/transport/ingress/attempt.go
+++ b/transport/ingress/attempt.go
@@ -184,7 +184,7 @@
 		return x.classifySendError(err, ticket)
 	}
 	defer answer.Close()
-	head := x.h.Dialect.Answer(answer.Status, answer.Header)
+	head := x.h.Dialect.ParseAnswerHeaders(answer.Status, answer.Header)
 	switch {
 	case head.NotRun:
 		return attemptEnd{attemptNotRun, result.New(result.NoUpstream, "The upstream would not take the request.").WithRetryAfter(rejectedRetryAfter)}, placement.Rejected
@@ -201,7 +201,7 @@
 func (x *exchange) buildAttempt(now time.Time, ticket *placement.Ticket) upstream.Attempt {
 	header := make(http.Header, len(x.r.Header)+4)
 	endtoend.Copy(header, x.r.Header)
-	x.h.Dialect.Outbound(header, Outbound{
+	x.h.Dialect.SetUpstreamHeaders(header, Outbound{
 		Upstream:  ticket.Upstream(),
 		Workspace: x.workspace,
 		Deadline:  max(x.deadline.Sub(now), time.Millisecond),
--- a/transport/ingress/dialect.go
+++ b/transport/ingress/dialect.go
@@ -11,13 +11,13 @@
 // Dialect translates between HTTP headers and the fields that decisions depend
 // on.
 type Dialect interface {
-	// Inbound parses a caller's headers.
-	Inbound(header http.Header) (Inbound, error)
-	// Outbound removes headers that a caller must not send to an upstream, and
+	// ParseRequestHeaders parses a caller's headers.
+	ParseRequestHeaders(header http.Header) (Inbound, error)
+	// SetUpstreamHeaders removes headers that a caller must not send to an upstream, and
 	// sets those of the router.
-	Outbound(header http.Header, out Outbound)
-	// Answer parses the head of an upstream's answer.
-	Answer(status int, header http.Header) AnswerHead
+	SetUpstreamHeaders(header http.Header, out Outbound)
+	// ParseAnswerHeaders parses the head of an upstream's answer.
+	ParseAnswerHeaders(status int, header http.Header) AnswerHead
 	// SetRetryAfter sets the time after which a caller may retry.
 	SetRetryAfter(header http.Header, after time.Duration)
 	// AttemptHeader returns the name of the header that carries a caller's
--- a/transport/ingress/fakes_test.go
+++ b/transport/ingress/fakes_test.go
@@ -278,7 +278,7 @@
 // plainDialect is a Dialect with the few headers that tests need.
 type plainDialect struct{}
 
-func (plainDialect) Inbound(header http.Header) (Inbound, error) {
+func (plainDialect) ParseRequestHeaders(header http.Header) (Inbound, error) {
 	in := Inbound{Attempt: header.Get("Attempt"), Key: header.Get("Key"), LastEvent: header.Get("Last-Event")}
 	if text := header.Get("Deadline"); text != "" {
 		deadline, err := time.ParseDuration(text)
@@ -290,7 +290,7 @@
 	return in, nil
 }
 
-func (plainDialect) Outbound(header http.Header, out Outbound) {
+func (plainDialect) SetUpstreamHeaders(header http.Header, out Outbound) {
 	header.Del("Key")
 	header.Set("Upstream", string(out.Upstream))
 	if out.Workspace != "" {
@@ -301,7 +301,7 @@
 	}
 }
 
-func (plainDialect) Answer(_ int, header http.Header) AnswerHead {
+func (plainDialect) ParseAnswerHeaders(_ int, header http.Header) AnswerHead {
 	return AnswerHead{Signed: header.Get("Signed") != "", NotRun: header.Get("Not-Run") != ""}
 }
 
