--- a/coordination/admission/admission.go
+++ b/coordination/admission/admission.go
@@ -36,8 +36,9 @@
 	maxShareUse = 1.25
 	// maxRepeatedPrefillFraction limits the additional prefill time of a
 	// request that is sent to another engine than the best one, as a fraction
-	// of the latency target. The limit applies unless that engine is idle and
-	// the fleet is not short of capacity.
+	// of the latency target. There is no limit if the fleet is not short of
+	// capacity, that engine has no pending prefill and less than a quarter of
+	// its slots are in use.
 	maxRepeatedPrefillFraction = 0.05
 	// maxDelayedStreams is the maximum number of running streams whose event
 	// gaps may become too long through the prefill of an admitted prompt.
@@ -56,7 +57,8 @@
 	minWaitFraction = 0.15
 	// retriedWaitFraction is the fraction of its timeout that a request may
 	// wait if it was refused before and is already late. A second refusal would
-	// cost its caller the answer, a late answer does not.
+	// cost its caller the answer, a late answer does not. The same limit
+	// applies to requests without a latency target.
 	retriedWaitFraction = 0.3
 	// minRetryAfter is the minimum retry delay. It keeps a refused caller from
 	// retrying into the same backlog.
@@ -219,10 +221,10 @@
 
 // mayRepeatPrefill reports whether a request may go to the upstream that
 // answers first instead of the best one. The repeated prefill takes engine time
-// from other requests, so it must be small unless the fleet has idle engines.
-// Workspaces near or beyond their fair share get none, because it would delay
-// the longest prompts and the workspaces that have had the smallest part of
-// their shares.
+// from other requests, so it must be small unless the fleet has engine time to
+// spare. Workspaces near or beyond their fair share may not repeat any prefill,
+// because it would delay the longest prompts and the workspaces that have had
+// the smallest part of their shares.
 func mayRepeatPrefill(r Request, standing shares.Standing, best, soonest placement.Estimate) bool {
 	smallOverhead := soonest.ProcessingTime-best.ProcessingTime <= fractionOf(r.TargetLatency, maxRepeatedPrefillFraction)
 	switch {
@@ -286,7 +288,9 @@
 	return fractionOf(target, 1-(1-overShareWaitFraction)*excess)
 }
 
-// waitLimit returns how long a request may wait at its upstream.
+// waitLimit returns how long a request may wait at its upstream. If its latency
+// target has not passed, the limit is at most promptTargetFraction of the
+// caller's timeout.
 func waitLimit(r Request, best placement.Estimate) time.Duration {
 	if r.TargetLatency <= 0 {
 		return fractionOf(r.Timeout, retriedWaitFraction)
--- a/coordination/admission/floods_test.go
+++ b/coordination/admission/floods_test.go
@@ -86,8 +86,8 @@
 }
 
 // requireComparableService replays a flood. It requires that the smaller
-// workspace is served half as much as the larger one, and that the engines are
-// used beyond the stated throughput.
+// workspace is served more than half as much as the larger one, and that the
+// engines are used beyond the stated throughput.
 func requireComparableService(t *testing.T, s *simulation, load []arrival) {
 	t.Helper()
 	const statedFraction = 0.3
--- a/coordination/admission/replay_test.go
+++ b/coordination/admission/replay_test.go
@@ -67,9 +67,9 @@
 	require.Less(t, late, 0.08)
 	require.Greater(t, use, 0.75)
 
-	naive := newSimulation(replayRouters, replayEngines, 1)
-	naive.placeAtRandom = true
-	require.Less(t, fractionWhere(naive.run(load), anyOutcome, wasOnTime), 0.15, "the baseline places the same load at random and refuses nothing")
+	baseline := newSimulation(replayRouters, replayEngines, 1)
+	baseline.placeAtRandom = true
+	require.Less(t, fractionWhere(baseline.run(load), anyOutcome, wasOnTime), 0.15, "the baseline places the same load at random and refuses nothing")
 }
 
 // Guards against a backlog that outlasts the burst that caused it.
--- a/coordination/admission/returns.go
+++ b/coordination/admission/returns.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// ReceiveRefusals records the refusals that a neighbouring router announced:
-// those since its last announcement.
+// ReceiveRefusals records the keys of requests that a neighbouring router has
+// refused since its last announcement.
 func (r *RetryTracker) ReceiveRefusals(now time.Time, keys []uint32) {
 	for _, k := range keys {
 		if _, known := r.firstArrival(k); !known {
