--- a/coordination/placement/host.go
+++ b/coordination/placement/host.go
@@ -11,7 +11,7 @@
 
 const (
 	// peerLoadExpiry is the age at which a peer's loads are dropped. A live
-	// peer sends a message twice a second.
+	// peer sends a message at least twice a second.
 	peerLoadExpiry = 3 * time.Second
 	// defaultSlots is the number of slots assumed for an upstream that does not
 	// report one.
@@ -33,9 +33,9 @@
 	// peerTotal is the sum of peerLoads. It is maintained on each change
 	// because every placement needs it.
 	peerTotal Load
-	// reported is the load of this router that its peers last received.
-	// reportedSums holds, for each peer that is connected by a link, the sum
-	// that the peer last received of all loads on this side of the link.
+	// reported is the load of this router that was last sent to its peers.
+	// reportedSums holds, for each peer that is connected by a link, the sum of
+	// all loads on this side of the link that was last sent to the peer.
 	reported     Load
 	reportedSums map[state.Router]Load
 
--- a/coordination/placement/interference.go
+++ b/coordination/placement/interference.go
@@ -10,10 +10,11 @@
 // peers have placed since their last report.
 const eventGapMargin = 0.9
 
-// estimateInterference adds to the score the cost of a prompt's prefill for the
-// streams that run at an engine, and the cost that later prompts may cause for
-// the new stream. A stream with too long event gaps counts as late, which costs
-// its caller as much as a wait for the whole latency target.
+// estimateInterference determines whether the prefill of a prompt makes the
+// event gaps of the streams that run at an engine too long. It adds to the
+// score the cost for those streams, and the cost that later prompts may cause
+// for the new stream. A stream with too long event gaps counts as late, which
+// costs its caller as much as a wait for the whole latency target.
 func (v *View) estimateInterference(now time.Time, e *Estimate, h *host, w Work, promptTokens int) {
 	if w.MaxEventGap <= 0 {
 		return
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -93,7 +93,7 @@
 }
 
 func TestChangedLoadsAddUpToOwnLoads(t *testing.T) {
-	v, q := testView(), testView()
+	v, peer := testView(), testView()
 	var tickets []*Ticket
 	for i := range 40 {
 		tickets = append(tickets, v.send(t, at(i), promptRequest(uint64(i%7), i)))
@@ -103,9 +103,9 @@
 		if i%4 == 0 {
 			v.RecordEnd(at(i), tickets[i/3], Answered)
 		}
-		q.ReceiveLoads(at(i), "p", v.TakeChangedLoads(), false)
+		peer.ReceiveLoads(at(i), "p", v.TakeChangedLoads(), false)
 	}
-	for id, h := range q.hosts {
+	for id, h := range peer.hosts {
 		require.Equal(t, v.hosts[id].ownLoad(), h.peerLoads["p"], id)
 	}
 }
--- a/coordination/placement/reading.go
+++ b/coordination/placement/reading.go
@@ -20,7 +20,7 @@
 	// initialCurvature is the relative increase of the mean prefill time per
 	// token, for each token of the prompt's length. It arises because every
 	// token attends to all tokens before it. At 1e-5 a prompt of 50,000 tokens
-	// takes half as long again as ten prompts of 5,000.
+	// takes almost half as long again as ten prompts of 5,000.
 	initialCurvature = 1e-5
 	maxCurvature     = 1e-4
 	// initialChunkTokens is the assumed part of a prompt that an engine
@@ -34,16 +34,17 @@
 	// raiseWeight and lowerWeight are the weights of an observation above and
 	// below an estimate, on a logarithmic scale. maxRaiseLog and maxLowerLog
 	// limit the logarithm of their ratio. Requests of peers that are not yet
-	// known to this router make some observations several times too long, but
-	// none too short. Raising an estimate therefore has more weight than
-	// lowering it, so that the estimate settles at the speed of an undisturbed
-	// engine.
+	// known to this router make some prefills take several times too long, and
+	// none too short, so an observed rate may be too low but not too high.
+	// Raising an estimate therefore has more weight than lowering it, so that
+	// the estimate settles at the speed of an undisturbed engine.
 	raiseWeight = 0.05
 	maxRaiseLog = 0.5
 	lowerWeight = 0.02
 	maxLowerLog = 1.0
-	// eventGapWeight is the weight of an observation whose errors are
-	// symmetric.
+	// eventGapWeight is the weight of an observed event gap in the mean gap
+	// without pending prefill. It is the same for raising and for lowering,
+	// because the errors of these observations are symmetric.
 	eventGapWeight = 0.05
 	// minLearningTokens is the minimum number of uncached tokens from which a
 	// rate is learned: below it, firstTokenOverhead dominates. From
