--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -30,8 +30,8 @@
 // Usage is the cost of one workspace's requests at one router over the window,
 // in cost units.
 type Usage struct {
-	// Requested counts every request once. Admitted counts the requests that
-	// were dispatched.
+	// Requested is the cost of all requests, each counted once. Admitted is the
+	// cost of the requests that were dispatched.
 	Requested float64
 	Admitted  float64
 }
@@ -89,8 +89,8 @@
 	statedShare    float64
 	oversubscribed bool
 	// actualShare is the max-min share of the load that the fleet actually
-	// accepts, if that is more than the stated throughput. It is 0 if the fleet
-	// accepts all requests.
+	// accepts, or of the stated throughput if that is more. It is 0 if the
+	// fleet accepts all requests.
 	actualShare float64
 	totalUsage  map[state.Workspace]Usage
 	computedAt  time.Time
