--- a/coordination/workload/budget_test.go
+++ b/coordination/workload/budget_test.go
@@ -105,7 +105,7 @@
 }
 
 // Guards against unavailable upstreams that use up a router's CPU budget
-// although their streams cost no CPU time.
+// although their streams have no events to relay.
 func TestBudgetRefundsStreamsWithoutEvents(t *testing.T) {
 	b := NewCPUBudget(smallVM)
 	before := b.RemainingFraction(start)
--- a/coordination/workload/workload.go
+++ b/coordination/workload/workload.go
@@ -30,8 +30,9 @@
 	minEmittingStreams = 5
 )
 
-// Estimator counts a router's work. Its counting methods and ExpectedLoad are
-// safe for concurrent use. Observe must be called from a single periodic task.
+// Estimator counts a router's work and estimates the load that it will cause.
+// Observe must be called from a single periodic task. All other methods are
+// safe for concurrent use.
 type Estimator struct {
 	// cores is the VM's CPU share in cores; 0 if it is not known.
 	cores float64
--- a/coordination/workload/workload_test.go
+++ b/coordination/workload/workload_test.go
@@ -15,9 +15,9 @@
 	return r.requestLoad + r.turnedAwayLoad + r.eventLoad
 }
 
-// A VM with a fifth of a core is sent hundreds of streams within half a second.
-// None of them has started, so hardly any CPU time is used yet, but they will
-// need more than the VM has.
+// A VM with a fifth of a core is sent four hundred streams within half a
+// second. None of them has started, so the events of their answers use no CPU
+// time yet. The expected load must include these events.
 func TestActiveStreamsCountBeforeTheyStart(t *testing.T) {
 	e := New(0.2)
 	for range 5 {
