--- a/coordination/slots/slots.go
+++ b/coordination/slots/slots.go
@@ -5,9 +5,11 @@
 //	free = slots + look-ahead - outstanding - foreign
 //	foreign = max(0, reported load - max outstanding within MaxReportLag)
 //
-// Foreign load is the reported load that exceeds the owner's own grants. If two
-// routers both act as the owner of an upstream, each sees the other's work as
-// foreign load, and both back off.
+// Look-ahead is the number of requests that may wait inside the upstream, so
+// that no slot idles until the next request arrives. Foreign load is the
+// reported load that exceeds the owner's own grants. If two routers both act as
+// the owner of an upstream, each sees the other's work as foreign load, and
+// both back off.
 package slots
 
 import (
