--- a/coordination/fairness/doc.go
+++ b/coordination/fairness/doc.go
@@ -9,14 +9,18 @@
 //	               x share(p) / share(o)
 //
 // where own and others are charged and reserved cost, and share(o) and share(p)
-// are the fractions of the service's slots that o and p own. The workspace with
-// the lowest virtual time is next. If every owner instead gave its slots to the
-// workspace that was behind at the last exchange, all would choose the same
-// one, and the gap would grow with the age of the counters. Each owner
-// therefore assumes that the others grant in the same proportions as itself.
-// Only grants are extrapolated, at their estimated cost. The error in the
-// estimate of a single request says nothing about the requests of other owners,
-// so it is not extrapolated.
+// are the fractions of the service's slots that o and p own. lift(w) is the
+// amount by which w was lifted when it returned from idle. forgiven(w) is the
+// amount that the clamp, changes of share(w) and the adoption of a peer's
+// virtual times have subtracted.
+//
+// The workspace with the lowest virtual time is next. If every owner instead
+// gave its slots to the workspace that was behind at the last exchange, all
+// would choose the same one, and the gap would grow with the age of the
+// counters. Each owner therefore assumes that the others grant in the same
+// proportions as itself. Only grants are extrapolated, at their estimated cost.
+// The error in the estimate of a single request says nothing about the requests
+// of other owners, so it is not extrapolated.
 //
 // # Bound
 //
--- a/coordination/fairness/exchange.go
+++ b/coordination/fairness/exchange.go
@@ -69,7 +69,7 @@
 // RemovedOrigins returns the counters of incarnations that are no longer live.
 // A router that has just started can receive them only from its peers.
 func (l *Ledger) RemovedOrigins() []RemovedOrigin {
-	var relays []RemovedOrigin
+	var removed []RemovedOrigin
 	for _, name := range l.sortedOrigins() {
 		o := l.origins[name]
 		if o.live || len(o.counters) == 0 {
@@ -80,9 +80,9 @@
 			r.Entries = append(r.Entries, Entry{Workspace: w, Counter: c, Lift: l.account(w).lift})
 		}
 		sortEntries(r.Entries)
-		relays = append(relays, r)
+		removed = append(removed, r)
 	}
-	return relays
+	return removed
 }
 
 func (l *Ledger) updateServiceRate(period time.Duration) {
--- a/coordination/fairness/fairness_test.go
+++ b/coordination/fairness/fairness_test.go
@@ -162,16 +162,16 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				for _, f := range x.AccountStatuses() {
-					require.GreaterOrEqual(t, f.Charged, charged[f.Workspace])
-					require.GreaterOrEqual(t, f.Reserved, state.Cost(0))
-					charged[f.Workspace] = f.Charged
+				for _, status := range x.AccountStatuses() {
+					require.GreaterOrEqual(t, status.Charged, charged[status.Workspace])
+					require.GreaterOrEqual(t, status.Reserved, state.Cost(0))
+					charged[status.Workspace] = status.Charged
 				}
 			},
 		})
 		y.ReceiveCounters(ox, x.OwnEntries())
-		for i, f := range x.AccountStatuses() {
-			require.Equal(t, f.Fleet, y.AccountStatuses()[i].Fleet)
+		for i, status := range x.AccountStatuses() {
+			require.Equal(t, status.Fleet, y.AccountStatuses()[i].Fleet)
 		}
 	})
 }
--- a/coordination/fairness/ledger.go
+++ b/coordination/fairness/ledger.go
@@ -16,9 +16,8 @@
 	Incarnation state.Incarnation
 }
 
-// Counter holds the cost that one origin has granted to a workspace, in cost
-// units: the served cost, which only grows, and the cost reserved for requests
-// in progress.
+// Counter holds the cost that one origin has granted to a workspace: the served
+// cost, which only grows, and the cost reserved for requests in progress.
 type Counter struct {
 	Charged  state.Cost
 	Reserved state.Cost
@@ -58,8 +57,9 @@
 	// the value of grantedEstimate when counters of the peer were last
 	// received.
 	peerGrantedEstimate float64
-	lift                state.Cost
-	forgiven            float64
+	// lift and forgiven correct the virtual time; see the package comment.
+	lift     state.Cost
+	forgiven float64
 	// models holds the models for which requests wait. idleSince is set while
 	// it is empty.
 	models    map[state.Model]struct{}
@@ -81,8 +81,8 @@
 	accounts    map[state.Workspace]*account
 	origins     map[Origin]*origin
 	originsSeen uint64
-	// extrapolatedAccounts holds the accounts whose extrapolated cost may differ from
-	// zero.
+	// extrapolatedAccounts holds the accounts whose extrapolated cost may differ
+	// from zero.
 	extrapolatedAccounts map[*account]struct{}
 	// byVirtualTime and byModel index the backlogged accounts by virtual time.
 	byVirtualTime *btree.BTreeG[node]
--- a/coordination/fairness/origin.go
+++ b/coordination/fairness/origin.go
@@ -18,7 +18,7 @@
 	share float64
 	live  bool
 	// order determines which incarnation that is no longer live is removed
-	// first: the one whose counters were received first.
+	// first: the one that this ledger has known for longest.
 	order uint64
 }
 
