--- a/coordination/placement/doc.go
+++ b/coordination/placement/doc.go
@@ -9,7 +9,7 @@
 // of pending prefill tokens, plus those of the request itself, divided by the
 // prefill rate. Prompts share parts, and a part that an engine has cached need
 // not be prefilled again. Repeating the prefill of a shared part is therefore
-// weighted at several times its duration. A part that no engine is known to
-// have cached is sent to the first engine in a rendezvous hash, on which all
-// routers agree without exchanging a message.
+// weighted at several times its duration. If a router knows of no engine that
+// has cached a part, it sends the part to the first engine in a rendezvous hash,
+// on which all routers agree without exchanging a message.
 package placement
--- a/coordination/placement/observe.go
+++ b/coordination/placement/observe.go
@@ -122,9 +122,9 @@
 }
 
 // learnPrefillRate learns an engine's prefill rate from a prompt that found the
-// engine idle. If other prompts were ahead of it, it is not known how much of
-// their prefill was already done: learning from all prompts overestimated the
-// rate by a fifth.
+// engine idle. If other prompts were ahead of it, the router does not know how
+// much of their prefill was already done: learning from all prompts
+// overestimated the rate by a fifth.
 func (v *View) learnPrefillRate(now time.Time, t *Ticket) {
 	elapsed := now.Sub(t.placedAt) - firstTokenOverhead
 	if !t.foundIdle || t.uncachedTokens < minLearningTokens || elapsed <= 0 {
