--- a/coordination/quarantine/losses.go
+++ b/coordination/quarantine/losses.go
@@ -17,12 +17,13 @@
 	maxLossFingerprints = 1024
 )
 
-// Losses counts lost connections per request until it is known whether the
-// upstream crashed, so that suspect requests can be held back. A caller that
-// immediately repeats a crashing request is faster than any load report: when
-// only confirmed crashes counted, the same request took down six runs of two
-// engines before the second crash was confirmed. Every loss therefore counts,
-// confirmed or not, until it is confirmed or has expired.
+// Losses counts lost connections per request until the owner confirms that the
+// upstream crashed or the loss expires, so that suspect requests can be held
+// back. A caller that immediately repeats a crashing request is faster than any
+// load report: when only confirmed crashes counted, the same request took down
+// six runs of two engines before the second crash was confirmed. Every loss
+// therefore counts at once, until the List counts it as a confirmed crash or it
+// has expired.
 type Losses struct {
 	byFingerprint map[state.Fingerprint][]time.Time
 }
--- a/coordination/quarantine/quarantine.go
+++ b/coordination/quarantine/quarantine.go
@@ -104,7 +104,7 @@
 	return len(r.runs) >= BlockThreshold
 }
 
-// CrashCount returns the number of runs that a fingerprint is known to have
+// CrashCount returns the number of recorded runs that a fingerprint has
 // crashed.
 func (l *List) CrashCount(f state.Fingerprint) int {
 	el, ok := l.records[f]
