--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -16,9 +16,10 @@
 	// period, if the grace period is short. The requests accepted last need
 	// time to end as well.
 	maxAcceptFraction = 1.0 / 3
-	// maxEndMargin is the part of the grace period that is reserved for
-	// answering the requests that have not ended and for the regular end of the
-	// process, provided that the grace period is long enough.
+	// maxEndMargin is the part of the grace period that is reserved for its
+	// end, provided that the grace period is long enough. One half is for
+	// answering the requests that have not ended, the other half for the
+	// regular end of the process.
 	maxEndMargin = 500 * time.Millisecond
 	// endMarginFraction limits the end margin, as a fraction of the grace
 	// period, if the grace period is short.
