--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -36,8 +36,8 @@
 
 // Allow reports whether a request that has been dispatched the given number of
 // times may be dispatched again, and takes a token if so. Only requests that
-// may run twice without harm are ever retried: after a lost connection it is
-// unknown whether, for example, a booking was completed.
+// may run twice without harm are ever retried: after a lost connection the
+// router cannot know whether, for example, a booking was completed.
 func (b *Budget) Allow(now time.Time, w state.Workspace, repeatable bool, dispatches int) bool {
 	if !repeatable || dispatches >= MaxDispatches {
 		return false
