--- a/coordination/demand/demand.go
+++ b/coordination/demand/demand.go
@@ -122,19 +122,20 @@
 	return d.byAge.Min()
 }
 
-// localPreferenceFactor is the maximum wait of the oldest request of all
-// routers, as a multiple of the wait of the owner's own oldest request, up to
-// which the owner's own request is preferred. It matters at saturation: a slot
-// for a request of the owner's own router needs no message, a slot for a
-// request of a peer needs a grant, a report of its end and an updated demand. A
-// factor of two bounds the delay without a fixed time: no request waits more
-// than twice as long as it would in order of age, whether that is milliseconds
-// or minutes. The choice of the next workspace is not affected.
+// localPreferenceFactor limits how far the owner prefers its own requests: its
+// own oldest request goes first unless the oldest request of all routers has
+// waited more than this many times as long. The preference matters at
+// saturation: a slot for a request of the owner's own router needs no message,
+// a slot for a request of a peer needs a grant, a report of its end and an
+// updated demand. A factor of two bounds the delay without a fixed time: no
+// request waits more than twice as long as it would in order of age, whether
+// that is milliseconds or minutes. The choice of the next workspace is not
+// affected.
 const localPreferenceFactor = 2
 
 // Choose returns the entry that gets a slot: the entry of the local router if
-// its oldest request has waited long enough, otherwise the one with the oldest
-// request of all.
+// localPreferenceFactor allows it, otherwise the one with the oldest request of
+// all.
 func (t *Table) Choose(now time.Time, k Key, local state.Router) (Entry, bool) {
 	oldest, ok := t.Oldest(k)
 	if !ok || oldest.Router == local {
