--- a/coordination/budget/budget.go
+++ b/coordination/budget/budget.go
@@ -31,7 +31,7 @@
 const bucketCount = 21
 
 type bucket struct {
-	slot     int64
+	interval int64
 	requests int
 	repeats  int
 }
@@ -43,10 +43,10 @@
 }
 
 func (b *Budget) bucketAt(now time.Time, window time.Duration) *bucket {
-	slot := now.UnixNano() / int64(window/(bucketCount-1))
-	c := &b.buckets[slot%bucketCount]
-	if c.slot != slot {
-		*c = bucket{slot: slot}
+	interval := now.UnixNano() / int64(window/(bucketCount-1))
+	c := &b.buckets[interval%bucketCount]
+	if c.interval != interval {
+		*c = bucket{interval: interval}
 	}
 	return c
 }
@@ -68,7 +68,7 @@
 	current := b.bucketAt(now, limits.Window)
 	var requests, repeats int
 	for _, c := range b.buckets {
-		if c.slot > current.slot-bucketCount && c.slot <= current.slot {
+		if c.interval > current.interval-bucketCount && c.interval <= current.interval {
 			requests += c.requests
 			repeats += c.repeats
 		}
--- a/coordination/shares/shares.go
+++ b/coordination/shares/shares.go
@@ -37,17 +37,17 @@
 }
 
 type bucket struct {
-	slot  int64
-	usage Usage
+	interval int64
+	usage    Usage
 }
 
 type meter [bucketCount]bucket
 
 func (m *meter) bucketAt(now time.Time) *bucket {
-	slot := now.UnixNano() / int64(bucketWidth)
-	b := &m[slot%bucketCount]
-	if b.slot != slot {
-		*b = bucket{slot: slot}
+	interval := now.UnixNano() / int64(bucketWidth)
+	b := &m[interval%bucketCount]
+	if b.interval != interval {
+		*b = bucket{interval: interval}
 	}
 	return b
 }
@@ -56,8 +56,8 @@
 	newest := now.UnixNano() / int64(bucketWidth)
 	var total Usage
 	for _, b := range m {
-		if b.slot > newest-bucketCount && b.slot <= newest {
-			weight := bucketWeight(newest - b.slot)
+		if b.interval > newest-bucketCount && b.interval <= newest {
+			weight := bucketWeight(newest - b.interval)
 			total.Requested += weight * b.usage.Requested
 			total.Admitted += weight * b.usage.Admitted
 		}
@@ -132,8 +132,8 @@
 	if m == nil {
 		return
 	}
-	slot := at.UnixNano() / int64(bucketWidth)
-	if b := &m[slot%bucketCount]; b.slot == slot {
+	interval := at.UnixNano() / int64(bucketWidth)
+	if b := &m[interval%bucketCount]; b.interval == interval {
 		b.usage.Admitted = max(b.usage.Admitted-cost, 0)
 	}
 }
