--- a/transport/caller/follow.go
+++ b/transport/caller/follow.go
@@ -108,8 +108,8 @@
 }
 
 // sendAttempt runs one attempt. The request's deadline limits only the time
-// until the head of the answer arrives; an answer that has begun is relayed to
-// its end.
+// until the head of the answer arrives. An answer that has begun is relayed to
+// its end, because it is still useful to the caller after the deadline.
 func (x *exchange) sendAttempt(attempt upstream.Attempt, first bool) (res result.Result, final bool) {
 	m := newMeter(x.job, x.h.opts.Now())
 	ctx, cancel := context.WithCancelCause(x.ctx)
@@ -168,9 +168,9 @@
 	return "", false
 }
 
-// checkBeforeSend checks the conditions for sending a request: that it is not
-// sent twice unless it is repeatable, that its deadline has not passed, and
-// that its idempotency key, if any, is claimed.
+// checkBeforeSend checks that a request may be sent: it is not sent twice
+// unless it is repeatable, and its deadline has not passed. It also claims the
+// idempotency key, if the request has one that is not claimed yet.
 func (x *exchange) checkBeforeSend(attempt state.AttemptID) (result.Result, bool) {
 	if x.sent && !x.job.request.Repeatable {
 		// The scheduler dispatches a request that is not repeatable only once.
--- a/transport/caller/handler_test.go
+++ b/transport/caller/handler_test.go
@@ -171,8 +171,8 @@
 			return func() bool { return true }
 		},
 	}))
-	requests, cutOff := context.WithCancelCause(context.Background())
-	b.cancelRequests = cutOff
+	requests, cancelRequests := context.WithCancelCause(context.Background())
+	b.cancelRequests = cancelRequests
 	server.Config.BaseContext = func(net.Listener) context.Context { return requests }
 	server.Start()
 	t.Cleanup(server.Close)
--- a/transport/caller/relay.go
+++ b/transport/caller/relay.go
@@ -79,8 +79,8 @@
 }
 
 func isEventStream(header http.Header) bool {
-	kind, _, _ := strings.Cut(header.Get("Content-Type"), ";")
-	return strings.EqualFold(strings.TrimSpace(kind), "text/event-stream")
+	mediaType, _, _ := strings.Cut(header.Get("Content-Type"), ";")
+	return strings.EqualFold(strings.TrimSpace(mediaType), "text/event-stream")
 }
 
 // copyBuffered collects the answer in the buffer, and switches to streaming if
