--- a/transport/daemon/callers.go
+++ b/transport/daemon/callers.go
@@ -43,7 +43,7 @@
 	view *config.View
 }
 
-// AuthenticateCaller rejects the tokens of operators and teams: these are for
+// AuthenticateCaller refuses the tokens of operators and teams: these are for
 // administration, and belong to no workspace whose share could be charged.
 func (v callerView) AuthenticateCaller(token string) (state.Workspace, bool) {
 	principal, ok := v.view.Authenticate(token)
--- a/transport/daemon/orders.go
+++ b/transport/daemon/orders.go
@@ -65,7 +65,7 @@
 	checksFencing bool
 }
 
-// desiredModels lists the models that an engine should hold.
+// desiredModels lists the models that an engine should have loaded.
 type desiredModels struct {
 	target orderTarget
 	models []state.Model
@@ -122,12 +122,12 @@
 func (o *orderManager) reconcile() {
 	desired, version := o.desired()
 	for name, e := range o.engines {
-		if w, ok := desired[name]; !ok || w.target != e.target {
+		if wanted, ok := desired[name]; !ok || wanted.target != e.target {
 			o.drainEngine(e)
 		}
 	}
-	for _, w := range desired {
-		o.applyDesired(w, version)
+	for _, wanted := range desired {
+		o.applyDesired(wanted, version)
 	}
 }
 
--- a/transport/daemon/orders_test.go
+++ b/transport/daemon/orders_test.go
@@ -127,7 +127,7 @@
 
 // TestNoPlatformCallsWithoutWork guards against needless calls, because
 // hundreds of routers share the platform's rate limits. A router must not call
-// the platform if its engines hold the wanted models or if none are wanted.
+// the platform if its engines have loaded the wanted models or none are wanted.
 func TestNoPlatformCallsWithoutWork(t *testing.T) {
 	b := newOrderFixture(t)
 	close(b.loadResults)
@@ -219,7 +219,7 @@
 
 // TestInvalidReportCausesNoOrder guards against orders based on an invalid
 // report. Such a report lists no models, so the engine would load models again
-// that it already holds.
+// that it has already loaded.
 func TestInvalidReportCausesNoOrder(t *testing.T) {
 	b := newOrderFixture(t)
 	b.engine.SetModelLoaded("m", true)
