--- a/transport/orders/controller.go
+++ b/transport/orders/controller.go
@@ -126,10 +126,10 @@
 	}
 }
 
-// SetDesired replaces the desired state of the engine; nil leaves the engine as it
-// is. settingsVersion is the version of the settings that contain the desired
-// state. SetWish waits until Run accepts it, and does nothing once Run has
-// ended.
+// SetDesired replaces the desired state of the engine; nil leaves the engine as
+// it is. settingsVersion is the version of the settings that contain the desired
+// state. SetDesired waits until Run accepts the change, and does nothing once
+// Run has ended.
 func (c *Controller) SetDesired(desired *fencing.DesiredState, settingsVersion uint64) {
 	c.post(input{event: fencing.DesiredChanged{Desired: desired}, settingsVersion: settingsVersion})
 }
--- a/transport/orders/controller_test.go
+++ b/transport/orders/controller_test.go
@@ -85,10 +85,10 @@
 	return http.DefaultTransport.RoundTrip(r)
 }
 
-// TestPausedHolderResumes pauses router r1 just before it sends an order under
-// its lease. The lease expires, and r2 loads "new". When r1 resumes, an engine
-// that checks fencing numbers rejects its order; for others r1 must find by its
-// own clock that it is too late. r1 must read the lease before it does more.
+// TestPausedHolderResumes pauses router r1 before it sends an order under its
+// lease; r2 takes over and loads "new". An engine that checks fencing numbers
+// rejects r1's late order; for others r1 must find by its clock that it is too
+// late. Only "new" may stay loaded, and r1 must read the lease before it acts.
 func TestPausedHolderResumes(t *testing.T) {
 	for name, checks := range map[string]bool{"engine checks fencing numbers": true, "engine ignores fencing numbers": false} {
 		t.Run(name, func(t *testing.T) {
