--- a/transport/objectstore/faults_test.go
+++ b/transport/objectstore/faults_test.go
@@ -35,9 +35,8 @@
 }
 
 // TestHangingPlatform covers a platform that accepts connections but never
-// answers until the caller gives up. A write may have been applied, so its
-// outcome is unknown. A read changes nothing, so the platform is just
-// unavailable.
+// answers, so that the caller gives up. A write may have been applied, so its
+// outcome is unknown. A read changes nothing, so it fails as unavailable.
 func TestHangingPlatform(t *testing.T) {
 	p, client := startPlatform(t, platform.Options{})
 	p.SetFaults(platform.Faults{Outage: platform.OutageHang})
@@ -97,8 +96,8 @@
 }
 
 // TestRateLimits covers writes above the rate limit, which are answered with
-// 429 and have no effect; later writes succeed again. A waiting watch uses up
-// one read, however long it waits.
+// 429 and have no effect; once the clock has moved on, writes succeed again. A
+// waiting watch uses up one read, however long it waits.
 func TestRateLimits(t *testing.T) {
 	var now atomic.Int64
 	p, client := startPlatform(t, platform.Options{
