--- a/transport/settings/source.go
+++ b/transport/settings/source.go
@@ -161,7 +161,7 @@
 )
 
 // applyAndPublish applies objects and publishes the resulting view once. It
-// returns the last refusal.
+// returns the error of the last object that was refused as invalid.
 func (s *Source) applyAndPublish(from origin, objects ...config.Object) error {
 	err := s.apply(from, objects)
 	s.publish()
@@ -182,19 +182,19 @@
 func (s *Source) apply(from origin, objects []config.Object) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var rejected error
+	var lastErr error
 	for _, o := range objects {
 		changed, err := s.tree.Apply(o)
 		switch {
 		case err != nil:
-			rejected = err
+			lastErr = err
 			s.options.Log.Warn().Str("event", "config_refused").Str("key", o.Key).Uint64("version", o.Version).Str("from", string(from)).Err(err).Send()
 		case changed:
 			s.options.Log.Info().Str("event", "config_taken").Str("key", o.Key).Uint64("version", o.Version).Str("from", string(from)).Send()
 		}
 	}
 	s.updateComplete()
-	return rejected
+	return lastErr
 }
 
 // applyList applies the list of all objects on the platform, which makes the
--- a/transport/settings/writer.go
+++ b/transport/settings/writer.go
@@ -20,7 +20,8 @@
 	// call that takes seconds is lost.
 	callTimeout = 3 * time.Second
 	// resolveAttempts limits the attempts to determine the outcome of a write
-	// whose answer was lost, so that an operator waits at most half a minute.
+	// whose answer was lost, so that an operator waits less than half a minute
+	// if the platform does not answer.
 	resolveAttempts = 5
 	// resolveInterval is the mean time between two attempts.
 	resolveInterval = 400 * time.Millisecond
