--- a/transport/admin/admin_test.go
+++ b/transport/admin/admin_test.go
@@ -193,8 +193,8 @@
 		r.requireRefused(callerToken, c.method, c.path, c.body, nil, result.ConfigOutside)
 		r.requireRefused("nobody", c.method, c.path, c.body, nil, result.Unauthorized)
 	}
-	buried := config.Subtree{Team: "turismo", Deleted: true}
-	r.requireRefused(teamToken, http.MethodPut, "/config/teams/turismo", buried, map[string]string{"If-Match": `"2"`}, result.ConfigOutside)
+	deletedTeam := config.Subtree{Team: "turismo", Deleted: true}
+	r.requireRefused(teamToken, http.MethodPut, "/config/teams/turismo", deletedTeam, map[string]string{"If-Match": `"2"`}, result.ConfigOutside)
 	require.Zero(t, r.drains.Load())
 
 	var list admin.ObjectList
@@ -211,9 +211,9 @@
 // not be in force.
 func TestConflictShowsTheWinner(t *testing.T) {
 	r := newReadyRouter(t)
-	seen := map[string]string{"If-Match": `"2"`}
-	r.request(teamToken, http.MethodPut, "/teams/turismo/workspaces/guides/weight", admin.SetWeight{Weight: 2}, seen, http.StatusOK, nil)
-	p := r.requireRefused(operatorToken, http.MethodPut, "/teams/turismo/workspaces/guides/weight", admin.SetWeight{Weight: 9}, seen, result.ConfigConflict)
+	ifMatch := map[string]string{"If-Match": `"2"`}
+	r.request(teamToken, http.MethodPut, "/teams/turismo/workspaces/guides/weight", admin.SetWeight{Weight: 2}, ifMatch, http.StatusOK, nil)
+	p := r.requireRefused(operatorToken, http.MethodPut, "/teams/turismo/workspaces/guides/weight", admin.SetWeight{Weight: 9}, ifMatch, result.ConfigConflict)
 	require.Equal(t, uint64(3), p.Conflict.Version)
 	require.Contains(t, p.Conflict.Winner.By, "team/turismo/")
 	require.Equal(t, "set weight of workspace guides to 2", p.Conflict.Winner.Summary)
@@ -229,13 +229,13 @@
 func TestRepeatedChangeIsNotDoneTwice(t *testing.T) {
 	r := newReadyRouter(t)
 	path := "/teams/turismo/workspaces/guides/weight"
-	mine := map[string]string{admin.HeaderChangeID: "0123456789abcdef"}
+	sameChangeID := map[string]string{admin.HeaderChangeID: "0123456789abcdef"}
 	var first, again admin.WriteResult
-	r.request(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 2}, mine, http.StatusOK, &first)
+	r.request(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 2}, sameChangeID, http.StatusOK, &first)
 	r.request(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 3}, nil, http.StatusOK, nil)
-	r.request(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 2}, mine, http.StatusOK, &again)
+	r.request(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 2}, sameChangeID, http.StatusOK, &again)
 	require.Equal(t, first, again)
-	r.requireRefused(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 4}, mine, result.BadRequest)
+	r.requireRefused(operatorToken, http.MethodPut, path, admin.SetWeight{Weight: 4}, sameChangeID, result.BadRequest)
 	subtree, _ := r.source.View().Subtree("turismo")
 	require.InDelta(t, 3, subtree.Workspaces[0].Weight, 0)
 }
@@ -284,8 +284,8 @@
 	p := r.requireRefused(operatorToken, http.MethodDelete, "/teams/turismo", nil, nil, result.ConfigInvalid)
 	require.Equal(t, "workspaces", p.Faults[0].Path)
 	r.request(operatorToken, http.MethodDelete, "/teams/turismo?force=true", nil, nil, http.StatusOK, nil)
-	_, alive := r.source.View().Subtree("turismo")
-	require.False(t, alive)
+	_, exists := r.source.View().Subtree("turismo")
+	require.False(t, exists)
 
 	var history admin.HistoryDocument
 	r.request(operatorToken, http.MethodGet, "/history/root", nil, nil, http.StatusOK, &history)
@@ -329,9 +329,9 @@
 func TestEmptyFleetTokenGrantsNoAccess(t *testing.T) {
 	r := newReadyRouter(t)
 	r.request(fleetToken, http.MethodGet, "/status", nil, nil, http.StatusOK, nil)
-	open := admin.New(admin.Options{Source: r.source, Status: r, Log: zerolog.Nop()})
+	handler := admin.New(admin.Options{Source: r.source, Status: r, Log: zerolog.Nop()})
 	answer := httptest.NewRecorder()
-	open.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, admin.Prefix+"/status", nil))
+	handler.ServeHTTP(answer, httptest.NewRequest(http.MethodGet, admin.Prefix+"/status", nil))
 	require.Equal(t, http.StatusUnauthorized, answer.Code)
 }
 
