--- a/transport/logging/throttle.go
+++ b/transport/logging/throttle.go
@@ -14,12 +14,13 @@
 	// routineLinesPerSecond and failureLinesPerSecond limit the lines per
 	// second of one kind: the first for lines of successes, the second for
 	// those of refusals and failures. A router of the largest fleet serves 230
-	// requests per second, so only lines above that rate are dropped. At 400
-	// bytes a line, both limits together allow 360 KB/s for lines of requests.
+	// requests per second, which is below both limits, so lines are dropped
+	// only beyond its usual load. At 400 bytes a line, both limits together
+	// allow 360 KB/s for lines of requests.
 	routineLinesPerSecond = 300
 	failureLinesPerSecond = 600
-	// maxKinds limits the number of kinds that are counted separately. The
-	// events named in the code are fewer.
+	// maxKinds limits the number of kinds that are counted separately. It is
+	// larger than the number of events, whose names are fixed in the code.
 	maxKinds = 128
 )
 
