--- a/transport/metrics/metrics.go
+++ b/transport/metrics/metrics.go
@@ -14,8 +14,8 @@
 )
 
 // reportInterval is the interval at which tally passes its metrics to the
-// reporter. With a scrape interval of 15 s, the values are at most one second
-// old.
+// reporter. A scraper, which may read only every 15 s, then receives values
+// that are at most one second old.
 const reportInterval = time.Second
 
 // MaxSeries limits the number of pairs of workspace and class that have
