--- a/coordination/claims/chain_test.go
+++ b/coordination/claims/chain_test.go
@@ -43,8 +43,8 @@
 // receives the same request again.
 func TestLostWriteAnswers(t *testing.T) {
 	for name, bytes := range map[string]int{"append": 200, "seal": 100, "create": oneEntryBytes} {
-		for _, landing := range []string{"at once", "never", "late"} {
-			t.Run(name+" "+landing, func(t *testing.T) {
+		for _, effect := range []string{"at once", "never", "late"} {
+			t.Run(name+" "+effect, func(t *testing.T) {
 				p := &platform{}
 				r := newSizedRouter("pudahuel-1", bytes)
 				keys := keysInShard(r, 3, 3)
@@ -56,7 +56,7 @@
 				write := r.nextCall().(Write)
 				require.Equal(t, name == "create", write.Slot > 0 && write.Expected == 0)
 				require.Equal(t, name != "append", isSealed(write.Value))
-				if landing == "at once" {
+				if effect == "at once" {
 					p.write(write)
 				}
 				r.step(WriteDone{Shard: write.Shard, Outcome: WriteUnknown})
@@ -64,7 +64,7 @@
 				r.step(Tick{})
 				require.NotContains(t, r.decided, req.Attempt)
 				r.answer(p, r.nextCall())
-				if landing == "late" {
+				if effect == "late" {
 					p.write(write)
 				}
 				r.settle(p)
--- a/coordination/claims/machine.go
+++ b/coordination/claims/machine.go
@@ -35,8 +35,8 @@
 	withdrawn bool
 }
 
-// cannotTakeEffect reports whether no earlier write of this op can take effect any
-// more.
+// cannotTakeEffect reports whether no earlier write of this op can take effect
+// any more.
 func (o *op) cannotTakeEffect(at position) bool { return !o.fenced || at.after(o.fence) }
 
 // position is a version of one segment of a chain.
--- a/coordination/claims/machine_test.go
+++ b/coordination/claims/machine_test.go
@@ -208,14 +208,14 @@
 // the router's own claim, whether the write took effect before that read or
 // only after it.
 func TestLostAnswerIsReadBack(t *testing.T) {
-	for _, landsLate := range []bool{false, true} {
+	for _, takesEffectLate := range []bool{false, true} {
 		p := &platform{}
 		r := newRouter("pudahuel-1", 1)
 		req := r.request("k", 1)
 		r.step(ClaimWanted{Request: req})
 		r.answer(p, r.nextCall())
 		write := r.nextCall().(Write)
-		if !landsLate {
+		if !takesEffectLate {
 			p.write(write)
 		}
 		r.step(WriteDone{Shard: write.Shard, Outcome: WriteUnknown})
@@ -223,7 +223,7 @@
 		r.now = r.wake
 		r.step(Tick{})
 		r.answer(p, r.nextCall())
-		if landsLate {
+		if takesEffectLate {
 			p.write(write)
 		}
 		r.settle(p)
@@ -236,15 +236,15 @@
 // take effect. The claim must be released by the time its key is claimed again,
 // or the answer would be "in progress" for the whole retention.
 func TestUnsettledClaimIsReleased(t *testing.T) {
-	for _, landing := range []string{"never", "before the outage", "after the first read back"} {
-		t.Run(landing, func(t *testing.T) {
+	for _, effect := range []string{"never", "before the outage", "after the first read back"} {
+		t.Run(effect, func(t *testing.T) {
 			p := &platform{}
 			r := newRouter("pudahuel-1", 1)
 			req := r.request("k", 1)
 			r.step(ClaimWanted{Request: req})
 			r.answer(p, r.nextCall())
 			write := r.nextCall().(Write)
-			if landing == "before the outage" {
+			if effect == "before the outage" {
 				p.write(write)
 			}
 			r.step(WriteDone{Shard: write.Shard, Outcome: WriteUnknown})
@@ -257,7 +257,7 @@
 			r.now = r.wake
 			r.step(Tick{})
 			r.answer(p, r.nextCall())
-			if landing == "after the first read back" {
+			if effect == "after the first read back" {
 				p.write(write)
 			}
 			r.settle(p)
