--- a/coordination/claims/minted/mint.go
+++ b/coordination/claims/minted/mint.go
@@ -12,7 +12,7 @@
 
 const (
 	// Lifetime is the time within which an issued key must be used. A caller
-	// fetches a key when its user starts to enter the request.
+	// fetches a key when its user starts to fill in the form that it will send.
 	Lifetime = time.Hour
 	// MaxKeys bounds the number of records of a router. At about 100 bytes
 	// each, they take about 20 MB of the memory of a small VM.
@@ -80,8 +80,8 @@
 	sequence         uint64
 	records          map[uint64]*record
 	keysPerWorkspace map[state.Workspace]int
-	// issued and used hold sequence numbers in the order in which their records
-	// expire.
+	// issued and claimed hold the sequence numbers of issued keys and of claimed
+	// ones, in the order in which their records expire.
 	issued, claimed []expiry
 }
 
@@ -129,8 +129,8 @@
 	return key, expiresAt, result.New(result.OK, "")
 }
 
-// Claim returns OK if the request with the key may run now. It does so once per
-// key.
+// Claim returns OK if the request with the key may run now. After that it
+// returns a refusal, unless Complete reports that the request did not run.
 func (m *Mint) Claim(now time.Time, req claims.Request) result.Result {
 	m.forgetExpired(now)
 	key, err := Parse(req.Key)
