--- a/coordination/scheduler/demand.go
+++ b/coordination/scheduler/demand.go
@@ -70,7 +70,7 @@
 	return announced == 0 && waiting > 0
 }
 
-// pickUrgentOwners selects owners in rotation.
+// pickUrgentOwners selects up to urgentDemandOwners owners, in rotation.
 func (s *Scheduler) pickUrgentOwners(svc *service) []state.Router {
 	if len(svc.owners) <= urgentDemandOwners {
 		return svc.owners
--- a/coordination/scheduler/event.go
+++ b/coordination/scheduler/event.go
@@ -22,8 +22,8 @@
 	Router      state.Router
 	DataCentre  state.DataCentre
 	Incarnation state.Incarnation
-	// Draining is set for a router that owns no upstreams because it shuts
-	// down.
+	// Draining is set for a router that shuts down. It owns no upstreams,
+	// unless all live routers are draining.
 	Draining bool
 }
 
--- a/coordination/scheduler/large_test.go
+++ b/coordination/scheduler/large_test.go
@@ -35,7 +35,8 @@
 	return Configured{Settings: config.Settings{Services: []config.Service{svc}}}
 }
 
-// newLargeFleetRouter returns a router of a large fleet and the upstreams that it owns.
+// newLargeFleetRouter returns a router of a large fleet and the upstreams that
+// it owns.
 func newLargeFleetRouter(now time.Time, upstreams int) (*Scheduler, []state.Upstream) {
 	all := largePeers(largeRouters)
 	s := New(Options{Self: all[0]})
@@ -107,11 +108,11 @@
 func BenchmarkLargeIntroduce(b *testing.B) {
 	now := time.Unix(1000, 0)
 	s := New(Options{Self: Peer{Router: "a", Incarnation: 1}})
-	heard := UsageHeard{Origin: "gone", Incarnation: 1}
+	received := UsageHeard{Origin: "gone", Incarnation: 1}
 	for i := range 6300 {
-		heard.Entries = append(heard.Entries, UsageEntry{Service: "draft", Workspace: state.Workspace(fmt.Sprint("w", i)), Charged: 1})
+		received.Entries = append(received.Entries, UsageEntry{Service: "draft", Workspace: state.Workspace(fmt.Sprint("w", i)), Charged: 1})
 	}
-	s.Step(now, heard)
+	s.Step(now, received)
 	longest := 0
 	starting := Peer{Router: "b"}
 	for b.Loop() {
--- a/coordination/scheduler/measure_test.go
+++ b/coordination/scheduler/measure_test.go
@@ -122,6 +122,8 @@
 	}
 }
 
+// weightedService returns the service that each workspace has received, divided
+// by its share, in slot-seconds of a workspace of mean share.
 func (f *fleet) weightedService(shares map[state.Workspace]float64) []float64 {
 	out := make([]float64, len(shares))
 	for i := range out {
@@ -144,6 +146,8 @@
 	return out
 }
 
+// gapSince returns the difference between the largest and the smallest growth
+// of weighted service since base.
 func gapSince(now, base []float64) float64 {
 	minGrowth, maxGrowth := math.Inf(1), math.Inf(-1)
 	for i := range now {
--- a/coordination/scheduler/options.go
+++ b/coordination/scheduler/options.go
@@ -29,7 +29,7 @@
 	DefaultNoUpstreamGrace = 5 * time.Second
 	// DefaultFreezeAfter is the gap between ticks above which the process
 	// counts as paused. It equals the lifetime of a grant, so that every grant
-	// received before the pause has expired at its owner.
+	// sent before the pause has expired at its owner when the process resumes.
 	DefaultFreezeAfter = 2 * time.Second
 )
 
@@ -50,8 +50,8 @@
 	// leavingRepeat is the interval at which the departure of a draining
 	// upstream is announced again, so that other routers do not forget it.
 	leavingRepeat = 10 * time.Second
-	// forgetIdleInterval is the interval at which idle workspaces are removed from
-	// the queues.
+	// forgetIdleInterval is the interval at which idle workspaces are removed
+	// from the queues.
 	forgetIdleInterval = 10 * time.Second
 	// adoptionPeriod is the time after the start in which this router takes
 	// over virtual times from its peers. Each peer sends them once, when it
--- a/coordination/scheduler/peers.go
+++ b/coordination/scheduler/peers.go
@@ -90,9 +90,9 @@
 // reassignUpstreams computes the owner of every upstream and reports whether
 // any may have changed.
 //
-// Large fleets restart or replace hundreds of routers within 24 hours. A
-// restart that arrives as a single change moves no upstream, and any other
-// change moves only a few.
+// In a large fleet hundreds of routers restart or leave every day. A restart
+// that arrives as a single change moves no upstream, and any other change moves
+// only a few.
 func (s *Scheduler) reassignUpstreams() bool {
 	before := s.ownerTable
 	candidates := s.ownerCandidates()
--- a/coordination/scheduler/request.go
+++ b/coordination/scheduler/request.go
@@ -21,8 +21,9 @@
 	cost     state.Cost
 	// unreported is the part of cost that was not reported to the owner yet.
 	unreported state.Cost
-	// reserved is the cost that the owner has reserved. It doubles at the owner
-	// under the same condition as here.
+	// reserved is the cost that the owner has reserved. The grant contains it;
+	// after that, each of the two routers doubles its own copy as the cost of
+	// the request grows.
 	reserved state.Cost
 	// startAnnounced is set once the owner was informed that the grant is in
 	// use.
@@ -139,8 +140,8 @@
 	}
 }
 
-// handleTimeouts refuses requests whose deadline has passed and withdraws expired
-// grants, except those whose request may still run.
+// handleTimeouts refuses requests whose deadline has passed and withdraws
+// expired grants, except those whose request may still run.
 func (s *Scheduler) handleTimeouts() {
 	for _, item := range s.queues.TakeExpired(s.now) {
 		s.syncAfterRemoval(item)
@@ -160,9 +161,9 @@
 }
 
 // mayStillRun reports whether the load of an upstream accounts for all its
-// outstanding grants. Long requests send no reports until they exceed their
-// reservation, so the lack of reports alone does not show that a request has
-// ended.
+// outstanding grants, or is unknown because there is no fresh load report. The
+// routers that run long requests send no reports until the reservation is used
+// up, so the lack of reports alone does not show that a request has ended.
 func (s *Scheduler) mayStillRun(g *grants.Grant) bool {
 	u := s.upstreams[g.Upstream]
 	if u == nil {
@@ -180,12 +181,13 @@
 }
 
 // handleProgressed records the cost of a running request. If another router
-// owns the upstream, it receives a report only once the request has exceeded
-// its reservation: until then the whole reservation counts, whatever part of it
-// was served, so that a message would not change the order of workspaces. When
-// reports were sent every second, they were the largest part of the control
-// traffic. If a router crashes, its unreported cost is lost, which is at most
-// the reservation of each of its requests.
+// owns the upstream, that router receives the cost with the announcement of the
+// start, and then only once the request has used up its reservation: until then
+// the whole reservation counts, whatever part of it was served, so that a
+// message would not change the order of workspaces. When reports were sent
+// every second, they were the largest part of the control traffic. If a router
+// crashes, its unreported cost is lost, which is at most the reservation of
+// each of its requests.
 func (s *Scheduler) handleProgressed(id state.RequestID, cost state.Cost) {
 	r := s.running[id]
 	if r == nil {
--- a/coordination/scheduler/scheduler.go
+++ b/coordination/scheduler/scheduler.go
@@ -53,10 +53,13 @@
 	estimates         *estimate.Estimator
 	retries           *retry.Budget
 	quarantine        *quarantine.List
-	suspicions        quarantine.Suspicions
-	losses            *quarantine.Losses
-	issuedGrants      *grants.Table
-	seenGrants        *grants.SeenSequences
+	// suspicions holds lost connections to owned upstreams for which no failure
+	// of the upstream was seen yet. losses holds those to all upstreams, as
+	// long as they are not confirmed as crashes.
+	suspicions   quarantine.Suspicions
+	losses       *quarantine.Losses
+	issuedGrants *grants.Table
+	seenGrants   *grants.SeenSequences
 
 	timers timers
 	// discardUntil is the end of the period after a pause of the process in
--- a/coordination/scheduler/split_test.go
+++ b/coordination/scheduler/split_test.go
@@ -31,7 +31,7 @@
 		require.False(t, m.Full)
 		restarted.Step(now, UsageHeard{Origin: m.Origin, Incarnation: m.Incarnation, Entries: m.Entries, Full: m.Full})
 	}
-	heard := restarted.Status(now).Services[0].Workspaces
-	require.Len(t, heard, workspaces)
-	require.Equal(t, old.Status(now).Services[0].Workspaces, heard)
+	received := restarted.Status(now).Services[0].Workspaces
+	require.Len(t, received, workspaces)
+	require.Equal(t, old.Status(now).Services[0].Workspaces, received)
 }
--- a/coordination/scheduler/upstream.go
+++ b/coordination/scheduler/upstream.go
@@ -110,10 +110,10 @@
 }
 
 // reportSuspicion reports to all peers that the connection of a request was
-// lost. They hold the request back, and the owner of the upstream decides
-// whether it was a crash: only the owner receives load reports and can
-// distinguish a crash from a broken connection. A crash message with an empty
-// Boot is a suspicion.
+// lost. They count the loss and refuse the request if isSuspected says so. The
+// owner of the upstream decides whether it was a crash, because only the owner
+// receives load reports and can distinguish a crash from a broken connection. A
+// crash message with an empty Boot is a suspicion.
 func (s *Scheduler) reportSuspicion(r *dispatchedRequest, outcome Outcome) {
 	if outcome != OutcomeLost && outcome != OutcomeTruncated || r.item.Fingerprint == 0 {
 		return
