--- a/coordination/claims/machine.go
+++ b/coordination/claims/machine.go
@@ -170,15 +170,15 @@
 	m.actions = m.actions[:0]
 	switch e := event.(type) {
 	case ClaimWanted:
-		m.handleWanted(now, e.Request)
+		m.handleClaimWanted(now, e.Request)
 	case ClaimWithdrawn:
 		m.withdrawClaim(now, e.Request)
 	case RequestFinished:
-		m.handleFinished(now, e)
+		m.handleRequestFinished(now, e)
 	case ReadDone:
-		m.readDone(now, e)
+		m.handleReadDone(now, e)
 	case WriteDone:
-		m.writeDone(now, e)
+		m.handleWriteDone(now, e)
 	case FleetResized:
 		m.setFleetSize(e.Routers)
 	case FlushRequested:
@@ -197,7 +197,7 @@
 	m.interval = time.Second * time.Duration(max(routers, 1)) / FleetRoundsPerSecond
 }
 
-func (m *Machine) handleWanted(now time.Time, req Request) {
+func (m *Machine) handleClaimWanted(now time.Time, req Request) {
 	digest := req.Digest()
 	s := &m.shards[ShardOf(digest)]
 	m.enqueue(s, &op{kind: opClaim, digest: digest, claim: req.Attempt, arrived: now})
@@ -266,7 +266,7 @@
 	m.enqueue(s, &op{kind: opRelease, digest: o.digest, claim: o.claim, arrived: now, fence: o.fence, fenced: true})
 }
 
-func (m *Machine) handleFinished(now time.Time, e RequestFinished) {
+func (m *Machine) handleRequestFinished(now time.Time, e RequestFinished) {
 	if e.Ran == result.RanNo {
 		m.withdrawClaim(now, e.Request)
 		return
--- a/coordination/claims/pump.go
+++ b/coordination/claims/pump.go
@@ -266,12 +266,12 @@
 			m.applySettlement(s, remaining, o)
 			continue
 		}
-		m.refuseFull(now, s, o)
+		m.refuseShardFull(now, s, o)
 	}
 	return remaining
 }
 
-func (m *Machine) refuseFull(now time.Time, s *shardState, o *op) {
+func (m *Machine) refuseShardFull(now time.Time, s *shardState, o *op) {
 	res := result.New(result.ClaimUnavailable, "The shard of this key is full.")
 	m.decide(o, res.WithRetryAfter(unavailableRetry))
 	m.releaseIfFenced(now, s, o)
--- a/coordination/claims/read.go
+++ b/coordination/claims/read.go
@@ -24,7 +24,7 @@
 // retention.
 var errNoSlot = errors.New("claims: the next slot still holds claims within the retention")
 
-func (m *Machine) readDone(now time.Time, e ReadDone) {
+func (m *Machine) handleReadDone(now time.Time, e ReadDone) {
 	s := &m.shards[e.Shard]
 	m.endCall(s)
 	if e.Outcome != ReadOK {
--- a/coordination/claims/round.go
+++ b/coordination/claims/round.go
@@ -33,7 +33,7 @@
 func (m *Machine) applyClaim(now time.Time, s *shardState, d *draft, o *op) bool {
 	e := d.lookup(o.digest)
 	if e == nil && m.isFull(now, s) {
-		m.refuseFull(now, s, o)
+		m.refuseShardFull(now, s, o)
 		return true
 	}
 	if e == nil {
@@ -113,7 +113,7 @@
 	m.queueShard(s)
 }
 
-func (m *Machine) writeDone(now time.Time, e WriteDone) {
+func (m *Machine) handleWriteDone(now time.Time, e WriteDone) {
 	s := &m.shards[e.Shard]
 	m.endCall(s)
 	if s.emptying {
--- a/coordination/grants/grants_test.go
+++ b/coordination/grants/grants_test.go
@@ -27,7 +27,7 @@
 	require.Equal(t, []*Grant{unreported}, table.TakeExpired(now.Add(ReportTimeout)), "the report of the end was lost")
 }
 
-func TestReservationDoublesWhenOutgrown(t *testing.T) {
+func TestReservationDoublesWhenExceeded(t *testing.T) {
 	g := Grant{Reserved: 100}
 	for _, c := range []struct{ cost, remaining state.Cost }{{40, 60}, {60, 0}, {1, 99}, {150, 149}} {
 		g.Charge(c.cost)
--- a/coordination/scheduler/large_test.go
+++ b/coordination/scheduler/large_test.go
@@ -12,15 +12,15 @@
 // largeRouters and largeUpstreams are the planned size of the fleet. With its
 // 25 data centres a router owns about 14 upstreams.
 const (
-	largeRouters   = 730
-	largeUpstreams = 10_000
-	largeCentres   = 25
+	largeRouters     = 730
+	largeUpstreams   = 10_000
+	largeDataCentres = 25
 )
 
 func largePeers(n int) []Peer {
 	list := make([]Peer, 0, n)
 	for i := range n {
-		dc := state.DataCentre(fmt.Sprintf("dc-%02d", i%largeCentres))
+		dc := state.DataCentre(fmt.Sprintf("dc-%02d", i%largeDataCentres))
 		list = append(list, Peer{Router: state.Router(fmt.Sprintf("router-%04d", i)), DataCentre: dc, Incarnation: 1})
 	}
 	return list
@@ -29,7 +29,7 @@
 func largeSettings(upstreams int) Configured {
 	svc := config.Service{Name: "draft"}
 	for i := range upstreams {
-		dc := state.DataCentre(fmt.Sprintf("dc-%02d", i%largeCentres))
+		dc := state.DataCentre(fmt.Sprintf("dc-%02d", i%largeDataCentres))
 		svc.Upstreams = append(svc.Upstreams, config.Upstream{Name: state.Upstream(fmt.Sprintf("vm-%05d", i)), DataCentre: dc})
 	}
 	return Configured{Settings: config.Settings{Services: []config.Service{svc}}}
