--- a/cmd/figstile/internal/cli/client.go
+++ b/cmd/figstile/internal/cli/client.go
@@ -60,8 +60,8 @@
 	idFlag
 }
 
-// change describes a request to the administration API. Reads are described by it
-// as well, but only get uses it for them.
+// change describes a request to the administration API. Most requests change
+// something; get also uses this type for its reads.
 type change struct {
 	method string
 	path   string
--- a/cmd/figstile/internal/cli/config.go
+++ b/cmd/figstile/internal/cli/config.go
@@ -142,7 +142,9 @@
 // baseVersion returns the version that the file is meant to replace. The file
 // contains the id of the change that was in force when the object was read. If
 // another change is in force now, applying the file would undo changes that
-// others have made since then, so baseVersion returns an error.
+// others have made since then, so baseVersion returns an error. There is no error
+// if --force is given, or if the change of --change-id is already in the object's
+// history: then the command is a repetition, which the router recognises.
 func (c configApply) baseVersion(a *app, data []byte) (uint64, error) {
 	if c.Create {
 		return 0, nil
