--- a/loadgen/observe.go
+++ b/loadgen/observe.go
@@ -54,8 +54,8 @@
 	// calculated from the tokens and responses that its callers have received.
 	Served []float64 `json:"served"`
 	// Waiting is the number of requests of each workspace that wait in the
-	// queues of the routers. In a direct run, without routers, it counts the
-	// requests whose response header has not been received.
+	// queues of the routers. If no router reported its status, as in a direct
+	// run, it counts the requests whose response header has not been received.
 	Waiting []int `json:"waiting"`
 	// Gap is the fairness gap in cost units at equal shares.
 	Gap float64 `json:"gap"`
@@ -119,10 +119,10 @@
 			waiting[i] = n > 0
 		}
 		serviceSample.Gap = tracker.observe(serviceSample.Served, waiting)
-		for _, row := range s.loads {
-			if row.service == service && !row.report.Draining {
-				serviceSample.Running += row.report.Running
-				serviceSample.Slots += row.report.Slots
+		for _, load := range s.loads {
+			if load.service == service && !load.report.Draining {
+				serviceSample.Running += load.report.Running
+				serviceSample.Slots += load.report.Slots
 			}
 		}
 		s.Services[service] = serviceSample
@@ -131,9 +131,9 @@
 }
 
 // sampleService returns the state of one service. It takes the number of
-// waiting requests from the routers if there are any: the callers cannot
-// distinguish a queued request from one that an upstream has started and not
-// answered yet.
+// waiting requests from the statuses of the routers if there are any: the callers
+// cannot distinguish a queued request from one that an upstream has started and
+// not answered yet.
 func (o *observer) sampleService(service state.Service, statuses []daemon.Status) *ServiceSample {
 	counters := o.runner.counters[service]
 	sample := &ServiceSample{Served: make([]float64, len(counters)), Waiting: make([]int, len(counters))}
@@ -196,9 +196,9 @@
 	}
 	for _, u := range o.runner.fleet.Upstreams {
 		group.Go(func() {
-			row := upstreamLoad{service: u.Service}
-			err := o.getJSON(ctx, u.URL+"/load", &row.report)
-			collect(err, func() { s.loads[u.Name] = row })
+			load := upstreamLoad{service: u.Service}
+			err := o.getJSON(ctx, u.URL+"/load", &load.report)
+			collect(err, func() { s.loads[u.Name] = load })
 		})
 	}
 	group.Wait()
--- a/loadgen/record.go
+++ b/loadgen/record.go
@@ -32,7 +32,7 @@
 	Key        string
 	Resent     bool
 	// CallerLeft is set if the caller cancelled the request before the response
-	// was complete.
+	// was complete, by its AbandonAfter or because the run ended.
 	CallerLeft bool
 	// ConnectionError is the error that ended the exchange before the response
 	// was complete.
--- a/loadgen/result.go
+++ b/loadgen/result.go
@@ -221,9 +221,9 @@
 
 // minReceivedShare returns the entry with the smallest fraction, or a zero
 // entry if no workspace had requests waiting for long enough.
-func minReceivedShare(portions []ReceivedShare) ReceivedShare {
+func minReceivedShare(received []ReceivedShare) ReceivedShare {
 	var lowest ReceivedShare
-	for _, p := range portions {
+	for _, p := range received {
 		if p.WaitingSeconds >= minWaitingSeconds && (lowest.Workspace == "" || p.Fraction < lowest.Fraction) {
 			lowest = p
 		}
--- a/loadgen/schedule.go
+++ b/loadgen/schedule.go
@@ -49,7 +49,7 @@
 			calls = append(calls, g.generate(stream)...)
 		}
 	}
-	slices.SortStableFunc(calls, func(stream, b Call) int { return cmp.Compare(stream.SendAt, b.SendAt) })
+	slices.SortStableFunc(calls, func(a, b Call) int { return cmp.Compare(a.SendAt, b.SendAt) })
 	return calls
 }
 
--- a/loadgen/send.go
+++ b/loadgen/send.go
@@ -193,9 +193,9 @@
 // eventPrefix is the prefix of each server-sent event of a stream.
 const eventPrefix = "data: "
 
-// Read reads from the response body. It adds the cost of streamed tokens to the
-// usage counters as they arrive, so that the service of a long stream does not
-// appear only at its end.
+// Read reads from the response body. It adds one cost unit to the usage counters
+// for each event of a stream, so that the service of a long stream does not appear
+// only at its end. settleCost corrects the sum when the real cost is known.
 func (b *timedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if n == 0 {
