--- a/capacity/measure_memory.go
+++ b/capacity/measure_memory.go
@@ -47,6 +47,8 @@
 	}
 }
 
+// harnessWithRequests returns a harness with n waiting requests. It first advances
+// the clock beyond the expiry of load reports, so that no request is dispatched.
 func harnessWithRequests(n int) any {
 	h := newSchedulerHarness(fleetSize{8, 8, 6300, 1})
 	h.now = h.now.Add(time.Minute)
@@ -84,6 +86,9 @@
 	return entries
 }
 
+// harnessWithDemand returns a harness that stores a peer's demand of the given
+// number of lines. It first advances the clock beyond the expiry of load reports,
+// so that no slot is granted.
 func harnessWithDemand(lines int) any {
 	h := newSchedulerHarness(fleetSize{8, 8, 6300, 1})
 	h.now = h.now.Add(time.Minute)
--- a/capacity/measure_sessions.go
+++ b/capacity/measure_sessions.go
@@ -154,8 +154,8 @@
 	close(m.received)
 }
 
-// resourceCost is the traffic in bytes and the CPU time in nanoseconds of both
-// ends together, for one message or per second.
+// resourceCost is the traffic in bytes, and the CPU time in nanoseconds that both
+// ends together use, for one message or per second.
 type resourceCost struct{ bytes, cpuNanoseconds float64 }
 
 // countedMessages is the number of messages that are counted. It is large
@@ -163,8 +163,9 @@
 // bulk stream, changes the result by a thousandth.
 const countedMessages = 1000
 
-// messageCost returns the cost of one usage message. It sends the messages one
-// after the other, because messages that wait together share a yamux frame. It
+// messageCost returns the cost of one usage message. The bytes are those that the
+// session adds to the encoded message and its length prefix. It sends the messages
+// one after the other, because messages that wait together share a yamux frame. It
 // uses the byte count of the receiver, which is updated before the message is
 // delivered, whereas the sender may update its own count later.
 func messageCost(ctx context.Context, counters int) (resourceCost, error) {
--- a/capacity/measure_traffic.go
+++ b/capacity/measure_traffic.go
@@ -108,7 +108,8 @@
 
 // demandTraffic returns the messages and bytes per second that one owner
 // receives while requests of the given number of workspaces wait for upstreams
-// of other owners. The result is a mean over the owners.
+// of other owners. It first advances the clock beyond the expiry of load reports,
+// so that no request is dispatched. The result is a mean over the owners.
 func demandTraffic(lines int) (sentTraffic, error) {
 	h := newSchedulerHarness(fleetSize{trafficPeers, 100, lines, 1})
 	h.now = h.now.Add(observedPeriod)
--- a/capacity/measure_wire.go
+++ b/capacity/measure_wire.go
@@ -147,8 +147,8 @@
 }
 
 // meanOpenEntries returns the mean number of entries in an open segment, which
-// is half of the number that fits. The argument bytes is the size of a segment
-// against its number of entries.
-func meanOpenEntries(bytes Slope) float64 {
-	return max(0, claims.SegmentBytes-bytes.Base) / bytes.Rate / 2
+// is half of the number that fits. The argument segmentBytes is the slope of the
+// size of a segment in bytes against its number of entries.
+func meanOpenEntries(segmentBytes Slope) float64 {
+	return max(0, claims.SegmentBytes-segmentBytes.Base) / segmentBytes.Rate / 2
 }
--- a/capacity/rig.go
+++ b/capacity/rig.go
@@ -90,9 +90,9 @@
 
 // queueRequests adds the given number of requests, spread over the workspaces.
 // Those for which there is no free slot stay in the queue.
-func (h *schedulerHarness) queueRequests(workspaces int) []scheduler.Action {
+func (h *schedulerHarness) queueRequests(requests int) []scheduler.Action {
 	var actions []scheduler.Action
-	for i := range workspaces {
+	for i := range requests {
 		h.lastID++
 		actions = append(actions, h.step(scheduler.Arrived{Request: h.newRequest(i)})...)
 	}
@@ -138,6 +138,7 @@
 
 // The following functions return names of the same length as real ones, because
 // names make up most of the bytes of a message.
+
 func serviceNamed(i int) state.Service { return state.Service(fmt.Sprintf("redaccion-%02d", i)) }
 
 func workspaceNamed(i int) state.Workspace { return state.Workspace(fmt.Sprintf("workspace-%05d", i)) }
