--- a/oncall_test.go
+++ b/oncall_test.go
@@ -24,8 +24,8 @@
 var sharedLogPaths = []string{"transport/peer", "transport/logging"}
 
 // An engineer on call must not search the logs for a field that no longer exists.
-// Every event and field in the page's table must exist in the code, and every
-// event that edgeLogPaths log must be in the table.
+// Every event and field in the table of docs/OPERATIONS.md must exist in the code,
+// and every event that the code in edgeLogPaths logs must be in the table.
 func TestOperationsPageListsLogFields(t *testing.T) {
 	edgeEvents, allEvents := loggedEvents(t, edgeLogPaths), loggedEvents(t, append(edgeLogPaths, sharedLogPaths...))
 	page := pageEvents(t)
@@ -96,10 +96,10 @@
 // collectEvents adds the events that a declaration logs. Fields can be set before
 // the chain of calls that ends with the event, so every field in a declaration
 // counts for all of its events.
-func collectEvents(function ast.Node, events map[string]map[string]bool) {
+func collectEvents(declaration ast.Node, events map[string]map[string]bool) {
 	var eventNames []string
 	fields := make(map[string]bool)
-	ast.Inspect(function, func(n ast.Node) bool {
+	ast.Inspect(declaration, func(n ast.Node) bool {
 		call, ok := n.(*ast.CallExpr)
 		if !ok {
 			return true
