--- a/transport/edge/arrival.go
+++ b/transport/edge/arrival.go
@@ -29,8 +29,8 @@
 	// onFirstRead is called after the first request of a connection was read.
 	onFirstRead func()
 
-	mu  sync.Mutex
-	lag workload.ReadLag
+	mu        sync.Mutex
+	estimator workload.ReadDelayEstimator
 	// unreadConns holds the connections whose first request was not read yet.
 	unreadConns map[net.Conn]struct{}
 }
@@ -82,7 +82,7 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	waited := now.Sub(accepted)
-	t.lag.Record(now, waited)
+	t.estimator.Record(now, waited)
 	return waited
 }
 
@@ -91,7 +91,7 @@
 func (t *readDelayTracker) estimate() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.lag.Lag(t.now())
+	return t.estimator.ReadDelay(t.now())
 }
 
 // backlogDelay returns the estimate while connections wait to be read, and 0
@@ -104,5 +104,5 @@
 	if len(t.unreadConns) == 0 {
 		return 0
 	}
-	return t.lag.Lag(t.now())
+	return t.estimator.ReadDelay(t.now())
 }
--- a/transport/edge/fleet_test.go
+++ b/transport/edge/fleet_test.go
@@ -117,15 +117,15 @@
 // fleet starts for the first time. Only seeds read the store at once.
 func TestStartingRouterWaitsForItsPeers(t *testing.T) {
 	settings := Settings{Addresses: Addresses{Peers: "10.0.0.9:1"}, Seeds: []string{"10.0.0.1:1"}}
-	require.Equal(t, startReadDelay, storeReadDelay(settings))
+	require.Equal(t, startStoreReadDelay, storeReadDelay(settings))
 	f := newFixture()
 	fleet := f.fleet("r00")
 	fleet.storeReadDelay = storeReadDelay(settings)
 	require.False(t, fleet.shouldReadStore())
-	f.clock.advance(startReadDelay)
+	f.clock.advance(startStoreReadDelay)
 	require.True(t, fleet.shouldReadStore(), "no peer has sent its objects")
 	settings.FirstStart = true
-	require.Equal(t, firstStartReadDelay, storeReadDelay(settings))
+	require.Equal(t, firstStartStoreReadDelay, storeReadDelay(settings))
 	settings.Seeds = []string{"10.0.0.9:1"}
 	require.Zero(t, storeReadDelay(settings))
 	require.Zero(t, storeReadDelay(Settings{}))
--- a/transport/edge/readers.go
+++ b/transport/edge/readers.go
@@ -20,16 +20,16 @@
 	// routers start to read it too.
 	eagerReaders    = 2 * targetReaders
 	noReaderTimeout = 500 * time.Millisecond
-	// firstStartReadDelay is the time for which other routers leave reading to
+	// firstStartStoreReadDelay is the time for which other routers leave reading to
 	// the seeds, and wait for a peer to send the objects, when the whole fleet
 	// starts for the first time. It keeps a large starting fleet below the
 	// store's rate limit. Load balancers probe readiness once a second.
-	firstStartReadDelay = 700 * time.Millisecond
-	// startReadDelay is the delay for any other start. Live peers answer within
+	firstStartStoreReadDelay = 700 * time.Millisecond
+	// startStoreReadDelay is the delay for any other start. Live peers answer within
 	// about ten milliseconds. It is short because after a power loss of the
 	// whole fleet callers are waiting, and a session with a seed that starts a
 	// moment later takes a second to open.
-	startReadDelay = 100 * time.Millisecond
+	startStoreReadDelay = 100 * time.Millisecond
 	// nonEagerRetryDelay is the mean pause of routers that are not eager
 	// readers between two calls to a store that does not answer.
 	nonEagerRetryDelay = 2500 * time.Millisecond
--- a/transport/edge/router.go
+++ b/transport/edge/router.go
@@ -117,9 +117,9 @@
 	case len(settings.Seeds) == 0 || slices.Contains(settings.Seeds, settings.Addresses.Peers):
 		return 0
 	case settings.FirstStart:
-		return firstStartReadDelay
+		return firstStartStoreReadDelay
 	default:
-		return startReadDelay
+		return startStoreReadDelay
 	}
 }
 
