--- a/e2e/failure_test.go
+++ b/e2e/failure_test.go
@@ -326,7 +326,7 @@
 }
 
 // Two operators change the same object at the same time. One change must be
-// applied completely; the other operator must be told about the conflict.
+// applied completely; the other operator must receive a conflict error.
 func TestConcurrentOperatorChangesConflict(t *testing.T) {
 	f := startStandardFleet(t)
 	before := status(t, f.routerList[0]).Versions["config/teams/valle"]
--- a/e2e/soak_keeper_test.go
+++ b/e2e/soak_keeper_test.go
@@ -46,7 +46,7 @@
 	s.instances[r] = instance
 }
 
-// instance returns the present run of the router's process; nil while no
+// instance returns the current run of the router's process, or nil while no
 // process runs.
 func (s *soak) instance(r *edgeRouter) *soakInstance {
 	s.mu.Lock()
@@ -136,10 +136,10 @@
 }
 
 // isRouterFault reports whether the router is responsible for a request without
-// an answer. It is if it read the request, according to its log or to an
-// upstream's, and its process was only stopped as planned. A request that the
-// router did not read may be lost when it crosses the closing of the
-// connection.
+// an answer. It is if it read the request, as its log or an engine's record
+// shows, and its process was neither killed nor frozen. A request that the
+// router did not read may be lost if the router closes the connection while the
+// request is on its way.
 func (l *soakLedger) isRouterFault(request unansweredRequest) bool {
 	return !request.instance.disrupted && (request.instance.logged(request.id) || l.runs[request.id] > 0)
 }
--- a/e2e/soak_test.go
+++ b/e2e/soak_test.go
@@ -33,7 +33,7 @@
 	// soakPause is the maximum time between two requests of one caller.
 	soakPause = 10 * time.Millisecond
 	// soakPageTime is how long an engine takes for a plain answer. It is long
-	// enough for some to be in progress at any time.
+	// enough for some plain requests to be in progress at any time.
 	soakPageTime = 50 * time.Millisecond
 	// soakEvents is the number of events of a stream.
 	soakEvents = 6
@@ -49,11 +49,11 @@
 var soakKinds = []string{"pages", "guides"}
 
 // regressionSeeds are seeds that have failed in the past. Each one stands on a
-// line with the cause of its failure.
+// line of its own with a comment on the cause of the failure.
 var regressionSeeds = []uint64{}
 
-// TestSoak runs real routers under a random series of faults and then checks
-// soakLedger. It also expects that a planned stop exits with code 0 and that
+// TestSoak runs real routers under a random series of faults and then checks the
+// records of callers and engines with soakLedger.check. It also expects that a planned stop exits with code 0 and that
 // every router serves once the faults end. FIGSTILE_SOAK_SEED sets the seed,
 // FIGSTILE_SOAK_RUNS the number of additional random seeds.
 func TestSoak(t *testing.T) {
