--- a/devfleet/edge_promises.go
+++ b/devfleet/edge_promises.go
@@ -12,7 +12,8 @@
 const revokeTimeout = 4 * time.Second
 
 // verdicts checks every promise. A promise that the run could not have broken
-// counts as broken.
+// counts as broken, except that checkCallersAnswered accepts a run without
+// calls.
 func (e edgeEvidence) verdicts() []Verdict {
 	return []Verdict{
 		e.checkOwnAnswers(),
@@ -158,8 +159,8 @@
 	return heldVerdict(promise, "%d callers left", len(abandoned))
 }
 
-// checkStarvation checks that every workspace outside the flood had at least
-// minServedFraction of its calls served. The flood itself must not have had all
+// checkStarvation checks that every workspace outside the flood, except the one
+// whose key is revoked, had at least minServedFraction of its calls served. The flood itself must not have had all
 // of its calls served, because the fleet was then not overloaded.
 func (e edgeEvidence) checkStarvation() Verdict {
 	const promise = "nobody starves beside a flood"
--- a/devfleet/edge_trial.go
+++ b/devfleet/edge_trial.go
@@ -22,8 +22,8 @@
 
 const (
 	// callersPerWorkspace and floodCallers are the numbers of concurrent
-	// callers per workspace. A caller outside the flood pauses after each
-	// answer.
+	// callers per workspace. A caller pauses for callerPause after each answer,
+	// and a caller of the flood only after a refusal with status 429.
 	callersPerWorkspace = 3
 	floodCallers        = 24
 	callerPause         = 60 * time.Millisecond
--- a/devfleet/sample.go
+++ b/devfleet/sample.go
@@ -1,7 +1,8 @@
 // Package devfleet runs a small fleet on loopback addresses in one process:
 // real routers with stand-ins for the platform, the engines and the workers. It
-// also sends a mixed load to the fleet and checks on the results that the fleet
-// kept its promises, the guarantees that it gives to callers and operators.
+// also sends a mixed load to the fleet and checks from the results whether the
+// fleet kept its promises, the guarantees that it gives to callers and
+// operators.
 package devfleet
 
 import (
@@ -35,7 +36,8 @@
 type Workspace struct {
 	Name   state.Workspace
 	Weight float64
-	// Large marks a workspace that always requests more than its share.
+	// Large marks a workspace that requests more than its share under LoadUsual
+	// and LoadRush.
 	Large bool
 }
 
--- a/devfleet/workload.go
+++ b/devfleet/workload.go
@@ -123,8 +123,8 @@
 }
 
 // arrivals returns the arrivals of a workspace's requests. If uneven is set,
-// blurbs arrive in bursts, and pages for two seconds at a time with a second's
-// break.
+// blurbs arrive in bursts of burstSize, and pages arrive for two seconds at a
+// time with breaks of one second.
 func (s Sample) arrivals(r rates, uneven bool) []loadgen.ArrivalStream {
 	blurbs := loadgen.ArrivalStream{Class: s.Blurb, Process: loadgen.Poisson, Rate: r.blurbs}
 	pages := loadgen.ArrivalStream{Class: s.Page, Process: loadgen.Poisson, Rate: r.pages}
