--- a/standin/upstream/faults.go
+++ b/standin/upstream/faults.go
@@ -21,8 +21,8 @@
 	RejectRequests int `json:"refuse,omitempty"`
 	// DelayFactor multiplies every delay; 0 means 1.
 	DelayFactor float64 `json:"slow,omitempty"`
-	// FreezeLoadReport makes the upstream repeat its last load report until it
-	// is switched off.
+	// FreezeLoadReport makes the upstream return the same load report at every
+	// read until the fault is switched off.
 	FreezeLoadReport bool `json:"freeze_load,omitempty"`
 }
 
--- a/standin/upstream/host.go
+++ b/standin/upstream/host.go
@@ -105,10 +105,10 @@
 	h.recordLoad()
 }
 
-// bootName returns the Boot that load reports contain during the present run.
+// bootName returns the Boot that load reports contain during the current run.
 func (h *Host) bootName() string { return fmt.Sprintf("%s-%d", h.opts.Name, h.run.number) }
 
-// recordLoad records the present load. The caller holds the lock.
+// recordLoad records the current load. The caller holds the lock.
 func (h *Host) recordLoad() {
 	h.load.add(h.opts.Now(), state.LoadReport{
 		Upstream: h.opts.Name,
@@ -129,8 +129,9 @@
 	h.recordLoad()
 }
 
-// Load returns the load report that readers see now: one that is at least
-// LoadLag old or, under FreezeLoadReport, always the same one.
+// Load returns the load report that readers see now: the latest one that is at
+// least LoadLag old, or the oldest one if none is. Under FreezeLoadReport it
+// returns the same report each time.
 func (h *Host) Load() state.LoadReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -155,7 +156,7 @@
 // SetFaults replaces the faults.
 func (h *Host) SetFaults(f Faults) { h.changeState(func() { h.faults = f }) }
 
-// Faults returns the present faults, with the counts that remain.
+// Faults returns the current faults, with the counts that remain.
 func (h *Host) Faults() Faults {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -191,7 +192,7 @@
 	return h.opts.Sleep(ctx, h.Faults().scaleDelay(d))
 }
 
-// Crash ends the present run and closes every connection. Unless
+// Crash ends the current run and closes every connection. Unless
 // Faults.StayDown is set, the upstream restarts at once with a new Boot and
 // with empty memory.
 func (h *Host) Crash() { h.crashRun(h.currentRun()) }
@@ -218,7 +219,7 @@
 	return h.run
 }
 
-// markDown marks a run as down and reports whether it was the present run and
+// markDown marks a run as down and reports whether it was the current run and
 // still up.
 func (h *Host) markDown(r processRun) bool {
 	h.mu.Lock()
