--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -27,7 +27,9 @@
 	Fencing uint64      `json:"fencing"`
 }
 
-// OrderRecord is a received order and whether it was applied.
+// OrderRecord is a received order and whether it was applied. Applied is set
+// when the engine accepts the order, and stays set if the loading of a model is
+// interrupted.
 type OrderRecord struct {
 	Order
 	Applied bool `json:"applied"`
