--- a/standin/worker/worker_test.go
+++ b/standin/worker/worker_test.go
@@ -19,7 +19,7 @@
 const waitTimeout = 20 * time.Second
 
 // testWorker is a worker whose requests stay busy until release is closed, and
-// whose clock advances one second at each reading.
+// whose clock advances by one second each time it is read.
 type testWorker struct {
 	*worker.Worker
 	t       *testing.T
@@ -178,7 +178,7 @@
 
 // The second of two callers receives the answer to the first one's request,
 // complete and well formed. The answer's attempt id must show that it belongs
-// to the other.
+// to the other request.
 func TestCrossedAnswerNamesTheOtherAttempt(t *testing.T) {
 	w := startWorker(t, worker.Options{})
 	close(w.release)
@@ -222,8 +222,8 @@
 	}
 }
 
-// Load reports are read with a lag, so a worker that is draining still appears
-// to be in service for that time.
+// Load reports are read with a lag, so a worker that starts to drain still
+// appears to be in service until the lag has passed.
 func TestLoadReportLags(t *testing.T) {
 	w := startWorker(t, worker.Options{Options: upstream.Options{LoadLag: 30 * time.Second}})
 	w.SetDraining(true)
