--- a/standin/platform/bench_test.go
+++ b/standin/platform/bench_test.go
@@ -13,7 +13,7 @@
 
 // BenchmarkWatchFanOut measures one write of a kilobyte, from the write until
 // every watcher has received it, and reports the calls and the bytes of answers
-// per write. A present deployment has 8 watchers; the fleet is planned for 730.
+// per write. A current deployment has 8 watchers; the fleet is planned for 730.
 func BenchmarkWatchFanOut(b *testing.B) {
 	for _, watchers := range []int{8, 64, 730} {
 		b.Run(fmt.Sprintf("watchers=%d", watchers), func(b *testing.B) { benchFanOut(b, watchers) })
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -13,7 +13,7 @@
 // Outage selects how the platform fails every call.
 type Outage string
 
-// The outages. Only OutageSlow lets a write take effect.
+// The outages. During an outage, writes take effect only under OutageSlow.
 const (
 	// OutageNone serves calls as usual.
 	OutageNone Outage = ""
@@ -52,8 +52,8 @@
 	// before the write takes effect. A caller cannot distinguish it from
 	// LoseAnswers.
 	LoseWrites int `json:"lose_writes,omitempty"`
-	// StaleReads answers reads from the objects as they were when it was
-	// switched on.
+	// StaleReads answers reads from the objects as they were when the
+	// fault was switched on.
 	StaleReads bool `json:"stale_reads,omitempty"`
 	// VMLagMs is the age of the list of VMs that callers read, in milliseconds.
 	VMLagMs int64 `json:"vm_lag_ms,omitempty"`
@@ -104,7 +104,7 @@
 	}
 }
 
-// Faults returns the present faults, with the counts of lost answers and writes
+// Faults returns the current faults, with the counts of lost answers and writes
 // that remain.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
--- a/standin/platform/store.go
+++ b/standin/platform/store.go
@@ -240,7 +240,7 @@
 	return s.version
 }
 
-// snapshot returns a store that holds a copy of the present objects. The copy
+// snapshot returns a store that holds a copy of the current objects. The copy
 // doesn't follow later writes.
 func (s *Store) snapshot() *Store {
 	s.mu.Lock()
