--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -29,12 +29,13 @@
 	EventInterval time.Duration
 }
 
-// HeldPathPrefix is the prefix of the paths whose streams continue until their
-// caller leaves.
+// HeldPathPrefix is the prefix of the paths whose streams stay open until their
+// caller leaves, but at most for maxHeldDuration after each event.
 const HeldPathPrefix = "/held/"
 
-// maxHeldDuration ends a held stream whose connection stays open, so that a
-// test ends even if a router fails to close the connection to the upstream.
+// maxHeldDuration is how long a held stream waits after each event before it
+// continues. It lets the stream, and so the test, end even if a router fails to
+// close the connection to the upstream.
 const maxHeldDuration = 20 * time.Second
 
 // Run records one request that a server ran.
