--- a/transport/edge/pressure.go
+++ b/transport/edge/pressure.go
@@ -62,8 +62,8 @@
 	// readyClosedShare.
 	notReadyClosedShare = 0.1
 	readyClosedShare    = 0.05
-	// refuseReadDelay is the delay between accepting a connection and reading
-	// its request above which callers are turned away.
+	// refuseReadDelay is the read delay, from the acceptance of a connection
+	// until its request is read, above which callers are turned away.
 	refuseReadDelay = 150 * time.Millisecond
 	// notReadyTickLag is the delay of the periodic task, averaged over some
 	// ticks, above which the CPU counts as overloaded. The router recovers at
@@ -96,7 +96,8 @@
 	// portClosedShare is the average fraction of time for which the port was
 	// closed. Only the periodic task uses it.
 	portClosedShare float64
-	// readDelay measures how long requests wait before they are read.
+	// readDelay measures how long requests wait in this process before they
+	// are read.
 	readDelay *readDelayTracker
 }
 
--- a/transport/edge/readers.go
+++ b/transport/edge/readers.go
@@ -20,21 +20,23 @@
 	// routers start to read it too.
 	eagerReaders    = 2 * targetReaders
 	noReaderTimeout = 500 * time.Millisecond
-	// firstStartStoreReadDelay is the time for which other routers leave reading to
-	// the seeds, and wait for a peer to send the objects, when the whole fleet
-	// starts for the first time. It keeps a large starting fleet below the
-	// store's rate limit. Load balancers probe readiness once a second.
+	// firstStartStoreReadDelay is how long a router that is not a seed waits
+	// after its start, when the whole fleet starts for the first time, before
+	// it reads the store. Meanwhile the seeds read it, and peers send the
+	// objects. This keeps a large starting fleet below the store's rate limit.
+	// Load balancers probe readiness once a second.
 	firstStartStoreReadDelay = 700 * time.Millisecond
-	// startStoreReadDelay is the delay for any other start. Live peers answer within
-	// about ten milliseconds. It is short because after a power loss of the
-	// whole fleet callers are waiting, and a session with a seed that starts a
-	// moment later takes a second to open.
+	// startStoreReadDelay is the same delay for any other start. Live peers
+	// answer within about ten milliseconds. It is short because after a power
+	// loss of the whole fleet callers are waiting, and a session with a seed
+	// that starts a moment later takes a second to open.
 	startStoreReadDelay = 100 * time.Millisecond
 	// nonEagerRetryDelay is the mean pause of routers that are not eager
 	// readers between two calls to a store that does not answer.
 	nonEagerRetryDelay = 2500 * time.Millisecond
 	// claimExpiry is the age at which a peer's claim to read the store expires.
-	// A peer repeats it every heartbeatInterval.
+	// A peer repeats its claim every heartbeatInterval, so by then about three
+	// repetitions are missing.
 	claimExpiry = 1200 * time.Millisecond
 	// readingClaimedFor is the time after the store's last answer for which
 	// this router still claims to read it. A watch call may wait for most of
@@ -83,8 +85,8 @@
 }
 
 // readersWithOtherUpstreams returns the live peers that read the store and hold
-// other upstreams than this router. Peers that hold the same have no news for
-// it.
+// other upstreams than this router. Peers that hold the same upstreams have
+// nothing new to send.
 func (f *fleet) readersWithOtherUpstreams(now time.Time, upstreams uint64) []scheduler.Peer {
 	var readers []scheduler.Peer
 	for _, p := range f.livePeers {
--- a/transport/edge/receive.go
+++ b/transport/edge/receive.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// markAlive records that a message was received from a peer, which therefore is
-// alive.
+// markAlive records that a message was received from a peer, which keeps a link
+// to it alive.
 func (f *fleet) markAlive(from state.Router) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,7 +159,7 @@
 
 // onCatalogueEnd handles the end of a peer's answer. If that peer follows the
 // store, this router's configuration is the newest, and a router that has just
-// started may tell callers at once that something does not exist.
+// started may answer callers at once that something does not exist.
 func (f *fleet) onCatalogueEnd(from state.Router, m *peerpb.CatalogueEnd) {
 	f.mu.Lock()
 	f.catchUp.Answered(f.now(), from, m.GetHolds())
--- a/transport/edge/stop_test.go
+++ b/transport/edge/stop_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A router stops while an engine reads a prompt. At the end of the grace
+// A router stops while an engine prefills a prompt. At the end of the grace
 // period, 7.5 s after SIGTERM, the server was closed while its handlers ran.
 // Three callers lost their connections without an answer, and so could not tell
 // whether their requests had run on the engine.
