--- a/coordination/claims/machine_test.go
+++ b/coordination/claims/machine_test.go
@@ -165,7 +165,7 @@
 	return res
 }
 
-// TestSameKeyAtTwoRouters checks that a key is granted once if a client sends a
+// TestSameKeyAtTwoRouters checks that a key is granted once if a caller sends a
 // request to two routers at the same moment and both read the shard before
 // either writes.
 func TestSameKeyAtTwoRouters(t *testing.T) {
--- a/coordination/drain/drain.go
+++ b/coordination/drain/drain.go
@@ -7,10 +7,10 @@
 
 const (
 	// maxAcceptTime is how long new requests are still accepted after the stop
-	// was ordered. Balancers check once a second whether a router is ready and
-	// need two failed checks, and callers on open connections learn of the stop
-	// with their next answer. The rest is a margin in case the stop order is
-	// noticed late.
+	// was ordered. Load balancers check once a second whether a router is ready
+	// and need two failed checks, and callers on open connections learn of the
+	// stop with their next answer. The rest is a margin in case the stop order
+	// is noticed late.
 	maxAcceptTime = 2500 * time.Millisecond
 	// maxAcceptFraction limits the accept time, as a fraction of the grace
 	// period, if the grace period is short. The requests accepted last need
--- a/coordination/fencing/holder_test.go
+++ b/coordination/fencing/holder_test.go
@@ -301,7 +301,7 @@
 }
 
 // advanceClocks advances the clocks of all routers. The monotonic clock of a
-// suspended router stands still.
+// suspended router does not advance.
 func (s *leaseSimulation) advanceClocks(d time.Duration) {
 	for i, r := range s.routers {
 		r.now.Wall = r.now.Wall.Add(d)
--- a/protocol/trace/record.go
+++ b/protocol/trace/record.go
@@ -86,8 +86,8 @@
 // LeavingRecord records the first announcement that an upstream is leaving.
 type LeavingRecord struct {
 	Upstream state.Upstream `json:"upstream"`
-	// Boot identifies the process of the upstream that is leaving; empty means
-	// any process.
+	// Boot identifies the run of the upstream that is leaving; empty means any
+	// run.
 	Boot string    `json:"boot,omitempty"`
 	At   time.Time `json:"at"`
 }
--- a/state/directory/directory.go
+++ b/state/directory/directory.go
@@ -60,8 +60,8 @@
 
 // IsNewer reports whether an entry is newer than the stored one. Revisions only
 // increase, so neither an outdated answer of the store nor a peer that was cut
-// off can restore an upstream that has left. A removal also counts as newer if
-// it has the same revision as the entry that it removes.
+// off can restore an upstream that was removed. A removal also counts as newer
+// if it has the same revision as the entry that it removes.
 func (d *Directory) IsNewer(id state.Upstream, entry Entry) bool {
 	current, ok := d.entries[id]
 	removes := !entry.Present && current.Present && current.Revision == entry.Revision
--- a/state/directory/directory_test.go
+++ b/state/directory/directory_test.go
@@ -6,8 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A router learns from a peer that an upstream has left. An outdated answer of
-// the store that still lists the upstream must not restore it.
+// A router learns from a peer that an upstream was removed. An outdated answer
+// of the store that still lists the upstream must not restore it.
 func TestOlderRevisionDoesNotRestoreAnEntry(t *testing.T) {
 	d := New()
 	ready := Entry{Revision: 5, Present: true, Upstream: Upstream{ID: "u"}}
--- a/state/upstream.go
+++ b/state/upstream.go
@@ -6,7 +6,8 @@
 // a delay, so a reader has to add the requests that it has sent since.
 type LoadReport struct {
 	Upstream Upstream `json:"upstream"`
-	// Boot is an id that changes whenever the upstream's process restarts.
+	// Boot identifies the run of the upstream. It changes whenever the
+	// upstream's process restarts.
 	Boot string `json:"boot"`
 	// Running counts the requests in an engine's batch or on a worker's
 	// threads.
--- a/transport/caller/server.go
+++ b/transport/caller/server.go
@@ -27,8 +27,8 @@
 	// head.
 	defaultHeaderTimeout = 10 * time.Second
 	// defaultIdleTimeout is longer than the idle time of common load balancers.
-	// The balancer then closes idle connections first, and no request is sent
-	// on a connection that the router is closing.
+	// The load balancer then closes idle connections first, and no request is
+	// sent on a connection that the router is closing.
 	defaultIdleTimeout = 2 * time.Minute
 	// defaultMaxHeaderBytes is enough for a token, a key and a browser's
 	// cookies.
--- a/transport/claims/host_test.go
+++ b/transport/claims/host_test.go
@@ -129,7 +129,7 @@
 }
 
 // TestHostRefusesWhilePlatformUnavailable guards against callers that wait for
-// a timeout while the platform refuses every call.
+// a timeout while the platform rejects every call.
 func TestHostRefusesWhilePlatformUnavailable(t *testing.T) {
 	store := &memoryStore{objects: map[string]objectstore.Object{}, unavailable: true}
 	h := startHost(t, store, "a")
--- a/transport/objectstore/store.go
+++ b/transport/objectstore/store.go
@@ -28,7 +28,7 @@
 var (
 	// ErrNotFound reports that the object does not exist.
 	ErrNotFound = errors.New("objectstore: not found")
-	// ErrUnavailable reports that the platform refused the call or could not be
+	// ErrUnavailable reports that the platform rejected the call or could not be
 	// reached, and that the call had no effect.
 	ErrUnavailable = errors.New("objectstore: unavailable")
 	// ErrUnknownOutcome reports that a write was sent and no answer arrived.
@@ -38,7 +38,7 @@
 	// longer keeps.
 	ErrTooOld = errors.New("objectstore: version too old")
 	// ErrInvalid reports that the call itself is invalid, for example because a
-	// value is too large or the token is refused. It had no effect, and
+	// value is too large or the token is rejected. It had no effect, and
 	// repeating it cannot help.
 	ErrInvalid = errors.New("objectstore: invalid call")
 )
