--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -251,8 +251,8 @@
 // homeEngine returns the engine that a shared part is sent to while this router
 // knows of no engine that has cached it: the first in a rendezvous hash. A
 // router that restarts has no record of cached parts, but the parts that it and
-// its peers sent before are at that engine. Without the hash it would spread parts over
-// all engines, which would all prefill them again.
+// its peers sent before are at that engine. Without the hash it would spread
+// parts over all engines, which would all prefill them again.
 func homeEngine(pool []*host, w Work) *host {
 	key, shared := w.affinityKey()
 	if !shared {
--- a/devfleet/edge.go
+++ b/devfleet/edge.go
@@ -241,7 +241,7 @@
 		Version: 1,
 		Routes: []routing.Route{
 			route("drafts", draftsPath, routing.Stream, edgeDrafts),
-			route("held", server.HeldPathPrefix, routing.Stream, edgeDrafts),
+			route("held", server.HeldStreamPath, routing.Stream, edgeDrafts),
 			route("publish", publishPath, routing.NonIdempotent, edgePages),
 			route("maps", mapsPath, routing.Idempotent, edgePages),
 		},
--- a/devfleet/edge_promises.go
+++ b/devfleet/edge_promises.go
@@ -142,7 +142,7 @@
 	const promise = "work ends when its caller leaves"
 	abandoned := make(map[string]bool)
 	for _, r := range e.records {
-		if r.callerLeft && r.path == server.HeldPathPrefix {
+		if r.callerLeft && r.path == server.HeldStreamPath {
 			abandoned[r.attempt] = true
 		}
 	}
@@ -160,8 +160,9 @@
 }
 
 // checkStarvation checks that every workspace outside the flood, except the one
-// whose key is revoked, had at least minServedFraction of its calls served. The flood itself must not have had all
-// of its calls served, because the fleet was then not overloaded.
+// whose key is revoked, had at least minServedFraction of its calls served. The
+// flood itself must not have had all of its calls served, because the fleet was
+// then not overloaded.
 func (e edgeEvidence) checkStarvation() Verdict {
 	const promise = "nobody starves beside a flood"
 	asked, served := countByWorkspace(e.records)
--- a/devfleet/edge_promises_test.go
+++ b/devfleet/edge_promises_test.go
@@ -17,7 +17,7 @@
 	}
 	former := call(revokedWorkspace, mapsPath, "f1", 401)
 	former.startedAt = runStart.Add(time.Minute)
-	held := call("tours", server.HeldPathPrefix, "h1", 200)
+	held := call("tours", server.HeldStreamPath, "h1", 200)
 	held.callerLeft = true
 	return edgeEvidence{
 		records: []edgeRecord{
--- a/devfleet/edge_trial.go
+++ b/devfleet/edge_trial.go
@@ -186,7 +186,7 @@
 // call makes one call to a random path through a random router.
 func (l *edgeLoad) call(ctx context.Context, ws state.Workspace) edgeRecord {
 	router := l.fleet.routers[rand.IntN(len(l.fleet.routers))]
-	paths := []string{draftsPath, draftsPath, publishPath, mapsPath, server.HeldPathPrefix}
+	paths := []string{draftsPath, draftsPath, publishPath, mapsPath, server.HeldStreamPath}
 	record := edgeRecord{
 		workspace: ws, path: paths[rand.IntN(len(paths))], router: router.Router,
 		attempt: fmt.Sprintf("%s-%d", ws, l.lastAttempt.Add(1)), startedAt: time.Now(),
@@ -214,7 +214,7 @@
 
 func (l *edgeLoad) callerHeaders(r edgeRecord) platform.CallerHeaders {
 	call := platform.CallerHeaders{Attempt: r.attempt, Key: edgeKey(r.workspace), Deadline: callDeadline}
-	if r.path == draftsPath || r.path == server.HeldPathPrefix {
+	if r.path == draftsPath || r.path == server.HeldStreamPath {
 		call.Prompt = []prefix.Part{{ID: rand.Uint64N(sharedPromptCount), Tokens: sharedPromptTokens}, {ID: rand.Uint64(), Tokens: uniquePromptTokens}}
 		call.MaxOutput = draftOutputTokens
 	}
@@ -225,7 +225,7 @@
 // first event.
 func (r *edgeRecord) readAnswer(response *http.Response) {
 	signed := platform.Signature(response.Header) != ""
-	if r.path == server.HeldPathPrefix && response.StatusCode == http.StatusOK {
+	if r.path == server.HeldStreamPath && response.StatusCode == http.StatusOK {
 		first := server.EventText(r.attempt, 1)
 		text := make([]byte, len(first))
 		_, err := io.ReadFull(bufio.NewReader(response.Body), text)
--- a/standin/server/server.go
+++ b/standin/server/server.go
@@ -29,14 +29,14 @@
 	EventInterval time.Duration
 }
 
-// HeldPathPrefix is the prefix of the paths whose streams stay open until their
-// caller leaves, but at most for maxHeldDuration after each event.
-const HeldPathPrefix = "/held/"
+// HeldStreamPath is the prefix of the paths whose streams stay open until their
+// caller leaves, but at most for heldEventWait after each event.
+const HeldStreamPath = "/held/"
 
-// maxHeldDuration is how long a held stream waits after each event before it
+// heldEventWait is how long a held stream waits after each event before it
 // continues. It lets the stream, and so the test, end even if a router fails to
 // close the connection to the upstream.
-const maxHeldDuration = 20 * time.Second
+const heldEventWait = 20 * time.Second
 
 // Run records one request that a server ran.
 type Run struct {
@@ -153,7 +153,7 @@
 		if err := http.NewResponseController(w).Flush(); err != nil {
 			return false
 		}
-		if strings.HasPrefix(r.URL.Path, HeldPathPrefix) && !s.wait(r, maxHeldDuration) || !s.wait(r, s.EventInterval) {
+		if strings.HasPrefix(r.URL.Path, HeldStreamPath) && !s.wait(r, heldEventWait) || !s.wait(r, s.EventInterval) {
 			return false
 		}
 	}
--- a/standin/server/server_test.go
+++ b/standin/server/server_test.go
@@ -54,7 +54,7 @@
 	httpServer := httptest.NewServer(s)
 	defer httpServer.Close()
 	ctx, cancel := context.WithCancel(context.Background())
-	response := send(t, ctx, httpServer.URL+HeldPathPrefix, "a", ingress.Outbound{Upstream: "u", Deadline: time.Second})
+	response := send(t, ctx, httpServer.URL+HeldStreamPath, "a", ingress.Outbound{Upstream: "u", Deadline: time.Second})
 	first := make([]byte, len(EventText("a", 1)))
 	_, err := io.ReadFull(response.Body, first)
 	require.NoError(t, err)
